--- a/crates/lilacpitch-edge/src/cli.rs
+++ b/crates/lilacpitch-edge/src/cli.rs
@@ -1,6 +1,6 @@
 //! The command line of `lilacpitch-edge`.
 
-use crate::front::Guards;
+use crate::core::Guards;
 use crate::net;
 use clap::{Parser, Subcommand};
 use lilacpitch_config::{ConfigError, Edge, LogFormat, Pools, EDGE_SCHEMA};
--- a/crates/lilacpitch-edge/src/core/facts.rs
+++ b/crates/lilacpitch-edge/src/core/facts.rs
@@ -3,8 +3,8 @@
 use super::Front;
 use lilacpitch::interface::{self, Nanos};
 use lilacpitch::Event;
-use lilacpitch_peers::fact::MAX_SETUPS;
-use lilacpitch_peers::Fact;
+use lilacpitch_gossip::server_report::MAX_SETUPS;
+use lilacpitch_gossip::Fact;
 use std::collections::BTreeMap;
 
 const MS: Nanos = 1_000_000;
--- a/crates/lilacpitch-edge/src/core/fleet.rs
+++ b/crates/lilacpitch-edge/src/core/fleet.rs
@@ -6,8 +6,8 @@
 use lilacpitch::interface::{Nanos, ServerId};
 use lilacpitch::Event;
 use lilacpitch_config::FleetOf;
+use lilacpitch_location::Kind;
 use lilacpitch_protocol::message::call::{Answer, ToCaller};
-use lilacpitch_register::Kind;
 use std::collections::BTreeMap;
 
 const MS: Nanos = 1_000_000;
--- a/crates/lilacpitch-edge/src/fleet/admin_pages.rs
+++ b/crates/lilacpitch-edge/src/fleet/admin_pages.rs
@@ -2,8 +2,8 @@
 
 use super::Agent;
 use lilacpitch_fleet::locate::{Answer, Site, MAX_LIMIT};
-use lilacpitch_link::steady_ns;
-use lilacpitch_register::{Kind, Number, Query, What};
+use lilacpitch_location::{Kind, Number, Query, What};
+use lilacpitch_rpc::steady_ns;
 use std::fmt::Write;
 use std::sync::atomic::Ordering::Relaxed;
 use std::sync::Arc;
@@ -93,7 +93,7 @@
         let _ = writeln!(out, "position {position}\nlease {lease}");
         let unknown = self.catalogue.read().unknown(now);
         let _ = writeln!(out, "summaries unknown {}: {}", unknown.len(), unknown.join(" "));
-        let _ = writeln!(out, "rows waiting {}", self.rows.lock().waiting());
+        let _ = writeln!(out, "rows waiting {}", self.record_publisher.lock().waiting());
         let (changes, joined) = self.recorder.lock().counts();
         let _ = writeln!(out, "audit waiting {changes}, joined {joined}");
         let c = &self.counters;
@@ -118,7 +118,7 @@
 }
 
 /// A cursor as it is written on a page: the key's parts, in an order that reads back.
-fn read_cursor(text: &str) -> Option<lilacpitch_register::Key> {
+fn read_cursor(text: &str) -> Option<lilacpitch_location::Key> {
     let mut parts = text.split('|');
     let number = Number::new(parts.next()?).ok()?;
     let kind = match parts.next()? {
@@ -128,8 +128,8 @@
     };
     let (name, front) = (parts.next()?.to_string(), parts.next()?.to_string());
     let (life, serial) = (parts.next()?.parse().ok()?, parts.next()?.parse().ok()?);
-    let holder = lilacpitch_register::Holder { name, front, life, serial };
-    Some(lilacpitch_register::Key { number, kind, holder })
+    let holder = lilacpitch_location::Holder { name, front, life, serial };
+    Some(lilacpitch_location::Key { number, kind, holder })
 }
 
 fn written(answer: &Answer) -> String {
--- a/crates/lilacpitch-edge/src/fleet/lease_client.rs
+++ b/crates/lilacpitch-edge/src/fleet/lease_client.rs
@@ -1,9 +1,9 @@
 //! The lease from the home site, orders from it, and summaries.
 
 use super::{wall_ms, Agent, Counters, FromAgent};
-use lilacpitch_fleet::holder::Taken;
+use lilacpitch_fleet::lease_holder::Taken;
 use lilacpitch_fleet::message::{Order, Request, Response};
-use lilacpitch_link::{steady_ns, Dialer, Link};
+use lilacpitch_rpc::{steady_ns, Dialer, Link};
 use std::sync::Arc;
 use std::time::Duration;
 
@@ -102,7 +102,7 @@
         }
     }
 
-    fn apply(&self, holder: &mut lilacpitch_fleet::holder::Holder, orders: Vec<Order>) {
+    fn apply(&self, holder: &mut lilacpitch_fleet::lease_holder::Holder, orders: Vec<Order>) {
         let now = steady_ns();
         for order in orders {
             self.cache.apply(now, &order);
--- a/crates/lilacpitch-edge/src/fleet/locate_dispatcher.rs
+++ b/crates/lilacpitch-edge/src/fleet/locate_dispatcher.rs
@@ -2,11 +2,11 @@
 
 use super::{Agent, CONNECT};
 use lilacpitch::interface::Outcome;
-use lilacpitch_fleet::asker::{look_after_ns, Asker, Do, Timing};
 use lilacpitch_fleet::error::LocateError;
 use lilacpitch_fleet::message::{Refusal, Request, Response};
-use lilacpitch_link::{steady_ns, LinkError};
-use lilacpitch_register::Page;
+use lilacpitch_fleet::query_dispatcher::{look_after_ns, Asker, Do, Timing};
+use lilacpitch_location::Page;
+use lilacpitch_rpc::{steady_ns, LinkError};
 use parking_lot::Mutex;
 use std::collections::{HashMap, HashSet};
 use std::sync::Arc;
--- a/crates/lilacpitch-edge/src/fleet/mod.rs
+++ b/crates/lilacpitch-edge/src/fleet/mod.rs
@@ -5,27 +5,27 @@
 //! **Locks.** The holder, then a shard of the cache, then its list of recent purges; the catalogue, the recorder, the
 //! rows and the flights each alone. None is held across an await.
 
-mod ask;
-mod follow;
+mod admin_pages;
+mod lease_client;
 mod locate;
-mod page;
-mod rows;
+mod locate_dispatcher;
+mod record_publisher;
 
-use crate::front::RowNews;
+use crate::core::RowNews;
 use lilacpitch_config::{Edge, FleetOf, Pools};
-use lilacpitch_fleet::asker::Timing;
 use lilacpitch_fleet::audit::{Recorder, Version};
 use lilacpitch_fleet::cache::Cache;
 use lilacpitch_fleet::catalogue::Catalogue;
-use lilacpitch_fleet::gather::Gather;
-use lilacpitch_fleet::holder::Holder;
 use lilacpitch_fleet::lease::Terms;
+use lilacpitch_fleet::lease_holder::Holder;
 use lilacpitch_fleet::message::Role;
-use lilacpitch_fleet::upward::Upward;
+use lilacpitch_fleet::query_dispatcher::Timing;
+use lilacpitch_fleet::upstream_selection::Upward;
+use lilacpitch_fleet::write_batcher::Gather;
 use lilacpitch_fleet::{Guards, Nanos};
-use lilacpitch_link::{steady_ns, Dialer, Me, Serve};
-use lilacpitch_peers::Keys;
-use lilacpitch_register::Kind;
+use lilacpitch_gossip::Keys;
+use lilacpitch_location::Kind;
+use lilacpitch_rpc::{steady_ns, Dialer, Me, Serve};
 use parking_lot::{Mutex, RwLock};
 use std::hash::Hasher;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -103,10 +103,10 @@
     cache: Cache,
     catalogue: RwLock<Catalogue>,
     recorder: Mutex<Recorder>,
-    rows: Mutex<rows::Rows>,
+    record_publisher: Mutex<record_publisher::Rows>,
     rows_changed: watch::Sender<u64>,
     flights: locate::Flights,
-    asks: ask::Asks,
+    asks: locate_dispatcher::Asks,
     questions: Semaphore,
     say: mpsc::Sender<FromAgent>,
     counters: Counters,
@@ -119,11 +119,11 @@
 impl Serve for Door {
     fn serve(
         self: Arc<Self>,
-        from: Arc<lilacpitch_link::Link>,
-        ask: lilacpitch_fleet::message::Request,
-    ) -> lilacpitch_link::Served {
+        from: Arc<lilacpitch_rpc::Link>,
+        locate_dispatcher: lilacpitch_fleet::message::Request,
+    ) -> lilacpitch_rpc::Served {
         match self.0.get().and_then(Weak::upgrade) {
-            Some(agent) => Box::pin(async move { agent.answer(&from, ask) }),
+            Some(agent) => Box::pin(async move { agent.answer(&from, locate_dispatcher) }),
             None => Box::pin(std::future::pending()),
         }
     }
@@ -232,7 +232,7 @@
         clock_allowance: of.terms.clock_allowance,
         straggler_ns: of.terms.straggler_ns,
     };
-    let (asks, asking) = ask::Asks::new(&counts, timing, seed);
+    let (asks, asking) = locate_dispatcher::Asks::new(&counts, timing, seed);
     let agent = Arc::new(Agent {
         guards,
         settings,
@@ -246,7 +246,7 @@
         cache: Cache::new(of.cache, guards),
         catalogue: RwLock::new(Catalogue::new(names, of.terms.settle_ns, terms, guards)),
         recorder: Mutex::new(Recorder::new(&edge.name, life)),
-        rows: Mutex::new(rows::Rows::default()),
+        record_publisher: Mutex::new(record_publisher::Rows::default()),
         rows_changed: watch::Sender::new(0),
         flights: locate::Flights::default(),
         asks,
@@ -261,10 +261,10 @@
         .name("fleet".into())
         .spawn(move || {
             runtime.block_on(async move {
-                tokio::spawn(follow::follow(agent.clone()));
-                tokio::spawn(follow::poll(agent.clone()));
-                tokio::spawn(rows::write(agent.clone()));
-                tokio::spawn(ask::run(agent.clone(), asking));
+                tokio::spawn(lease_client::follow(agent.clone()));
+                tokio::spawn(lease_client::poll(agent.clone()));
+                tokio::spawn(record_publisher::write(agent.clone()));
+                tokio::spawn(locate_dispatcher::run(agent.clone(), asking));
                 listen(agent, from_front).await;
             });
         })
--- a/crates/lilacpitch-edge/src/fleet/record_publisher.rs
+++ b/crates/lilacpitch-edge/src/fleet/record_publisher.rs
@@ -2,9 +2,9 @@
 //! register is another one.
 
 use super::{Agent, Counters, FromAgent};
-use crate::front::RowNews;
+use crate::core::RowNews;
 use lilacpitch_fleet::message::{Refusal, Request, Response, RowChange};
-use lilacpitch_register::{Holder, Key, Number, Row};
+use lilacpitch_location::{Holder, Key, Number, Row};
 use std::collections::VecDeque;
 use std::sync::Arc;
 use std::time::Duration;
@@ -48,7 +48,7 @@
     /// What came and went at the front, to be written in that order.
     pub(super) fn changed(&self, news: Vec<RowNews>) {
         let changes = news.into_iter().filter_map(|news| self.change(news));
-        let mut rows = self.rows.lock();
+        let mut rows = self.record_publisher.lock();
         rows.waiting.extend(changes);
         if rows.waiting.len() > MOST {
             // The site can't be reached for long: what there is then is said once it can.
@@ -75,13 +75,13 @@
     /// Rows were lost on the way from the front: all that it has follow, and what went meanwhile the site sweeps out
     /// with the rest of this life's at its end.
     pub(super) fn rows_anew(&self) {
-        self.rows.lock().forget();
+        self.record_publisher.lock().forget();
         let _ = self.say.try_send(FromAgent::RowsWanted);
     }
 
     /// The home site's register, as it says with each lease.
     pub(super) fn register_is(&self, register: u64) {
-        let mut rows = self.rows.lock();
+        let mut rows = self.record_publisher.lock();
         if rows.register != Some(register) {
             let first = rows.register.is_none() && rows.waiting.len() < MOST;
             rows.register = Some(register);
@@ -100,7 +100,7 @@
     loop {
         changed.borrow_and_update();
         let (first, batch): (u64, Vec<RowChange>) = {
-            let rows = agent.rows.lock();
+            let rows = agent.record_publisher.lock();
             (rows.done + 1, rows.waiting.iter().take(BATCH).cloned().collect())
         };
         if batch.is_empty() {
@@ -114,12 +114,12 @@
         match agent.above().ask(write, agent.patience() * 2).await {
             Ok(Response::Written) => {
                 Counters::one(&agent.counters.written);
-                agent.rows.lock().written(first, count);
+                agent.record_publisher.lock().written(first, count);
             }
             Ok(Response::Refused(Refusal::Malformed(why))) => {
                 // It would be refused for ever: one by one, so that only what is wrong is lost.
                 tracing::error!(why, "a row refused");
-                agent.rows.lock().written(first, 1);
+                agent.record_publisher.lock().written(first, 1);
             }
             Ok(other) => {
                 tracing::debug!(?other, "rows not written yet");
--- a/crates/lilacpitch-edge/src/lib.rs
+++ b/crates/lilacpitch-edge/src/lib.rs
@@ -7,6 +7,6 @@
 #![warn(missing_docs)]
 
 pub mod cli;
+pub mod core;
 mod fleet;
-pub mod front;
 pub mod net;
--- a/crates/lilacpitch-edge/src/net/driver.rs
+++ b/crates/lilacpitch-edge/src/net/driver.rs
@@ -1,11 +1,11 @@
 //! The driver: the one task that owns the front, and the tasks of connections around it.
 
-use super::news::{News, RunError};
-use super::pump::{open, serve_handshake, Heard, Outgoing, Pump};
-use super::talk::Talk;
-use super::{file, metrics, Clock};
+use super::connection::{open, serve_handshake, Heard, Outgoing, Pump};
+use super::driver_event::{News, RunError};
+use super::gossip_socket::Talk;
+use super::{metrics, watched_file, Clock};
+use crate::core::{CallerId, Effect, Front, Guards, Input, LinkId};
 use crate::fleet::{self, FromAgent, ToAgent};
-use crate::front::{CallerId, Effect, Front, Guards, Input, LinkId};
 use lilacpitch_config::{Edge, Pools};
 use lilacpitch_protocol::frame::Role;
 use lilacpitch_protocol::handshake;
@@ -80,14 +80,21 @@
     let callers = listener.local_addr().map_err(|e| RunError::Listen(settings.listen, e))?;
     let (news, mut inbox) = mpsc::channel(NEWS_QUEUE);
     let list = settings.pool_list.clone();
-    let seen = file::state(&list).map_err(|e| RunError::PoolFile(list.clone(), e))?;
+    let seen = watched_file::state(&list).map_err(|e| RunError::PoolFile(list.clone(), e))?;
     let pools = Pools::load(Path::new(&list))?.value;
     let every = Duration::from_nanos(settings.look_ns);
     let read = |path: &str| match Pools::load(Path::new(path)) {
         Ok(pools) => Ok(News::PoolList(pools.value)),
         Err(error) => Err(error.to_string()),
     };
-    tokio::task::spawn_local(file::watch(list, every, seen, news.clone(), read, News::PoolListRefused));
+    tokio::task::spawn_local(watched_file::watch(
+        list,
+        every,
+        seen,
+        news.clone(),
+        read,
+        News::PoolListRefused,
+    ));
     let clock = Clock::start();
     let mut rng = StdRng::try_from_os_rng().map_err(|e| RunError::Machine(format!("no randomness: {e}")))?;
     let talk = match &settings.peers {
@@ -186,7 +193,7 @@
 /// The number at which a caller says it is reached: `/call/NUMBER`, `%23` for `#`.
 fn number_of(target: &str) -> Option<String> {
     let number = target.strip_prefix("/call/")?.replace("%23", "#");
-    lilacpitch_register::Number::new(&number).ok().map(String::from)
+    lilacpitch_location::Number::new(&number).ok().map(String::from)
 }
 
 async fn listen(address: SocketAddr) -> Result<TcpListener, RunError> {
@@ -233,7 +240,7 @@
         match said {
             FromAgent::Located { call, pool, good_until_ns } => {
                 // Judged here again: this front may have stood still since the agent did.
-                let good = lilacpitch_link::steady_ns() < good_until_ns;
+                let good = lilacpitch_rpc::steady_ns() < good_until_ns;
                 self.feed(Input::Located(call, pool.filter(|_| good)));
             }
             FromAgent::InForce(in_force) => self.feed(Input::InForce(in_force)),
@@ -254,15 +261,15 @@
     }
 
     /// Lets the talk among fronts act, and does what it wants; without peers nothing happens.
-    fn talk(&mut self, act: impl FnOnce(&mut Talk, u64, &mut Vec<lilacpitch_peers::Effect>)) {
+    fn talk(&mut self, act: impl FnOnce(&mut Talk, u64, &mut Vec<lilacpitch_gossip::Effect>)) {
         let Some(talk) = &mut self.talk else { return };
         let mut out = Vec::new();
         act(talk, self.clock.now(), &mut out);
         self.talked(out);
     }
 
-    fn talked(&mut self, out: Vec<lilacpitch_peers::Effect>) {
-        use lilacpitch_peers::Effect as Said;
+    fn talked(&mut self, out: Vec<lilacpitch_gossip::Effect>) {
+        use lilacpitch_gossip::Effect as Said;
         for effect in out {
             match effect {
                 Said::Send(to, bytes) => self.talk.iter().for_each(|talk| talk.send(to, &bytes)),
--- a/crates/lilacpitch-edge/src/net/driver_event.rs
+++ b/crates/lilacpitch-edge/src/net/driver_event.rs
@@ -1,8 +1,8 @@
 //! What the tasks of the shell say to its driver, and why a front could not start.
 
-use crate::front::Input;
+use crate::core::Input;
 use lilacpitch_config::{ConfigError, Pools};
-use lilacpitch_peers::Keys;
+use lilacpitch_gossip::Keys;
 use std::net::SocketAddr;
 use thiserror::Error;
 use tokio::sync::oneshot;
--- a/crates/lilacpitch-edge/src/net/gossip_socket.rs
+++ b/crates/lilacpitch-edge/src/net/gossip_socket.rs
@@ -1,11 +1,11 @@
 //! The socket of the talk among fronts.
 
-use super::file;
-use super::news::{News, RunError};
+use super::driver_event::{News, RunError};
+use super::watched_file;
 use lilacpitch::interface::Nanos;
 use lilacpitch_config::PeersOf;
-use lilacpitch_peers::seal::MAX_DATAGRAM_BYTES;
-use lilacpitch_peers::{Keys, Peers, Settings};
+use lilacpitch_gossip::sealed_datagram::MAX_DATAGRAM_BYTES;
+use lilacpitch_gossip::{Keys, Peers, Settings};
 use std::fmt::Write;
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -28,10 +28,17 @@
         news: &mpsc::Sender<News>,
     ) -> Result<Self, RunError> {
         let path = of.key_file.clone();
-        let seen = file::state(&path).map_err(|e| RunError::Keys(format!("{path}: {e}")))?;
+        let seen = watched_file::state(&path).map_err(|e| RunError::Keys(format!("{path}: {e}")))?;
         let keys = read_keys(&path).map_err(RunError::Keys)?;
         let read = |path: &str| read_keys(path).map(News::Keys);
-        tokio::task::spawn_local(file::watch(path, every, seen, news.clone(), read, News::KeysRefused));
+        tokio::task::spawn_local(watched_file::watch(
+            path,
+            every,
+            seen,
+            news.clone(),
+            read,
+            News::KeysRefused,
+        ));
         let failed = |e| RunError::Listen(of.listen, e);
         let socket = UdpSocket::bind(of.listen).await.map_err(failed)?;
         // Until it is known to take datagrams, the first ones would be dropped.
--- a/crates/lilacpitch-edge/src/net/metrics.rs
+++ b/crates/lilacpitch-edge/src/net/metrics.rs
@@ -1,9 +1,9 @@
 //! `GET /metrics` on its own address: a page of what the front counts.
 
-use super::news::News;
-use super::pump::read_head;
+use super::connection::read_head;
+use super::driver_event::News;
+use crate::core::Front;
 use crate::fleet::ToAgent;
-use crate::front::Front;
 use lilacpitch_protocol::handshake::plain_response;
 use lilacpitch_protocol::http;
 use std::fmt::Write;
--- a/crates/lilacpitch-edge/src/net/mod.rs
+++ b/crates/lilacpitch-edge/src/net/mod.rs
@@ -3,16 +3,16 @@
 //! Everything runs on one thread as tasks of a `LocalSet`; the driver owns the front, a task each owns a
 //! connection, and bounded queues join them. A connection that can't keep up is ended, and never waited for.
 
+mod connection;
 mod driver;
+mod driver_event;
 mod fetch;
-mod file;
+mod gossip_socket;
 mod metrics;
-mod news;
-mod pump;
-mod talk;
+mod watched_file;
 
+pub use connection::{open, serve_handshake, Ended, Heard, Outgoing, Pump};
 pub use driver::{run, run_with, Ready};
+pub use driver_event::RunError;
 pub use fetch::fetch;
 pub use lilacpitch_net::Clock;
-pub use news::RunError;
-pub use pump::{open, serve_handshake, Ended, Heard, Outgoing, Pump};
--- a/crates/lilacpitch-edge/src/net/watched_file.rs
+++ b/crates/lilacpitch-edge/src/net/watched_file.rs
@@ -1,6 +1,6 @@
 //! Files that are looked at every so often, and read when they have changed: the pool list, the keys of peers.
 
-use super::news::News;
+use super::driver_event::News;
 use std::os::unix::fs::MetadataExt;
 use std::time::{Duration, SystemTime};
 use tokio::sync::mpsc;
--- a/crates/lilacpitch-edge/tests/peers.rs
+++ b/crates/lilacpitch-edge/tests/peers.rs
@@ -2,8 +2,8 @@
 
 mod common;
 use common::*;
-use lilacpitch_peers::seal::VERSION;
-use lilacpitch_peers::{Keys, Peers, Settings};
+use lilacpitch_gossip::sealed_datagram::VERSION;
+use lilacpitch_gossip::{Keys, Peers, Settings};
 use lilacpitch_protocol::message::call::Answer;
 use std::net::UdpSocket;
 use std::path::Path;
@@ -115,7 +115,7 @@
         let mut out = Vec::new();
         Peers::new(settings, at_ns, at_ns).start(at_ns, &mut out);
         let sent = out.into_iter().rev().find_map(|e| match e {
-            lilacpitch_peers::Effect::Send(_, bytes) => Some(bytes),
+            lilacpitch_gossip::Effect::Send(_, bytes) => Some(bytes),
             _ => None,
         });
         sent.unwrap()
--- a/crates/lilacpitch-edge/tests/peers_hard.rs
+++ b/crates/lilacpitch-edge/tests/peers_hard.rs
@@ -2,11 +2,11 @@
 
 mod common;
 use common::*;
-use lilacpitch_lab::network::Weather;
-use lilacpitch_lab::relay::Relay;
-use lilacpitch_peers::seal::VERSION;
-use lilacpitch_peers::{Effect, Fact, Keys, Peers, Settings};
+use lilacpitch_gossip::sealed_datagram::VERSION;
+use lilacpitch_gossip::{Effect, Fact, Keys, Peers, Settings};
 use lilacpitch_protocol::message::call::{Answer, ToCaller};
+use lilacpitch_testbed::datagram_relay::Relay;
+use lilacpitch_testbed::simulated_network::Weather;
 use std::net::{SocketAddr, UdpSocket};
 use std::sync::mpsc::{channel, Receiver, Sender, TryRecvError};
 use std::thread::JoinHandle;
--- a/crates/lilacpitch-fleet/src/ack_aggregator.rs
+++ b/crates/lilacpitch-fleet/src/ack_aggregator.rs
@@ -5,8 +5,8 @@
 //! life of it; a life is out once its lease has surely run out, be it dead, cut off, or superseded by a later one.
 
 use crate::lease::Terms;
+use crate::log_tail::Window;
 use crate::message::{Order, Position, Refusal, Response, What, MAX_NAMES, MAX_ORDERS};
-use crate::window::Window;
 use crate::{Guards, Nanos};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
--- a/crates/lilacpitch-fleet/src/cache.rs
+++ b/crates/lilacpitch-fleet/src/cache.rs
@@ -5,8 +5,8 @@
 use crate::message::{Order, Scope, What};
 use crate::sync::Mutex;
 use crate::{Guards, Nanos};
-use lilacpitch_register::summary::shard_of;
-use lilacpitch_register::Number;
+use lilacpitch_location::summary::shard_of;
+use lilacpitch_location::Number;
 use std::collections::{HashMap, VecDeque};
 
 const SHARDS: usize = 16;
--- a/crates/lilacpitch-fleet/src/catalogue.rs
+++ b/crates/lilacpitch-fleet/src/catalogue.rs
@@ -3,8 +3,8 @@
 use crate::lease::Terms;
 use crate::message::{Known, Pending, Position, SiteNews};
 use crate::{Guards, Nanos};
-use lilacpitch_register::summary::{fingerprint, shard_of};
-use lilacpitch_register::{Query, RegisterError, ShardNews, ShardSummary, What};
+use lilacpitch_location::summary::{fingerprint, shard_of};
+use lilacpitch_location::{Query, RegisterError, ShardNews, ShardSummary, What};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Bytes of news in one answer; the rest is asked for again.
--- a/crates/lilacpitch-fleet/src/frame.rs
+++ b/crates/lilacpitch-fleet/src/frame.rs
@@ -2,7 +2,7 @@
 
 use crate::error::FrameError;
 use crate::message::{Body, Hello, VERSION};
-use lilacpitch_peers::Keys;
+use lilacpitch_gossip::Keys;
 use serde::{Deserialize, Serialize};
 
 /// Longest frame.
--- a/crates/lilacpitch-fleet/src/lib.rs
+++ b/crates/lilacpitch-fleet/src/lib.rs
@@ -20,22 +20,22 @@
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
-pub mod asker;
+pub mod ack_aggregator;
 pub mod audit;
 pub mod cache;
 pub mod catalogue;
+pub mod concurrency_limit;
+pub mod disk_loss_recovery;
 pub mod error;
 pub mod frame;
-pub mod gather;
-pub mod holder;
 pub mod lease;
+pub mod lease_holder;
 pub mod locate;
+pub mod log_tail;
 pub mod message;
-pub mod rejoin;
-pub mod relay;
-pub mod room;
-pub mod upward;
-pub mod window;
+pub mod query_dispatcher;
+pub mod upstream_selection;
+pub mod write_batcher;
 
 /// The locks of [`cache`]; a test puts others in their place that try all orders.
 mod sync {
--- a/crates/lilacpitch-fleet/src/locate.rs
+++ b/crates/lilacpitch-fleet/src/locate.rs
@@ -3,7 +3,7 @@
 use crate::catalogue::{Catalogue, Verdict};
 use crate::error::LocateError;
 use crate::{Guards, Nanos};
-use lilacpitch_register::{Key, Page, Query, Row};
+use lilacpitch_location::{Key, Page, Query, Row};
 use std::collections::BTreeMap;
 
 /// Most rows of one answer.
--- a/crates/lilacpitch-fleet/src/message.rs
+++ b/crates/lilacpitch-fleet/src/message.rs
@@ -1,8 +1,8 @@
 //! What crosses the links between processes of the fleet, as `postcard` writes it.
 
 use crate::audit::Record;
-use crate::rejoin::LogVote;
-use lilacpitch_register::{Key, Number, Page, Query, Row, ShardNews};
+use crate::disk_loss_recovery::LogVote;
+use lilacpitch_location::{Key, Number, Page, Query, Row, ShardNews};
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
--- a/crates/lilacpitch-fleet/tests/cache_orders.rs
+++ b/crates/lilacpitch-fleet/tests/cache_orders.rs
@@ -20,7 +20,7 @@
 mod cache;
 
 use cache::Cache;
-use lilacpitch_register::{Holder, Key, Kind, Number, Row};
+use lilacpitch_location::{Holder, Key, Kind, Number, Row};
 use locate::Answer;
 use message::{Order, Scope, What};
 use shuttle::sync::atomic::{AtomicU64, Ordering};
--- a/crates/lilacpitch-fleet/tests/errors.rs
+++ b/crates/lilacpitch-fleet/tests/errors.rs
@@ -3,7 +3,7 @@
 
 use lilacpitch_fleet::error::*;
 use lilacpitch_fleet::message::Refusal;
-use lilacpitch_register::RegisterError;
+use lilacpitch_location::RegisterError;
 use miette::Diagnostic;
 use std::collections::BTreeSet;
 
--- a/crates/lilacpitch-fleet/tests/model.rs
+++ b/crates/lilacpitch-fleet/tests/model.rs
@@ -2,11 +2,11 @@
 //! they are. Messages are lost, overtake each other and come late; relay and front die and come back; another process
 //! takes the root over. Whoever is not moved on while time goes by stands still.
 
-use lilacpitch_fleet::holder::{Holder, Taken};
+use lilacpitch_fleet::ack_aggregator::{ChildId, Relay, Sum};
 use lilacpitch_fleet::lease::Terms;
+use lilacpitch_fleet::lease_holder::{Holder, Taken};
+use lilacpitch_fleet::log_tail::Window;
 use lilacpitch_fleet::message::{Order, Position, Response, Scope, What};
-use lilacpitch_fleet::relay::{ChildId, Relay, Sum};
-use lilacpitch_fleet::window::Window;
 use lilacpitch_fleet::Guards;
 use stateright::{Checker, Model, Property};
 use std::collections::BTreeSet;
--- a/crates/lilacpitch-fleet/tests/relay.rs
+++ b/crates/lilacpitch-fleet/tests/relay.rs
@@ -1,10 +1,10 @@
 //! Leases and sums, in a clock of the test's own.
 
+use lilacpitch_fleet::ack_aggregator::{ChildId, Relay, Sum};
 use lilacpitch_fleet::lease::Terms;
+use lilacpitch_fleet::log_tail::Window;
 use lilacpitch_fleet::message::{Position, Refusal, Response, Scope, What};
-use lilacpitch_fleet::relay::{ChildId, Relay, Sum};
-use lilacpitch_fleet::upward::{renew_gap_ns, Upward};
-use lilacpitch_fleet::window::Window;
+use lilacpitch_fleet::upstream_selection::{renew_gap_ns, Upward};
 use lilacpitch_fleet::Guards;
 
 const S: u64 = 1_000_000_000;
--- a/crates/lilacpitch-gossip/src/lib.rs
+++ b/crates/lilacpitch-gossip/src/lib.rs
@@ -10,13 +10,13 @@
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
-pub mod fact;
-pub mod member;
-pub mod news;
+pub mod member_id;
 pub mod peers;
-pub mod seal;
+pub mod rumors;
+pub mod sealed_datagram;
+pub mod server_report;
 
-pub use fact::Fact;
-pub use member::PeerId;
+pub use member_id::PeerId;
 pub use peers::{Asker, Counters, Effect, Peers, Settings};
-pub use seal::{KeyError, Keys, Refused};
+pub use sealed_datagram::{KeyError, Keys, Refused};
+pub use server_report::Fact;
--- a/crates/lilacpitch-gossip/src/peers.rs
+++ b/crates/lilacpitch-gossip/src/peers.rs
@@ -1,9 +1,9 @@
 //! A front's side of the talk among fronts: membership, questions and answers.
 
-use crate::fact::{Fact, FACTS_A_DATAGRAM, MAX_FACTS};
-use crate::member::PeerId;
-use crate::news::{Board, Sheet};
-use crate::seal::{Heard, Keys, Refused, MAX_DATAGRAM_BYTES, MAX_SKEW_MS, OVERHEAD_BYTES};
+use crate::member_id::PeerId;
+use crate::rumors::{Board, Sheet};
+use crate::sealed_datagram::{Heard, Keys, Refused, MAX_DATAGRAM_BYTES, MAX_SKEW_MS, OVERHEAD_BYTES};
+use crate::server_report::{Fact, FACTS_A_DATAGRAM, MAX_FACTS};
 use foca::{Config, Foca, NoCustomBroadcast, Notification, PostcardCodec, Runtime, Timer};
 use lilacpitch::interface::Nanos;
 use rand::rngs::StdRng;
--- a/crates/lilacpitch-gossip/src/rumors.rs
+++ b/crates/lilacpitch-gossip/src/rumors.rs
@@ -6,8 +6,8 @@
 //! origin and ages on its way, the newest of an origin replaces what it said before, and no more than the newest few
 //! voices of a server are kept or passed on: what one datagram holds does not grow with the number of fronts.
 
-use crate::fact::Fact;
-use crate::seal::Refused;
+use crate::sealed_datagram::Refused;
+use crate::server_report::Fact;
 use lilacpitch::interface::Nanos;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
--- a/crates/lilacpitch-gossip/src/server_report.rs
+++ b/crates/lilacpitch-gossip/src/server_report.rs
@@ -1,6 +1,6 @@
 //! A fact about one server, as one front tells it to another.
 
-use crate::seal::Refused;
+use crate::sealed_datagram::Refused;
 use serde::{Deserialize, Serialize};
 
 /// Most facts in one answer: the servers that matter to a front that starts.
--- a/crates/lilacpitch-gossip/tests/network.rs
+++ b/crates/lilacpitch-gossip/tests/network.rs
@@ -1,8 +1,8 @@
 //! Fronts on a simulated network: they find each other, notice who dies, and ask; with loss, delay and partitions,
 //! seeded. Plus everything that must be refused.
 
-use lilacpitch_peers::seal::VERSION;
-use lilacpitch_peers::{Asker, Effect, Fact, Keys, PeerId, Peers, Refused, Settings};
+use lilacpitch_gossip::sealed_datagram::VERSION;
+use lilacpitch_gossip::{Asker, Effect, Fact, Keys, PeerId, Peers, Refused, Settings};
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
 use std::collections::BTreeMap;
--- a/crates/lilacpitch-location/src/lib.rs
+++ b/crates/lilacpitch-location/src/lib.rs
@@ -12,10 +12,10 @@
 #![warn(missing_docs)]
 
 pub mod error;
-pub mod gcs;
+pub mod golomb_coded_set;
 pub mod query;
-pub mod register;
-pub mod row;
+pub mod record;
+pub mod store;
 pub mod summary;
 
 /// The locks of [`register`]; a test puts others in their place that try all orders.
@@ -25,6 +25,6 @@
 
 pub use error::RegisterError;
 pub use query::{Page, Query, What};
-pub use register::Register;
-pub use row::{Holder, Key, Kind, Number, Row};
+pub use record::{Holder, Key, Kind, Number, Row};
+pub use store::Register;
 pub use summary::{ShardNews, ShardSummary};
--- a/crates/lilacpitch-location/src/query.rs
+++ b/crates/lilacpitch-location/src/query.rs
@@ -1,6 +1,6 @@
 //! Questions over rows.
 
-use crate::row::{Key, Kind, Number, Row};
+use crate::record::{Key, Kind, Number, Row};
 use serde::{Deserialize, Serialize};
 
 /// Which numbers are asked for.
--- a/crates/lilacpitch-location/src/store.rs
+++ b/crates/lilacpitch-location/src/store.rs
@@ -2,7 +2,7 @@
 
 use crate::error::RegisterError;
 use crate::query::{Page, Query, What};
-use crate::row::{Key, Number, Row};
+use crate::record::{Key, Number, Row};
 use crate::summary::{fingerprint, shard_of, Changes, ShardNews};
 use crate::sync::RwLock;
 use std::collections::BTreeMap;
--- a/crates/lilacpitch-location/src/summary.rs
+++ b/crates/lilacpitch-location/src/summary.rs
@@ -1,7 +1,7 @@
 //! What a site says of a shard, and how a router keeps it.
 
 use crate::error::RegisterError;
-use crate::gcs;
+use crate::golomb_coded_set;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeSet;
 
@@ -47,7 +47,7 @@
         // More than a set can hold: an empty base with everything added would do, but a shard is never so large.
         self.version += 1;
         self.base_version = self.version;
-        self.base = gcs::write(fingerprints);
+        self.base = golomb_coded_set::write(fingerprints);
         self.base_count = fingerprints.len();
         self.added.clear();
     }
@@ -116,7 +116,7 @@
         }
         let mut added = &news.added[..];
         if let Some((count, bytes)) = &news.base {
-            let base = gcs::read(bytes, *count as usize);
+            let base = golomb_coded_set::read(bytes, *count as usize);
             self.base = base.ok_or(wrong("its bits are not the values it names"))?;
             self.heard.base_version = first;
             self.heard.base = bytes.clone();
@@ -136,7 +136,7 @@
 
     /// Whether a number of this fingerprint could have a row. Never false for one that had one at its moment.
     pub fn could(&self, fingerprint: u32) -> bool {
-        let value = gcs::scaled(fingerprint, self.base.len());
+        let value = golomb_coded_set::scaled(fingerprint, self.base.len());
         self.late.contains(&fingerprint) || self.base.binary_search(&value).is_ok()
     }
 
--- a/crates/lilacpitch-location/tests/orders.rs
+++ b/crates/lilacpitch-location/tests/orders.rs
@@ -1,7 +1,7 @@
 //! The register's own source under locks whose orders `shuttle` draws: a writer beside a router that follows summaries
 //! and a snapshot. A row that was entered before a summary was asked for is never ruled out by it.
 
-use lilacpitch_register::{error, query, row, summary};
+use lilacpitch_location::{error, query, record, summary};
 
 /// In place of the crate's own locks.
 mod sync {
@@ -19,15 +19,15 @@
     }
 }
 
-#[path = "../src/register.rs"]
+#[path = "../src/store.rs"]
 #[allow(dead_code, missing_docs)]
-mod register;
+mod store;
 
-use register::Register;
-use row::{Holder, Key, Kind, Number, Row};
+use record::{Holder, Key, Kind, Number, Row};
 use shuttle::sync::atomic::{AtomicU64, Ordering};
 use shuttle::sync::Arc;
 use shuttle::thread;
+use store::Register;
 use summary::{fingerprint, shard_of, ShardSummary};
 
 /// More than a summary takes beside its base: new bases come between.
--- a/crates/lilacpitch-location/tests/register.rs
+++ b/crates/lilacpitch-location/tests/register.rs
@@ -1,8 +1,8 @@
 //! The register beside a plain table, summaries beside what is in them, and threads that write at once.
 
-use lilacpitch_register::gcs;
-use lilacpitch_register::summary::{fingerprint, shard_of};
-use lilacpitch_register::*;
+use lilacpitch_location::golomb_coded_set;
+use lilacpitch_location::summary::{fingerprint, shard_of};
+use lilacpitch_location::*;
 use proptest::prelude::*;
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -99,7 +99,7 @@
 
     #[test]
     fn damaged_bits_are_refused_or_read_and_never_a_panic(bytes in prop::collection::vec(any::<u8>(), 0..200), n in 0usize..500) {
-        if let Some(values) = gcs::read(&bytes, n) {
+        if let Some(values) = golomb_coded_set::read(&bytes, n) {
             prop_assert_eq!(values.len(), n);
             prop_assert!(values.windows(2).all(|pair| pair[0] <= pair[1]));
         }
@@ -112,11 +112,11 @@
         (from..from + 200_000).map(|n| fingerprint(Number::new(&n.to_string()).unwrap().hash64()))
     };
     let inside: Vec<u32> = of(5_000_000).collect();
-    let bytes = gcs::write(&inside);
+    let bytes = golomb_coded_set::write(&inside);
     let bits = bytes.len() as f64 * 8.0 / inside.len() as f64;
     assert!(bits < 12.0, "{bits} bits a number");
-    let values = gcs::read(&bytes, inside.len()).unwrap();
-    let could = |f: u32| values.binary_search(&gcs::scaled(f, inside.len())).is_ok();
+    let values = golomb_coded_set::read(&bytes, inside.len()).unwrap();
+    let could = |f: u32| values.binary_search(&golomb_coded_set::scaled(f, inside.len())).is_ok();
     assert!(inside.iter().all(|f| could(*f)));
     let false_could = of(9_000_000).filter(|f| could(*f)).count();
     assert!((100..300).contains(&false_could), "{false_could} of 200,000 strangers pass");
--- a/crates/lilacpitch-node/src/core/active_calls.rs
+++ b/crates/lilacpitch-node/src/core/active_calls.rs
@@ -97,19 +97,19 @@
     /// Releases a call at its server: by the connection of its set-up, else by another.
     fn release_at_server(&mut self, attempt: Attempt, wire: u64, effects: &mut Vec<Effect>) {
         let own = match attempt.state {
-            AttemptState::Standing(link) => self.links.get(&link).filter(|l| l.up).map(|_| link),
+            AttemptState::Standing(link) => self.upstreams.get(&link).filter(|l| l.up).map(|_| link),
             _ => None,
         };
         let bytes = signal::stop(wire, CAUSE_NORMAL);
         match own.or_else(|| self.link_for(attempt.server, &[], effects)) {
-            Some(link) if self.links.get(&link).is_some_and(|l| l.up) => {
+            Some(link) if self.upstreams.get(&link).is_some_and(|l| l.up) => {
                 self.transmit(link, bytes, None, effects);
             }
             Some(link) => {
-                let until = self.now + super::links::UNREACHED_NS;
+                let until = self.now + super::upstreams::UNREACHED_NS;
                 // Its server knows nothing of its end yet.
                 self.resting.insert(wire, until);
-                self.links.entry(link).and_modify(|l| l.releases.push((until, bytes)));
+                self.upstreams.entry(link).and_modify(|l| l.releases.push((until, bytes)));
             }
             None => {}
         }
@@ -127,10 +127,10 @@
             return;
         }
         let Some(link) = self.link_for(server, &[], effects) else { return };
-        if self.links.get(&link).is_some_and(|l| l.up) {
+        if self.upstreams.get(&link).is_some_and(|l| l.up) {
             releases.into_iter().for_each(|(_, bytes)| _ = self.transmit(link, bytes, None, effects));
         } else {
-            self.links.entry(link).and_modify(|l| l.releases.append(&mut releases));
+            self.upstreams.entry(link).and_modify(|l| l.releases.append(&mut releases));
         }
     }
 
--- a/crates/lilacpitch-node/src/core/calls.rs
+++ b/crates/lilacpitch-node/src/core/calls.rs
@@ -133,7 +133,7 @@
         let Some(call) = self.calls.get_mut(&id) else { return };
         call.attempt = Some(Attempt { server, hop, state: AttemptState::Queued(link), until_ns, sent_ns: 0 });
         call.used.push(link);
-        self.links.entry(link).and_modify(|l| _ = l.set_ups.insert(id));
+        self.upstreams.entry(link).and_modify(|l| _ = l.set_ups.insert(id));
         self.timers.set(Timer::TimeOut(id), until_ns);
         tracing::trace!(call = id, hop, server, link, "attempt");
         self.transmit_set_up(id, effects);
@@ -180,8 +180,8 @@
         let Some(call) = self.calls.get(&id) else { return };
         let (wire, attempt) = (call.wire, call.attempt);
         if let Some(AttemptState::Out(link, message)) = attempt.map(|attempt| attempt.state) {
-            let until = self.now + super::links::REMEMBER_NS;
-            let Some(row) = self.links.get_mut(&link) else { return };
+            let until = self.now + super::upstreams::REMEMBER_NS;
+            let Some(row) = self.upstreams.get_mut(&link) else { return };
             row.given_up.insert(wire, until);
             let stop = row.next_message;
             row.next_message += 1;
@@ -203,7 +203,7 @@
         self.timers.clear(Timer::TimeOut(id));
         match attempt.state {
             AttemptState::Queued(link) | AttemptState::Out(link, _) => {
-                self.links.entry(link).and_modify(|l| _ = l.set_ups.remove(&id));
+                self.upstreams.entry(link).and_modify(|l| _ = l.set_ups.remove(&id));
             }
             AttemptState::Standing(_) => {
                 self.servers.entry(attempt.server).and_modify(|s| _ = s.standing.remove(&id));
@@ -250,7 +250,7 @@
         let (caller, hop, server) = (call.caller, attempt.hop, attempt.server);
         call.used = Vec::new();
         self.timers.clear(Timer::TimeOut(id));
-        self.links.entry(link).and_modify(|l| _ = l.set_ups.remove(&id));
+        self.upstreams.entry(link).and_modify(|l| _ = l.set_ups.remove(&id));
         self.servers.entry(server).and_modify(|s| _ = s.standing.insert(id));
         self.callers.entry(caller).and_modify(|c| _ = c.open.remove(&id));
         self.counters.stood += 1;
--- a/crates/lilacpitch-node/src/core/endpoint_list.rs
+++ b/crates/lilacpitch-node/src/core/endpoint_list.rs
@@ -1,7 +1,7 @@
 //! Following the coordinator: ids to numbers, what has changed, and what that ends.
 
 use super::calls::AttemptState;
-use super::links::Server;
+use super::upstreams::Server;
 use super::{Effect, Node};
 use crate::coordinator::{Endpoints, State, Target};
 use lilacpitch::interface::{Availability, Entry, News, Outcome, Report, ServerId};
@@ -94,7 +94,7 @@
         if moved {
             let links = self.servers.get(&id).map_or(Vec::new(), |row| row.links.clone());
             for link in links {
-                let set_ups = self.links.get(&link).map_or(BTreeSet::new(), |l| l.set_ups.clone());
+                let set_ups = self.upstreams.get(&link).map_or(BTreeSet::new(), |l| l.set_ups.clone());
                 self.drop_link(link, effects);
                 set_ups.into_iter().for_each(|call| self.end_attempt(call, Outcome::Cut, Report::default()));
             }
@@ -107,7 +107,7 @@
     fn withdraw_queued(&mut self, id: ServerId) {
         let links = self.servers.get(&id).map_or(&[][..], |row| &row.links);
         let waiting =
-            links.iter().filter_map(|link| self.links.get(link)).flat_map(|l| l.set_ups.iter().copied());
+            links.iter().filter_map(|link| self.upstreams.get(link)).flat_map(|l| l.set_ups.iter().copied());
         let queued = |call: &u64| {
             let attempt = self.calls.get(call).and_then(|call| call.attempt);
             attempt.is_some_and(|a| matches!(a.state, AttemptState::Queued(_)))
@@ -122,7 +122,7 @@
         if row.entry.availability != Availability::Gone {
             return;
         }
-        let up = row.links.iter().any(|link| self.links.get(link).is_some_and(|l| l.up));
+        let up = row.links.iter().any(|link| self.upstreams.get(link).is_some_and(|l| l.up));
         let address = row.address;
         let taken = self
             .servers
@@ -135,7 +135,7 @@
             standing.into_iter().for_each(|call| self.orphaned(call, "listed as gone", effects));
         }
         let Some(row) = self.servers.get(&id) else { return };
-        let out = |link: &super::LinkId| self.links.get(link).is_some_and(|l| !l.set_ups.is_empty());
+        let out = |link: &super::LinkId| self.upstreams.get(link).is_some_and(|l| !l.set_ups.is_empty());
         if !row.standing.is_empty() || row.links.iter().any(out) {
             return;
         }
--- a/crates/lilacpitch-node/src/core/mod.rs
+++ b/crates/lilacpitch-node/src/core/mod.rs
@@ -5,12 +5,12 @@
 //! on the wire: one final answer to each call, nothing sent for it after, each attempt's end told once, nothing
 //! queued for a server that drains, and what has stood released towards its caller.
 
+mod active_calls;
 mod callers;
 mod calls;
 mod counters;
-mod links;
-mod list;
-mod standing;
+mod endpoint_list;
+mod upstreams;
 
 pub use counters::Counters;
 
@@ -23,9 +23,9 @@
 use lilacpitch::{Controller, Event};
 use lilacpitch_net::{Stall, Timers};
 use lilacpitch_sip::Message;
-use links::{Link, Server};
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
+use upstreams::{Link, Server};
 
 /// A caller's connection, by the number the shell gives it. Never given twice.
 pub type CallerId = u64;
@@ -151,7 +151,7 @@
     by_wire: BTreeMap<u64, CallId>,
     servers: BTreeMap<ServerId, Server>,
     by_uid: BTreeMap<String, ServerId>,
-    links: BTreeMap<LinkId, Link>,
+    upstreams: BTreeMap<LinkId, Link>,
     timers: Timers<Timer>,
     stall: Stall,
     next_call: CallId,
@@ -186,7 +186,7 @@
             by_wire: BTreeMap::new(),
             servers: BTreeMap::new(),
             by_uid: BTreeMap::new(),
-            links: BTreeMap::new(),
+            upstreams: BTreeMap::new(),
             timers: Timers::default(),
             stall: Stall::default(),
             next_call: 1,
@@ -202,7 +202,7 @@
             stopped: false,
             counters: Counters::default(),
         };
-        node.timers.set(Timer::Look, now + links::LOOK_NS);
+        node.timers.set(Timer::Look, now + upstreams::LOOK_NS);
         node
     }
 
@@ -257,7 +257,7 @@
 
     /// Connections of callers, and to servers.
     pub fn connections_now(&self) -> (usize, usize) {
-        (self.callers.len(), self.links.len())
+        (self.callers.len(), self.upstreams.len())
     }
 
     /// How much is kept, by name: for tests that nothing keeps growing.
@@ -270,12 +270,12 @@
             ("ids of calls", self.by_wire.len()),
             ("servers", self.servers.len()),
             ("ids of servers", self.by_uid.len()),
-            ("links", self.links.len()),
-            ("set-ups given up", self.links.values().map(|link| link.given_up.len()).sum()),
+            ("links", self.upstreams.len()),
+            ("set-ups given up", self.upstreams.values().map(|link| link.given_up.len()).sum()),
             ("timers", self.timers.len()),
             ("releases unsent", self.unsent.len()),
             ("ids at rest", self.resting.len()),
-            ("releases on their way", self.links.values().map(|link| link.releases.len()).sum()),
+            ("releases on their way", self.upstreams.values().map(|link| link.releases.len()).sum()),
         ];
         own.into_iter().chain(self.brain.sizes()).collect()
     }
--- a/crates/lilacpitch-node/src/core/upstreams.rs
+++ b/crates/lilacpitch-node/src/core/upstreams.rs
@@ -64,7 +64,8 @@
     ) -> Option<LinkId> {
         let row = self.servers.get(&server)?;
         let free = row.links.iter().filter(|id| !used.contains(id));
-        let ranked = free.filter_map(|id| self.links.get(id).map(|l| (l.mute, !l.up, l.set_ups.len(), *id)));
+        let ranked =
+            free.filter_map(|id| self.upstreams.get(id).map(|l| (l.mute, !l.up, l.set_ups.len(), *id)));
         let best = ranked.min();
         let more = self.room_for_link(row);
         match best {
@@ -77,21 +78,24 @@
                 Some(id)
             }
             None if more => self.open_link(server, effects),
-            None => {
-                row.links.iter().filter_map(|id| self.links.get(id).map(|l| (!l.up, *id))).min().map(|l| l.1)
-            }
+            None => row
+                .links
+                .iter()
+                .filter_map(|id| self.upstreams.get(id).map(|l| (!l.up, *id)))
+                .min()
+                .map(|l| l.1),
         }
     }
 
     fn room_for_link(&self, server: &Server) -> bool {
-        let most = if self.links.len() < self.max_links { LINKS_PER_SERVER } else { 1 };
+        let most = if self.upstreams.len() < self.max_links { LINKS_PER_SERVER } else { 1 };
         server.links.len() < most
     }
 
     /// A set-up given to this connection then went unanswered. Where nothing has been answered there since, the
     /// connection may be cut off: the next set-ups take others.
     pub(super) fn doubt(&mut self, id: LinkId, sent_ns: Nanos, effects: &mut Vec<Effect>) {
-        let Some(link) = self.links.get_mut(&id) else { return };
+        let Some(link) = self.upstreams.get_mut(&id) else { return };
         if link.mute || link.answered_ns >= sent_ns {
             return;
         }
@@ -107,7 +111,7 @@
 
     /// Whether a connection is up there that is not mute.
     fn answers_elsewhere(&self, server: &Server) -> bool {
-        server.links.iter().any(|id| self.links.get(id).is_some_and(|l| l.up && !l.mute))
+        server.links.iter().any(|id| self.upstreams.get(id).is_some_and(|l| l.up && !l.mute))
     }
 
     /// Closes mute connections that no set-up is out on: where another is up, or to make room for one.
@@ -116,7 +120,7 @@
         if !self.answers_elsewhere(row) && row.links.len() < LINKS_PER_SERVER {
             return;
         }
-        let idle = |id: &&LinkId| self.links.get(id).is_some_and(|l| l.mute && l.set_ups.is_empty());
+        let idle = |id: &&LinkId| self.upstreams.get(id).is_some_and(|l| l.mute && l.set_ups.is_empty());
         let idle: Vec<_> = row.links.iter().filter(idle).copied().collect();
         idle.into_iter().for_each(|link| self.drop_link(link, effects));
         self.keep_reachable(id, effects);
@@ -137,7 +141,7 @@
             given_up: BTreeMap::new(),
             releases: Vec::new(),
         };
-        self.links.insert(id, link);
+        self.upstreams.insert(id, link);
         effects.push(Effect::Connect(id, row.address));
         Some(id)
     }
@@ -150,7 +154,7 @@
         not_after_ns: Option<Nanos>,
         effects: &mut Vec<Effect>,
     ) -> Option<u64> {
-        let link = self.links.get_mut(&id).filter(|link| link.up)?;
+        let link = self.upstreams.get_mut(&id).filter(|link| link.up)?;
         let message = link.next_message;
         link.next_message += 1;
         effects.push(Effect::ToServer { link: id, message, bytes, not_after_ns });
@@ -158,7 +162,7 @@
     }
 
     pub(super) fn on_link_up(&mut self, id: LinkId, effects: &mut Vec<Effect>) {
-        let Some(link) = self.links.get_mut(&id) else { return };
+        let Some(link) = self.upstreams.get_mut(&id) else { return };
         link.up = true;
         let (server, waiting) = (link.server, link.set_ups.clone());
         let releases = std::mem::take(&mut link.releases);
@@ -173,7 +177,7 @@
     }
 
     pub(super) fn on_link_message(&mut self, id: LinkId, message: FromServer, effects: &mut Vec<Effect>) {
-        let Some(link) = self.links.get_mut(&id) else { return };
+        let Some(link) = self.upstreams.get_mut(&id) else { return };
         let server = link.server;
         if matches!(message, FromServer::Running { .. } | FromServer::Stop { .. }) {
             (link.mute, link.answered_ns) = (false, self.now);
@@ -202,7 +206,7 @@
                 } else {
                     // The end of what was given up, or of what was told before.
                     tracing::trace!("late: an end of {uid:016x}, cause {cause} {note}, server={server}");
-                    let known = self.links.get_mut(&id).and_then(|l| l.given_up.remove(&uid)).is_some();
+                    let known = self.upstreams.get_mut(&id).and_then(|l| l.given_up.remove(&uid)).is_some();
                     self.counters.strays += u64::from(!known);
                     self.follow.push_back(Event::Reported { server, report });
                 }
@@ -234,7 +238,7 @@
         self.counters.strays += 1;
         let uid = self.servers.get(&server).map_or("", |row| &row.uid);
         tracing::trace!("late: an answer to {wire:016x}, which is not out on that connection, server={uid}");
-        let given_up = self.links.get(&id).is_some_and(|l| l.given_up.contains_key(&wire));
+        let given_up = self.upstreams.get(&id).is_some_and(|l| l.given_up.contains_key(&wire));
         // The id alone names what to release: never where the call is at the same server anew.
         let anew = self.by_wire.get(&wire).and_then(|call| self.calls.get(call)?.attempt);
         if given_up && anew.is_none_or(|attempt| attempt.server != server) {
@@ -249,7 +253,7 @@
     }
 
     pub(super) fn on_not_written(&mut self, id: LinkId, message: u64, effects: &mut Vec<Effect>) {
-        let Some(link) = self.links.get(&id) else { return };
+        let Some(link) = self.upstreams.get(&id) else { return };
         let out = |call: &&CallId| {
             let attempt = self.calls.get(call).and_then(|call| call.attempt);
             attempt.is_some_and(|a| a.state == AttemptState::Out(id, message))
@@ -267,14 +271,14 @@
         refused: bool,
         effects: &mut Vec<Effect>,
     ) {
-        let Some(link) = self.links.remove(&id) else { return };
+        let Some(link) = self.upstreams.remove(&id) else { return };
         let now = self.now;
         let Some(row) = self.servers.get_mut(&link.server) else { return };
         row.links.retain(|other| *other != id);
         self.counters.links_lost += 1;
         if !link.up {
             row.unreached_ns = row.unreached_ns.or(Some(now));
-            let others = row.links.iter().any(|link| self.links.get(link).is_some_and(|l| l.up));
+            let others = row.links.iter().any(|link| self.upstreams.get(link).is_some_and(|l| l.up));
             if refused && !others {
                 // Nobody listens there, and no connection lives: the process is gone, and its calls with it.
                 let standing: Vec<_> = row.standing.iter().copied().collect();
@@ -308,7 +312,7 @@
     pub(super) fn look(&mut self, effects: &mut Vec<Effect>) {
         let now = self.now;
         self.timers.set(Timer::Look, now + LOOK_NS);
-        for link in self.links.values_mut() {
+        for link in self.upstreams.values_mut() {
             link.given_up.retain(|_, until| now < *until);
         }
         self.resting.retain(|_, until| now < *until);
@@ -332,11 +336,11 @@
     /// Makes a new connection to see whether a server is there; the oldest makes room.
     fn try_anew(&mut self, id: ServerId, effects: &mut Vec<Effect>) {
         let Some(row) = self.servers.get(&id) else { return };
-        if row.links.iter().any(|link| self.links.get(link).is_some_and(|l| !l.up)) {
+        if row.links.iter().any(|link| self.upstreams.get(link).is_some_and(|l| !l.up)) {
             return;
         }
         if row.links.len() >= LINKS_PER_SERVER {
-            let idle = |link: &&LinkId| self.links.get(link).is_some_and(|l| l.set_ups.is_empty());
+            let idle = |link: &&LinkId| self.upstreams.get(link).is_some_and(|l| l.set_ups.is_empty());
             let Some(idle) = row.links.iter().find(idle).copied() else { return };
             self.drop_link(idle, effects);
         }
@@ -344,7 +348,7 @@
     }
 
     pub(super) fn drop_link(&mut self, id: LinkId, effects: &mut Vec<Effect>) {
-        let Some(link) = self.links.remove(&id) else { return };
+        let Some(link) = self.upstreams.remove(&id) else { return };
         self.servers.entry(link.server).and_modify(|s| s.links.retain(|other| *other != id));
         effects.push(Effect::Disconnect(id));
     }
--- a/crates/lilacpitch-node/src/net/driver.rs
+++ b/crates/lilacpitch-node/src/net/driver.rs
@@ -1,6 +1,6 @@
 //! The driver: the one task that owns the node, and the tasks of connections around it.
 
-use super::follow::follow;
+use super::coordinator_client::follow;
 use crate::config::{Budget, Config, ConfigError};
 use crate::core::{CallerId, Effect, Input, LinkId, Node};
 use crate::signal::{FromServer, LineError, Lines};
--- a/crates/lilacpitch-rpc/src/link.rs
+++ b/crates/lilacpitch-rpc/src/link.rs
@@ -5,7 +5,7 @@
 use lilacpitch_fleet::error::FrameError;
 use lilacpitch_fleet::frame::{Reader, Writer, MAX_FRAME_BYTES};
 use lilacpitch_fleet::message::{Body, Hello, Refusal, Request, Response, Role, VERSION};
-use lilacpitch_peers::Keys;
+use lilacpitch_gossip::Keys;
 use miette::Diagnostic;
 use parking_lot::Mutex;
 use rand::rngs::StdRng;
--- a/crates/lilacpitch-rpc/tests/links.rs
+++ b/crates/lilacpitch-rpc/tests/links.rs
@@ -3,8 +3,8 @@
 use lilacpitch_fleet::error::FrameError;
 use lilacpitch_fleet::frame::Writer;
 use lilacpitch_fleet::message::*;
-use lilacpitch_link::*;
-use lilacpitch_peers::Keys;
+use lilacpitch_gossip::Keys;
+use lilacpitch_rpc::*;
 use std::sync::Arc;
 use std::time::Duration;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
--- a/crates/lilacpitch-site/src/admin_pages.rs
+++ b/crates/lilacpitch-site/src/admin_pages.rs
@@ -3,9 +3,9 @@
 use crate::process::{now, Process};
 use lilacpitch_fleet::error::AuditError;
 use lilacpitch_fleet::message::{Request, Response, Scope, What};
+use lilacpitch_location::Number;
 use lilacpitch_protocol::handshake::plain_response;
 use lilacpitch_protocol::http;
-use lilacpitch_register::Number;
 use std::fmt::Write;
 use std::sync::atomic::Ordering::Relaxed;
 use std::sync::Arc;
--- a/crates/lilacpitch-site/src/lease_client.rs
+++ b/crates/lilacpitch-site/src/lease_client.rs
@@ -2,11 +2,11 @@
 
 use crate::log::Command;
 use crate::process::{now, wall_ms, Process};
-use lilacpitch_fleet::holder::Taken;
+use lilacpitch_fleet::ack_aggregator::ChildId;
+use lilacpitch_fleet::lease_holder::Taken;
+use lilacpitch_fleet::log_tail::Window;
 use lilacpitch_fleet::message::{Order, Position, Request, Response};
-use lilacpitch_fleet::relay::ChildId;
-use lilacpitch_fleet::window::Window;
-use lilacpitch_link::{Dialer, Link};
+use lilacpitch_rpc::{Dialer, Link};
 use std::sync::atomic::Ordering::Relaxed;
 use std::sync::Arc;
 use std::time::Duration;
--- a/crates/lilacpitch-site/src/lib.rs
+++ b/crates/lilacpitch-site/src/lib.rs
@@ -11,11 +11,11 @@
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
+pub mod admin_pages;
 pub mod cli;
-pub mod follow;
+pub mod lease_client;
 pub mod log;
-pub mod pages;
 pub mod process;
-pub mod rows;
-pub mod serve;
+pub mod record_store;
+pub mod request_handler;
 pub mod summaries;
--- a/crates/lilacpitch-site/src/log/join.rs
+++ b/crates/lilacpitch-site/src/log/join.rs
@@ -1,13 +1,13 @@
 //! How a process takes part in its site's log: at once with the disk it had, with a new one as
-//! [`lilacpitch_fleet::rejoin`] says.
+//! [`lilacpitch_fleet::disk_loss_recovery`] says.
 
 use super::machine::Machine;
 use super::network::Network;
 use super::{Raft, Types};
 use crate::process::Process;
+use lilacpitch_fleet::disk_loss_recovery::{LogVote, Verdict};
 use lilacpitch_fleet::error::LogError;
 use lilacpitch_fleet::message::{Request, Response};
-use lilacpitch_fleet::rejoin::{LogVote, Verdict};
 use openraft::storage::RaftLogStorage;
 use openraft::{BasicNode, LeaderId, Vote};
 use std::sync::atomic::Ordering::Relaxed;
--- a/crates/lilacpitch-site/src/log/machine.rs
+++ b/crates/lilacpitch-site/src/log/machine.rs
@@ -5,8 +5,8 @@
 use super::state::{Beside, State};
 use super::store::{io, Store};
 use super::{Applied, Types};
-use lilacpitch_register::register::Rows;
-use lilacpitch_register::Row;
+use lilacpitch_location::store::Rows;
+use lilacpitch_location::Row;
 use openraft::storage::{RaftStateMachine, Snapshot};
 use openraft::{
     Entry, EntryPayload, LogId, OptionalSend, RaftSnapshotBuilder, SnapshotMeta, StorageError,
--- a/crates/lilacpitch-site/src/log/network.rs
+++ b/crates/lilacpitch-site/src/log/network.rs
@@ -2,7 +2,7 @@
 
 use super::Types;
 use lilacpitch_fleet::message::{LogMessage, Request, Response};
-use lilacpitch_link::Dialer;
+use lilacpitch_rpc::Dialer;
 use openraft::error::{InstallSnapshotError, NetworkError, RPCError, RaftError, RemoteError, Unreachable};
 use openraft::network::{RPCOption, RaftNetwork, RaftNetworkFactory};
 use openraft::raft::{
--- a/crates/lilacpitch-site/src/log/state.rs
+++ b/crates/lilacpitch-site/src/log/state.rs
@@ -3,9 +3,9 @@
 
 use super::{Applied, Command, Written};
 use lilacpitch_fleet::audit::Ledger;
+use lilacpitch_fleet::log_tail::Window;
 use lilacpitch_fleet::message::{Pending, Position, RowChange, What, MAX_SCOPES};
-use lilacpitch_fleet::window::Window;
-use lilacpitch_register::{Key, Kind, Number, Register, RegisterError, Row};
+use lilacpitch_location::{Key, Kind, Number, Register, RegisterError, Row};
 use parking_lot::Mutex;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
--- a/crates/lilacpitch-site/src/process.rs
+++ b/crates/lilacpitch-site/src/process.rs
@@ -4,20 +4,20 @@
 use crate::log::state::State;
 use crate::log::store::Store;
 use crate::log::{join, Raft};
-use crate::{follow, pages, rows, summaries};
+use crate::{admin_pages, lease_client, record_store, summaries};
 use lilacpitch_config::Site;
+use lilacpitch_fleet::ack_aggregator::{ChildId, Relay};
 use lilacpitch_fleet::catalogue::Catalogue;
+use lilacpitch_fleet::concurrency_limit::Room;
+use lilacpitch_fleet::disk_loss_recovery::Rejoin;
 use lilacpitch_fleet::error::LogError;
-use lilacpitch_fleet::holder::Holder;
 use lilacpitch_fleet::lease::Terms;
+use lilacpitch_fleet::lease_holder::Holder;
 use lilacpitch_fleet::message::{Request, Role};
-use lilacpitch_fleet::rejoin::Rejoin;
-use lilacpitch_fleet::relay::{ChildId, Relay};
-use lilacpitch_fleet::room::Room;
-use lilacpitch_fleet::upward::Upward;
+use lilacpitch_fleet::upstream_selection::Upward;
 use lilacpitch_fleet::Guards;
-use lilacpitch_link::{accept, steady_ns, Dialer, Link, Me, Serve, Served};
-use lilacpitch_peers::Keys;
+use lilacpitch_gossip::Keys;
+use lilacpitch_rpc::{accept, steady_ns, Dialer, Link, Me, Serve, Served};
 use miette::Diagnostic;
 use parking_lot::{Mutex, RwLock};
 use std::collections::BTreeMap;
@@ -47,7 +47,7 @@
     /// The register can't be made.
     #[error(transparent)]
     #[diagnostic(transparent)]
-    Register(#[from] lilacpitch_register::RegisterError),
+    Register(#[from] lilacpitch_location::RegisterError),
     /// The log or its disk.
     #[error(transparent)]
     #[diagnostic(transparent)]
@@ -119,8 +119,8 @@
     /// The term in which this process was last confirmed to lead the root, and all who may hold leases of a former
     /// leader were reckoned with; 0: none.
     pub(crate) origin_term: AtomicU64,
-    pub(crate) reads: rows::Reads,
-    pub(crate) writes: rows::Writes,
+    pub(crate) reads: record_store::Reads,
+    pub(crate) writes: record_store::Writes,
     pub(crate) room: Mutex<Room>,
     pub(crate) counters: Counters,
 }
@@ -222,8 +222,8 @@
     };
     let others = settings.sites.iter().map(|site| site.name.as_str()).filter(|name| *name != settings.site);
     let catalogue = Catalogue::new(others, settings.terms.settle_ns, terms, guards);
-    let (reads, reading) = rows::Reads::new();
-    let (writes, writing) = rows::Writes::new();
+    let (reads, reading) = record_store::Reads::new();
+    let (writes, writing) = record_store::Writes::new();
     let process = Arc::new(Process {
         guards,
         state,
@@ -254,17 +254,17 @@
 
     let mut tasks = tokio::task::JoinSet::new();
     tasks.spawn(accept_all(process.clone(), listener));
-    tasks.spawn(follow::follow(process.clone()));
-    tasks.spawn(follow::take_orders_from_log(process.clone()));
-    tasks.spawn(follow::say_sums(process.clone()));
-    tasks.spawn(rows::read(process.clone(), reading));
-    tasks.spawn(rows::write(process.clone(), writing));
-    tasks.spawn(rows::order_changes(process.clone()));
-    tasks.spawn(rows::begin(process.clone()));
-    tasks.spawn(rows::sweep(process.clone()));
+    tasks.spawn(lease_client::follow(process.clone()));
+    tasks.spawn(lease_client::take_orders_from_log(process.clone()));
+    tasks.spawn(lease_client::say_sums(process.clone()));
+    tasks.spawn(record_store::read(process.clone(), reading));
+    tasks.spawn(record_store::write(process.clone(), writing));
+    tasks.spawn(record_store::order_changes(process.clone()));
+    tasks.spawn(record_store::begin(process.clone()));
+    tasks.spawn(record_store::sweep(process.clone()));
     tasks.spawn(summaries::poll(process.clone()));
     if let Some(listener) = page_listener {
-        tasks.spawn(pages::serve(process.clone(), listener));
+        tasks.spawn(admin_pages::serve(process.clone(), listener));
     }
     ready(Ready { links, pages: page_address });
     tracing::info!(%links, life, "listening");
--- a/crates/lilacpitch-site/src/record_store.rs
+++ b/crates/lilacpitch-site/src/record_store.rs
@@ -2,9 +2,9 @@
 
 use crate::log::{Applied, Command, Written};
 use crate::process::{now, wall_ms, Process};
+use lilacpitch_fleet::ack_aggregator::ChildId;
 use lilacpitch_fleet::audit::Record;
 use lilacpitch_fleet::message::{Refusal, Request, Response, RowChange, Scope, What};
-use lilacpitch_fleet::relay::ChildId;
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::atomic::Ordering::Relaxed;
 use std::sync::Arc;
--- a/crates/lilacpitch-site/src/request_handler.rs
+++ b/crates/lilacpitch-site/src/request_handler.rs
@@ -2,10 +2,10 @@
 
 use crate::log::Types;
 use crate::process::{now, Process};
+use lilacpitch_fleet::ack_aggregator::{ChildId, Sum};
 use lilacpitch_fleet::message::{LogMessage, Refusal, Request, Response, Role, RowChange, MAX_ROWS};
-use lilacpitch_fleet::relay::{ChildId, Sum};
-use lilacpitch_link::{Link, Serve, Served};
-use lilacpitch_register::{Key, Query, What};
+use lilacpitch_location::{Key, Query, What};
+use lilacpitch_rpc::{Link, Serve, Served};
 use openraft::raft::{AppendEntriesRequest, InstallSnapshotRequest, VoteRequest};
 use serde::de::DeserializeOwned;
 use serde::Serialize;
@@ -129,7 +129,7 @@
             Response::Refused(Refusal::Ahead) => {
                 self.counters.not_granted.fetch_add(1, Relaxed);
                 if self.is_root() && self.leads() {
-                    tokio::spawn(crate::follow::begin_log_anew(self.clone(), applied));
+                    tokio::spawn(crate::lease_client::begin_log_anew(self.clone(), applied));
                 }
             }
             _ => drop(self.counters.not_granted.fetch_add(1, Relaxed)),
--- a/crates/lilacpitch-site/src/summaries.rs
+++ b/crates/lilacpitch-site/src/summaries.rs
@@ -3,7 +3,7 @@
 use crate::process::{now, Process};
 use lilacpitch_fleet::catalogue::{news_of, NEWS_BYTES};
 use lilacpitch_fleet::message::{Known, Refusal, Request, Response, Role, SiteNews};
-use lilacpitch_link::{Dialer, Link};
+use lilacpitch_rpc::{Dialer, Link};
 use std::sync::atomic::Ordering::Relaxed;
 use std::sync::Arc;
 use std::time::Duration;
--- a/crates/lilacpitch-testbed/src/bound.rs
+++ b/crates/lilacpitch-testbed/src/bound.rs
@@ -6,7 +6,7 @@
 //! releases and single circuits are left out, so the bound is a little above what can be reached.
 
 use crate::day::{Day, Listed, ServerEvent};
-use crate::model::server::{By, Server};
+use crate::simulation::server::{By, Server};
 use lilacpitch::interface::Nanos;
 use std::collections::VecDeque;
 
--- a/crates/lilacpitch-testbed/src/callers.rs
+++ b/crates/lilacpitch-testbed/src/callers.rs
@@ -1,7 +1,7 @@
 //! Simulated callers on loopback sockets: one task a front, several sockets, what they send and read recorded.
 
-use crate::model::caller::{Callers, Rate, Try};
 use crate::record::{Record, Seen};
+use crate::simulation::caller::{Callers, Rate, Try};
 use lilacpitch::interface::Nanos;
 use lilacpitch_edge::net::{open, Clock, Heard, Outgoing, Pump};
 use lilacpitch_protocol::frame::Role;
--- a/crates/lilacpitch-testbed/src/cli.rs
+++ b/crates/lilacpitch-testbed/src/cli.rs
@@ -1,18 +1,18 @@
 //! The command line of the laboratory.
 
 use clap::{Parser, Subcommand};
-use lilacpitch_edge::front::Guards;
-use lilacpitch_lab::baseline::Baseline;
-use lilacpitch_lab::compare::{compare, HEADING};
-use lilacpitch_lab::day::{Day, DAY_SCHEMA};
-use lilacpitch_lab::edges::Program;
-use lilacpitch_lab::judge::{Breach, Rule};
-use lilacpitch_lab::load::load;
-use lilacpitch_lab::membership::{self, membership, Case};
-use lilacpitch_lab::newcomers::{beginnings, Talk};
-use lilacpitch_lab::play::play;
-use lilacpitch_lab::record::Record;
-use lilacpitch_lab::virtual_day;
+use lilacpitch_edge::core::Guards;
+use lilacpitch_testbed::baseline::Baseline;
+use lilacpitch_testbed::call_rules_checker::{Breach, Rule};
+use lilacpitch_testbed::compare::{compare, HEADING};
+use lilacpitch_testbed::day::{Day, DAY_SCHEMA};
+use lilacpitch_testbed::edges::Program;
+use lilacpitch_testbed::load::load;
+use lilacpitch_testbed::membership::{self, membership, Case};
+use lilacpitch_testbed::newcomers::{beginnings, Talk};
+use lilacpitch_testbed::record::Record;
+use lilacpitch_testbed::runner::play;
+use lilacpitch_testbed::simulated_run;
 use std::ffi::OsString;
 use std::io::IsTerminal;
 use std::path::{Path, PathBuf};
@@ -23,7 +23,7 @@
 
 /// The laboratory: simulated servers and callers, bad days, load, and the judge of the rules.
 #[derive(Debug, Parser)]
-#[command(name = "lilacpitch-lab", version)]
+#[command(name = "lilacpitch-testbed", version)]
 struct Args {
     #[command(subcommand)]
     command: Command,
@@ -175,7 +175,7 @@
         Ok(true) => ExitCode::SUCCESS,
         Ok(false) => ExitCode::from(1),
         Err(error) => {
-            eprintln!("lilacpitch-lab: {error}");
+            eprintln!("lilacpitch-testbed: {error}");
             ExitCode::from(2)
         }
     }
@@ -291,7 +291,7 @@
     let mut kept = true;
     for _ in 0..seeds {
         let begun = std::time::Instant::now();
-        let played = virtual_day::play(&day, Guards::default()).map_err(|e| e.to_string())?;
+        let played = simulated_run::play(&day, Guards::default()).map_err(|e| e.to_string())?;
         println!("seed {}, {} fronts, played in {:.1} s", day.seed, day.edges, begun.elapsed().as_secs_f64());
         println!("{}", played.report);
         if day.peers {
--- a/crates/lilacpitch-testbed/src/compare.rs
+++ b/crates/lilacpitch-testbed/src/compare.rs
@@ -2,14 +2,14 @@
 
 use crate::baseline::Baseline;
 use crate::bound::bound;
+use crate::call_rules_checker::Rule;
 use crate::day::Day;
-use crate::judge::Rule;
 use crate::report::Report;
-use crate::virtual_day::play_with;
+use crate::simulated_run::play_with;
 use indicatif::{ProgressBar, ProgressStyle};
 use lilacpitch::interface::Nanos;
 use lilacpitch_config::ConfigError;
-use lilacpitch_edge::front::Guards;
+use lilacpitch_edge::core::Guards;
 use rayon::prelude::*;
 use std::collections::BTreeMap;
 use std::fmt;
--- a/crates/lilacpitch-testbed/src/datagram_relay.rs
+++ b/crates/lilacpitch-testbed/src/datagram_relay.rs
@@ -1,7 +1,7 @@
 //! The network between real fronts: a relay on loopback that each front is reached through, and which loses,
 //! damages and cuts off as it is told to.
 
-use crate::network::Weather;
+use crate::simulated_network::Weather;
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 use std::net::SocketAddr;
--- a/crates/lilacpitch-testbed/src/day.rs
+++ b/crates/lilacpitch-testbed/src/day.rs
@@ -1,9 +1,9 @@
 //! A day: load by class, servers, and troubles with start, length and size; as a typed record.
 
-use crate::judge::Figures;
-use crate::model::caller::{Habit, Rate};
-use crate::model::server::{Ailment, Answers, By, Make};
-use crate::network::Weather;
+use crate::call_rules_checker::Figures;
+use crate::simulated_network::Weather;
+use crate::simulation::caller::{Habit, Rate};
+use crate::simulation::server::{Ailment, Answers, By, Make};
 use lilacpitch::interface::Nanos;
 use lilacpitch_config::{de_duration, load, load_text, ConfigError, Loaded, Schema};
 use serde::Deserialize;
--- a/crates/lilacpitch-testbed/src/edges.rs
+++ b/crates/lilacpitch-testbed/src/edges.rs
@@ -1,7 +1,7 @@
 //! Fronts to be tried: real processes, or the same front on a thread with a guard switched off.
 
 use lilacpitch_config::Edge;
-use lilacpitch_edge::front::Guards;
+use lilacpitch_edge::core::Guards;
 use lilacpitch_edge::net::{run, serve_handshake, Clock, Heard, Outgoing, Pump, Ready};
 use lilacpitch_protocol::frame::Role;
 use lilacpitch_protocol::handshake::CALL_PROTOCOL;
--- a/crates/lilacpitch-testbed/src/fleet/cluster.rs
+++ b/crates/lilacpitch-testbed/src/fleet/cluster.rs
@@ -1,13 +1,13 @@
 //! Sites and fronts as processes, with wires between them and servers behind them.
 
-use super::wire::Wires;
+use super::fault_proxy::Wires;
 use crate::edges::{used, Used};
-use crate::model::server::Make;
 use crate::record::Record;
+use crate::simulation::server::Make;
 use crate::standin::{self, Play};
 use lilacpitch_edge::net::{fetch, Clock};
+use lilacpitch_gossip::Keys;
 use lilacpitch_net::free_addresses;
-use lilacpitch_peers::Keys;
 use nix::sys::signal::{kill, Signal};
 use nix::unistd::Pid;
 use std::fmt::Write as _;
--- a/crates/lilacpitch-testbed/src/fleet/day.rs
+++ b/crates/lilacpitch-testbed/src/fleet/day.rs
@@ -2,11 +2,11 @@
 //! are drawn over all of it. What comes of it goes to the judge.
 
 use super::caller::Caller;
-use super::judge::{self, Breach, Judged, Look, Progress};
-use super::scene;
-use super::town::{Plan, Town, TownError};
-use super::wire::Fault;
-use lilacpitch_link::steady_ns;
+use super::cluster::{Plan, Town, TownError};
+use super::fault_proxy::Fault;
+use super::promises_checker::{self, Breach, Judged, Look, Progress};
+use super::scenario;
+use lilacpitch_rpc::steady_ns;
 use rand::rngs::StdRng;
 use rand::seq::IndexedRandom;
 use rand::{Rng, SeedableRng};
@@ -184,7 +184,8 @@
     let complete = |look: &&Look| look.page.starts_with("complete true");
     let calm_ns = healed_ns + (day.after / 2).as_nanos() as u64;
     let late: Vec<&Look> = looks.iter().filter(|look| look.began_ns > calm_ns).collect();
-    let (breaches, judged) = judge::judge(&case(&town, &plan), &town.wires.crossed(), &looks, &progress);
+    let (breaches, judged) =
+        promises_checker::judge(&case(&town, &plan), &town.wires.crossed(), &looks, &progress);
     Ok(Played {
         breaches,
         judged,
@@ -196,11 +197,11 @@
 }
 
 /// What the judge is told of a town.
-pub fn case(town: &Town, plan: &Plan) -> judge::Town {
+pub fn case(town: &Town, plan: &Plan) -> promises_checker::Town {
     let names = town.names();
     let fronts = town.fronts().into_iter().zip(&plan.fronts);
     let processes = town.site_processes().into_iter();
-    judge::Town {
+    promises_checker::Town {
         sites: plan.sites.iter().map(|(name, ..)| name.clone()).collect(),
         processes: processes.filter_map(|at| Some((at, town.site_of(at)?.to_string()))).collect(),
         fronts: fronts.map(|(at, home)| (at, (names[at].clone(), home.clone()))).collect::<BTreeMap<_, _>>(),
@@ -234,7 +235,7 @@
     let mut rng = StdRng::seed_from_u64(day.seed ^ (front as u64) << 8);
     while !shared.over.load(Ordering::Relaxed) {
         std::thread::sleep(Duration::from_millis(10));
-        let seen = scene::look(pages, front, &number(rng.random_range(0..day.numbers)));
+        let seen = scenario::look(pages, front, &number(rng.random_range(0..day.numbers)));
         locked(&shared.looks).extend(seen);
     }
 }
@@ -242,7 +243,7 @@
 fn ask_progress(shared: &Shared, by: usize, pages: SocketAddr) {
     while !shared.over.load(Ordering::Relaxed) {
         std::thread::sleep(Duration::from_millis(25));
-        locked(&shared.progress).extend(scene::progress(pages, by));
+        locked(&shared.progress).extend(scenario::progress(pages, by));
     }
 }
 
--- a/crates/lilacpitch-testbed/src/fleet/fault_proxy.rs
+++ b/crates/lilacpitch-testbed/src/fleet/fault_proxy.rs
@@ -2,8 +2,8 @@
 
 use lilacpitch_fleet::frame::peek;
 use lilacpitch_fleet::message::Body;
-use lilacpitch_link::steady_ns;
-use lilacpitch_peers::Keys;
+use lilacpitch_gossip::Keys;
+use lilacpitch_rpc::steady_ns;
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 use std::collections::BTreeMap;
--- a/crates/lilacpitch-testbed/src/fleet/mod.rs
+++ b/crates/lilacpitch-testbed/src/fleet/mod.rs
@@ -10,9 +10,9 @@
 //! - [`judge`]: the eight promises, judged by what was seen at sockets alone.
 
 pub mod caller;
+pub mod cluster;
 pub mod day;
-pub mod judge;
-pub mod scene;
-pub mod town;
-pub mod virtual_town;
-pub mod wire;
+pub mod fault_proxy;
+pub mod promises_checker;
+pub mod scenario;
+pub mod simulated_cluster;
--- a/crates/lilacpitch-testbed/src/fleet/promises_checker.rs
+++ b/crates/lilacpitch-testbed/src/fleet/promises_checker.rs
@@ -1,9 +1,9 @@
 //! The judge of the fleet's promises. It reads what crossed the wires and what people read on pages, and shares no
 //! code with what it judges but the form of the messages.
 
-use super::wire::{Crossed, NOT_KNOWN};
+use super::fault_proxy::{Crossed, NOT_KNOWN};
 use lilacpitch_fleet::message::{Body, Position, Request, Response, RowChange, Scope, What};
-use lilacpitch_register::{Key, Kind, Number};
+use lilacpitch_location::{Key, Kind, Number};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// A locate of one number as somebody read it from a front's page.
@@ -101,7 +101,7 @@
 /// A question as it crossed, and its answer, if that arrived.
 type Asked<'a> = (&'a Crossed, &'a Request, Option<(&'a Crossed, &'a Response)>);
 /// A question: who asked whom over which connection, from which end, and its number.
-type Question = (usize, usize, u64, super::wire::Way, u64);
+type Question = (usize, usize, u64, super::fault_proxy::Way, u64);
 
 /// A lease as it was granted.
 struct Leased {
@@ -122,7 +122,7 @@
     crossed: &'a [Crossed],
     asked: Vec<Asked<'a>>,
     /// The lives that were greeted with: who said it to whom on which connection, from which end.
-    lives: BTreeMap<(usize, usize, u64, super::wire::Way), u64>,
+    lives: BTreeMap<(usize, usize, u64, super::fault_proxy::Way), u64>,
     rows: BTreeMap<Key, RowLife>,
     judged: Judged,
     breaches: BTreeSet<Breach>,
@@ -169,10 +169,10 @@
     (case.breaches.into_iter().collect(), case.judged)
 }
 
-fn opposite(way: super::wire::Way) -> super::wire::Way {
+fn opposite(way: super::fault_proxy::Way) -> super::fault_proxy::Way {
     match way {
-        super::wire::Way::Forth => super::wire::Way::Back,
-        super::wire::Way::Back => super::wire::Way::Forth,
+        super::fault_proxy::Way::Forth => super::fault_proxy::Way::Back,
+        super::fault_proxy::Way::Back => super::fault_proxy::Way::Forth,
     }
 }
 
@@ -330,7 +330,7 @@
         for words in said.iter().filter(|words| words.get(2) == Some(&"asked")) {
             let site = words.get(1).copied().unwrap_or("");
             let asked = self.asked.iter().any(|(ask, request, answer)| {
-                let of = matches!(request, Request::Find { query, .. } if query.what == lilacpitch_register::What::Number(look.number.clone()));
+                let of = matches!(request, Request::Find { query, .. } if query.what == lilacpitch_location::What::Number(look.number.clone()));
                 of && ask.from == look.front
                     && ask.left_ns <= look.ended_ns
                     && self.town.processes.get(&ask.to).is_some_and(|of| of == site)
--- a/crates/lilacpitch-testbed/src/fleet/scenario.rs
+++ b/crates/lilacpitch-testbed/src/fleet/scenario.rs
@@ -1,12 +1,12 @@
 //! A town in which one thing happens after the other: what people read there is kept for the judge.
 
 use super::caller::Caller;
+use super::cluster::{Plan, Town, TownError};
 use super::day::case;
-use super::judge::{self, Breach, Judged, Look, Progress};
-use super::town::{Plan, Town, TownError};
+use super::promises_checker::{self, Breach, Judged, Look, Progress};
 use lilacpitch_edge::net::fetch;
-use lilacpitch_link::steady_ns;
-use lilacpitch_register::Number;
+use lilacpitch_location::Number;
+use lilacpitch_rpc::steady_ns;
 use std::net::SocketAddr;
 use std::path::Path;
 use std::time::Duration;
@@ -102,7 +102,7 @@
     /// Judges all that crossed and was read so far, where leases and stragglers' spans are this long.
     pub fn judged(&self, lease: Duration) -> (Vec<Breach>, Judged) {
         let lease_ns = lease.as_nanos() as u64;
-        let of = judge::Town { lease_ns, straggler_ns: lease_ns, ..case(&self.town, &self.plan) };
-        judge::judge(&of, &self.town.wires.crossed(), &self.looks, &self.progress)
+        let of = promises_checker::Town { lease_ns, straggler_ns: lease_ns, ..case(&self.town, &self.plan) };
+        promises_checker::judge(&of, &self.town.wires.crossed(), &self.looks, &self.progress)
     }
 }
--- a/crates/lilacpitch-testbed/src/fleet/simulated_cluster.rs
+++ b/crates/lilacpitch-testbed/src/fleet/simulated_cluster.rs
@@ -2,19 +2,19 @@
 //! a disk that outlives it; links hold what they are cut for, messages take their time, clocks run at different speeds.
 //! Promises are judged with sight of every node.
 
+use lilacpitch_fleet::ack_aggregator::{ChildId, Relay, Sum};
 use lilacpitch_fleet::cache::Cache;
 use lilacpitch_fleet::catalogue::{news_of, Catalogue, NEWS_BYTES};
-use lilacpitch_fleet::holder::{Holder, Taken};
 use lilacpitch_fleet::lease::Terms;
+use lilacpitch_fleet::lease_holder::{Holder, Taken};
 use lilacpitch_fleet::locate::{Answer, Locate, Site as SiteSaid};
+use lilacpitch_fleet::log_tail::Window;
 use lilacpitch_fleet::message::{
     Order, Position, Refusal, Request, Response, RowChange, Scope, SiteNews, What,
 };
-use lilacpitch_fleet::relay::{ChildId, Relay, Sum};
-use lilacpitch_fleet::upward::renew_gap_ns;
-use lilacpitch_fleet::window::Window;
+use lilacpitch_fleet::upstream_selection::renew_gap_ns;
 use lilacpitch_fleet::{Guards, Nanos};
-use lilacpitch_register::{Holder as RowHolder, Key, Kind, Number, Query, Row};
+use lilacpitch_location::{Holder as RowHolder, Key, Kind, Number, Query, Row};
 use lilacpitch_site::log::state::State;
 use lilacpitch_site::log::{Command, Written};
 use rand::rngs::StdRng;
@@ -997,7 +997,7 @@
         &mut self,
         look: u64,
         site: usize,
-        said: Result<(lilacpitch_register::Page, String), lilacpitch_fleet::error::LocateError>,
+        said: Result<(lilacpitch_location::Page, String), lilacpitch_fleet::error::LocateError>,
     ) {
         let Some(looking) = self.looks.get_mut(&look) else { return };
         let Some(locate) = &mut looking.locate else { return };
--- a/crates/lilacpitch-testbed/src/lib.rs
+++ b/crates/lilacpitch-testbed/src/lib.rs
@@ -20,21 +20,21 @@
 
 pub mod baseline;
 pub mod bound;
+pub mod call_rules_checker;
 pub mod compare;
+pub mod datagram_relay;
 pub mod day;
 pub mod edges;
 pub mod fleet;
-pub mod judge;
 pub mod load;
 pub mod membership;
-pub mod model;
-pub mod network;
 pub mod newcomers;
-pub mod play;
 pub mod record;
-pub mod relay;
 pub mod report;
+pub mod runner;
+pub mod simulated_network;
+pub mod simulated_run;
+pub mod simulation;
 pub mod standin;
-pub mod virtual_day;
 
 mod callers;
--- a/crates/lilacpitch-testbed/src/load.rs
+++ b/crates/lilacpitch-testbed/src/load.rs
@@ -4,12 +4,12 @@
 //! the caller's read: both ends are clocked by the laboratory. The laboratory's own part is told apart by the
 //! same load on a front that answers at once and does nothing else.
 
+use crate::call_rules_checker::Breach;
 use crate::day::Day;
 use crate::edges::{used, Program, Used};
-use crate::judge::Breach;
-use crate::play::{play, PlayError, Played};
 use crate::record::{Record, Seen};
 use crate::report::histogram;
+use crate::runner::{play, PlayError, Played};
 use hdrhistogram::Histogram;
 use lilacpitch::interface::Nanos;
 use std::collections::BTreeMap;
--- a/crates/lilacpitch-testbed/src/main.rs
+++ b/crates/lilacpitch-testbed/src/main.rs
@@ -1,4 +1,4 @@
-//! `lilacpitch-lab`: see `lilacpitch-lab --help`.
+//! `lilacpitch-testbed`: see `lilacpitch-testbed --help`.
 #![forbid(unsafe_code)]
 
 mod cli;
--- a/crates/lilacpitch-testbed/src/membership.rs
+++ b/crates/lilacpitch-testbed/src/membership.rs
@@ -1,7 +1,7 @@
 //! How fronts keep view of each other as they grow in number and the network loses datagrams: how soon all see all,
 //! what that costs, how soon a dead one is noticed, who is taken to be dead and is not, and how a split heals.
 
-use crate::network::{Network, Noticed, Sent};
+use crate::simulated_network::{Network, Noticed, Sent};
 use lilacpitch::interface::Nanos;
 use rayon::prelude::*;
 use std::fmt;
--- a/crates/lilacpitch-testbed/src/newcomers.rs
+++ b/crates/lilacpitch-testbed/src/newcomers.rs
@@ -2,13 +2,13 @@
 //! messages lost, and with one of them confused; on the same days.
 
 use crate::day::{Day, Kind, Trouble};
-use crate::model::server::By;
 use crate::record::{Record, Seen};
 use crate::report::report;
-use crate::virtual_day::play;
+use crate::simulated_run::play;
+use crate::simulation::server::By;
 use lilacpitch::interface::Nanos;
 use lilacpitch_config::ConfigError;
-use lilacpitch_edge::front::Guards;
+use lilacpitch_edge::core::Guards;
 use std::fmt;
 
 /// What counts as a front's beginning.
--- a/crates/lilacpitch-testbed/src/runner.rs
+++ b/crates/lilacpitch-testbed/src/runner.rs
@@ -1,15 +1,15 @@
 //! Plays a day with real fronts on loopback: starts them and the stand-ins, lets the troubles happen, collects
 //! what crossed the sockets.
 
+use crate::call_rules_checker::{judge, Breach};
 use crate::callers;
+use crate::datagram_relay::Relay;
 use crate::day::{pool_list, Day, Kind, Listed, Script};
 use crate::edges::{EdgeError, Program, Running, Used};
-use crate::judge::{judge, Breach};
-use crate::model::caller::Callers;
-use crate::network::{Sent, Weather};
 use crate::record::{Record, Seen};
-use crate::relay::Relay;
 use crate::report::{report, Report};
+use crate::simulated_network::{Sent, Weather};
+use crate::simulation::caller::Callers;
 use crate::standin::{self, Play};
 use lilacpitch::interface::Nanos;
 use lilacpitch_edge::net::Clock;
--- a/crates/lilacpitch-testbed/src/simulated_network.rs
+++ b/crates/lilacpitch-testbed/src/simulated_network.rs
@@ -2,8 +2,8 @@
 //! virtual time, from one seed. Membership alone: no calls, no servers.
 
 use lilacpitch::interface::Nanos;
-use lilacpitch_peers::seal::MAX_DATAGRAM_BYTES;
-use lilacpitch_peers::{Effect, Keys, Peers, Settings};
+use lilacpitch_gossip::sealed_datagram::MAX_DATAGRAM_BYTES;
+use lilacpitch_gossip::{Effect, Keys, Peers, Settings};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 use std::collections::{BTreeMap, BTreeSet};
@@ -173,7 +173,7 @@
     /// How many others a front sees that run; those of an earlier life are not counted.
     pub fn sees(&self, front: usize) -> usize {
         let Some(peers) = &self.rows[front].peers else { return 0 };
-        let lives = |peer: &lilacpitch_peers::PeerId| {
+        let lives = |peer: &lilacpitch_gossip::PeerId| {
             index(peer.address, self.rows.len())
                 .is_some_and(|of| self.runs(of) && peer.epoch >= self.rows[of].life)
         };
--- a/crates/lilacpitch-testbed/src/simulated_run.rs
+++ b/crates/lilacpitch-testbed/src/simulated_run.rs
@@ -4,18 +4,18 @@
 //! plays in seconds. Messages take a drawn while and keep their order on a connection, as on TCP.
 
 use crate::baseline::Baseline;
+use crate::call_rules_checker::judge;
 use crate::day::{Day, Listed, Script, ServerEvent};
-use crate::judge::judge;
-use crate::model::caller::{Callers, Rate, Try};
-use crate::model::server::{Does, Server};
-use crate::network::Sent;
-use crate::play::Played;
 use crate::record::{Record, Seen};
 use crate::report::report;
+use crate::runner::Played;
+use crate::simulated_network::Sent;
+use crate::simulation::caller::{Callers, Rate, Try};
+use crate::simulation::server::{Does, Server};
 use lilacpitch::interface::Nanos;
 use lilacpitch_config::{ConfigError, Edge, Pools, ServerState};
-use lilacpitch_edge::front::{CallerId, Effect, Front, Guards, Input, LinkId};
-use lilacpitch_peers::{Effect as Said, Fact, Keys, Peers, Settings as PeersSettings};
+use lilacpitch_edge::core::{CallerId, Effect, Front, Guards, Input, LinkId};
+use lilacpitch_gossip::{Effect as Said, Fact, Keys, Peers, Settings as PeersSettings};
 use lilacpitch_protocol::message::call::{Answer, FromCaller, ToCaller};
 use lilacpitch_protocol::message::signal::{FromServer, ToServer};
 use rand_core::{RngCore, SeedableRng};
--- a/crates/lilacpitch-testbed/src/standin.rs
+++ b/crates/lilacpitch-testbed/src/standin.rs
@@ -2,8 +2,8 @@
 //! answer is recorded here, at the socket.
 
 use crate::day::ServerEvent;
-use crate::model::server::{Does, Make, Server};
 use crate::record::{Record, Seen};
+use crate::simulation::server::{Does, Make, Server};
 use lilacpitch::interface::Nanos;
 use lilacpitch_edge::net::{serve_handshake, Clock, Heard, Outgoing, Pump};
 use lilacpitch_protocol::frame::Role;
--- a/crates/lilacpitch-testbed/tests/call_rules_checker.rs
+++ b/crates/lilacpitch-testbed/tests/call_rules_checker.rs
@@ -1,8 +1,8 @@
 //! The judge itself: a clean record passes, and each way of breaking a rule is found, by the right rule.
 
-use lilacpitch_lab::judge::{judge, Figures, Rule};
-use lilacpitch_lab::record::{Record, Seen};
 use lilacpitch_protocol::message::call::Answer;
+use lilacpitch_testbed::call_rules_checker::{judge, Figures, Rule};
+use lilacpitch_testbed::record::{Record, Seen};
 
 const MS: u64 = 1_000_000;
 
--- a/crates/lilacpitch-testbed/tests/fleet/broken.rs
+++ b/crates/lilacpitch-testbed/tests/fleet/broken.rs
@@ -1,10 +1,10 @@
 //! Each promise broken on purpose, by its switch: the judge sees it. With the switch on, the same scene passes.
 
 use crate::SOON;
-use lilacpitch_lab::fleet::day::TERMS;
-use lilacpitch_lab::fleet::scene::{self, Scene};
-use lilacpitch_lab::fleet::town::Plan;
-use lilacpitch_lab::fleet::wire::Fault;
+use lilacpitch_testbed::fleet::cluster::Plan;
+use lilacpitch_testbed::fleet::day::TERMS;
+use lilacpitch_testbed::fleet::fault_proxy::Fault;
+use lilacpitch_testbed::fleet::scenario::{self, Scene};
 use std::path::Path;
 use std::time::Duration;
 
@@ -17,7 +17,7 @@
 }
 
 pub fn scene(plan: Plan) -> Scene {
-    Scene::start(plan, Path::new(env!("CARGO_BIN_EXE_lilacpitch-lab")), SOON).unwrap()
+    Scene::start(plan, Path::new(env!("CARGO_BIN_EXE_lilacpitch-testbed")), SOON).unwrap()
 }
 
 /// Plays a scene with a promise's switch off until the judge sees it, and once with it on. A scene says whether it
@@ -121,7 +121,7 @@
             scene.town.wires.one_way(leaf, front, Fault { delay: ms(600), ..Fault::default() });
             let asked = std::thread::spawn({
                 let number = number.clone();
-                move || scene::look(pages, front, &number)
+                move || scenario::look(pages, front, &number)
             });
             std::thread::sleep(ms(150));
             drop(here);
--- a/crates/lilacpitch-testbed/tests/fleet/busy.rs
+++ b/crates/lilacpitch-testbed/tests/fleet/busy.rs
@@ -2,12 +2,12 @@
 
 use crate::broken::scene;
 use crate::{report, SOON};
-use lilacpitch_lab::fleet::caller::Caller;
-use lilacpitch_lab::fleet::day::TERMS;
-use lilacpitch_lab::fleet::scene::{look, Scene};
-use lilacpitch_lab::fleet::town::Plan;
-use lilacpitch_lab::record::Seen;
 use lilacpitch_protocol::message::call::Answer;
+use lilacpitch_testbed::fleet::caller::Caller;
+use lilacpitch_testbed::fleet::cluster::Plan;
+use lilacpitch_testbed::fleet::day::TERMS;
+use lilacpitch_testbed::fleet::scenario::{look, Scene};
+use lilacpitch_testbed::record::Seen;
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering::Relaxed};
 use std::time::Duration;
 
@@ -53,7 +53,10 @@
     let front = scene.town.index("edge-0");
     let pages = scene.town.pages(front);
     // Answers come late enough for all to want the number before the first is there.
-    let slow = lilacpitch_lab::fleet::wire::Fault { delay: Duration::from_millis(25), ..Default::default() };
+    let slow = lilacpitch_testbed::fleet::fault_proxy::Fault {
+        delay: Duration::from_millis(25),
+        ..Default::default()
+    };
     scene.town.wires.one_way(scene.town.index("leaf1-0"), front, slow);
     let asked = |s: &Scene| counted(s, "edge-0", "sites_asked_total");
     let found = |s: &mut Scene| s.look("edge-0", "15550001").contains("front edge-1 ");
--- a/crates/lilacpitch-testbed/tests/fleet/days.rs
+++ b/crates/lilacpitch-testbed/tests/fleet/days.rs
@@ -1,7 +1,7 @@
 //! Days of a town with faults, judged.
 
-use lilacpitch_lab::fleet::day::{draw, play, Day, Drawn, Played, TERMS};
-use lilacpitch_lab::fleet::town::{Plan, Town};
+use lilacpitch_testbed::fleet::cluster::{Plan, Town};
+use lilacpitch_testbed::fleet::day::{draw, play, Day, Drawn, Played, TERMS};
 use std::path::Path;
 use std::time::Duration;
 
@@ -10,7 +10,7 @@
 }
 
 pub fn played(plan: Plan, day: &Day, troubles: impl FnOnce(&Town) -> Vec<Drawn>) -> Played {
-    play(plan, day, Path::new(env!("CARGO_BIN_EXE_lilacpitch-lab")), troubles).unwrap()
+    play(plan, day, Path::new(env!("CARGO_BIN_EXE_lilacpitch-testbed")), troubles).unwrap()
 }
 
 fn kept(played: &Played) {
@@ -40,7 +40,7 @@
     assert!(played.after.0 * 2 >= played.after.1, "{:?}", played.after);
 }
 
-/// `LILACPITCH_DAYS=20 cargo test -p lilacpitch-lab --release --test fleet -- --ignored drawn_days --nocapture`
+/// `LILACPITCH_DAYS=20 cargo test -p lilacpitch-testbed --release --test fleet -- --ignored drawn_days --nocapture`
 #[test]
 #[ignore = "minutes: docs/operate/laboratory.md says how to run it"]
 fn drawn_days() {
--- a/crates/lilacpitch-testbed/tests/fleet/hard.rs
+++ b/crates/lilacpitch-testbed/tests/fleet/hard.rs
@@ -2,12 +2,12 @@
 //! every site down, purges of everything, many rows.
 
 use crate::{ordered, report, town, SOON};
-use lilacpitch_lab::fleet::caller::Caller;
-use lilacpitch_lab::fleet::day::TERMS;
-use lilacpitch_lab::fleet::scene;
-use lilacpitch_lab::fleet::town::{Plan, Town, TownError};
-use lilacpitch_lab::fleet::wire::Fault;
 use lilacpitch_protocol::message::call::{Answer, ToCaller};
+use lilacpitch_testbed::fleet::caller::Caller;
+use lilacpitch_testbed::fleet::cluster::{Plan, Town, TownError};
+use lilacpitch_testbed::fleet::day::TERMS;
+use lilacpitch_testbed::fleet::fault_proxy::Fault;
+use lilacpitch_testbed::fleet::scenario;
 use std::path::Path;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
@@ -25,7 +25,7 @@
 
 /// Order and completion as the root's process says.
 fn progress(town: &Town, at: usize) -> Option<(u64, u64)> {
-    scene::progress(town.pages(at), at).map(|read| (read.ordered, read.complete))
+    scenario::progress(town.pages(at), at).map(|read| (read.ordered, read.complete))
 }
 
 /// A front's line in the audit of a moment.
--- a/crates/lilacpitch-testbed/tests/fleet/main.rs
+++ b/crates/lilacpitch-testbed/tests/fleet/main.rs
@@ -7,7 +7,7 @@
 mod parted;
 mod thin;
 
-use lilacpitch_lab::fleet::town::{Plan, Town};
+use lilacpitch_testbed::fleet::cluster::{Plan, Town};
 use std::path::Path;
 use std::time::Duration;
 
@@ -15,7 +15,7 @@
 pub const SOON: Duration = Duration::from_secs(30);
 
 pub fn town(plan: Plan) -> Town {
-    let town = Town::start(plan, Path::new(env!("CARGO_BIN_EXE_lilacpitch-lab"))).unwrap();
+    let town = Town::start(plan, Path::new(env!("CARGO_BIN_EXE_lilacpitch-testbed"))).unwrap();
     assert!(town.settled(SOON), "{}", report(&town));
     town
 }
--- a/crates/lilacpitch-testbed/tests/fleet/parted.rs
+++ b/crates/lilacpitch-testbed/tests/fleet/parted.rs
@@ -3,9 +3,9 @@
 
 use crate::broken::{complete_past, scene};
 use crate::{report, SOON};
-use lilacpitch_lab::fleet::day::TERMS;
-use lilacpitch_lab::fleet::scene::Scene;
-use lilacpitch_lab::fleet::town::{Plan, Town};
+use lilacpitch_testbed::fleet::cluster::{Plan, Town};
+use lilacpitch_testbed::fleet::day::TERMS;
+use lilacpitch_testbed::fleet::scenario::Scene;
 use std::time::Duration;
 
 const ROOT: [&str; 3] = ["root-0", "root-1", "root-2"];
--- a/crates/lilacpitch-testbed/tests/fleet/thin.rs
+++ b/crates/lilacpitch-testbed/tests/fleet/thin.rs
@@ -1,10 +1,10 @@
 //! Thin but whole: a number is registered, located, cached, called, moved, purged, and the audit tells of it.
 
 use crate::{report, town, SOON};
-use lilacpitch_lab::fleet::caller::Caller;
-use lilacpitch_lab::fleet::town::{Plan, Town};
-use lilacpitch_lab::record::Seen;
 use lilacpitch_protocol::message::call::Answer;
+use lilacpitch_testbed::fleet::caller::Caller;
+use lilacpitch_testbed::fleet::cluster::{Plan, Town};
+use lilacpitch_testbed::record::Seen;
 use std::time::Duration;
 
 #[test]
--- a/crates/lilacpitch-testbed/tests/fleet_measures.rs
+++ b/crates/lilacpitch-testbed/tests/fleet_measures.rs
@@ -1,15 +1,15 @@
 //! Figures of the fleet for docs/measurements.md, in one run:
-//! `cargo test --release -p lilacpitch-lab --test fleet_measures -- --ignored --nocapture --test-threads 1`
+//! `cargo test --release -p lilacpitch-testbed --test fleet_measures -- --ignored --nocapture --test-threads 1`
 
 use lilacpitch_edge::net::fetch;
 use lilacpitch_fleet::message::{Request, Response, Role, RowChange};
-use lilacpitch_lab::fleet::caller::Caller;
-use lilacpitch_lab::fleet::day::TERMS;
-use lilacpitch_lab::fleet::town::{Plan, Town};
-use lilacpitch_lab::fleet::virtual_town::{Shape, VirtualTown};
-use lilacpitch_link::{connect, Link, Me, Serve, Served};
-use lilacpitch_peers::Keys;
-use lilacpitch_register::{Holder, Key, Kind, Number, Query, Register, Row, ShardSummary};
+use lilacpitch_gossip::Keys;
+use lilacpitch_location::{Holder, Key, Kind, Number, Query, Register, Row, ShardSummary};
+use lilacpitch_rpc::{connect, Link, Me, Serve, Served};
+use lilacpitch_testbed::fleet::caller::Caller;
+use lilacpitch_testbed::fleet::cluster::{Plan, Town};
+use lilacpitch_testbed::fleet::day::TERMS;
+use lilacpitch_testbed::fleet::simulated_cluster::{Shape, VirtualTown};
 use std::path::Path;
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -76,8 +76,8 @@
     );
     let strangers = (0..1_000_000u64).filter(|n| {
         let hash = Number::new(&format!("2{n:09}")).unwrap().hash64();
-        kept[lilacpitch_register::summary::shard_of(hash, 64)]
-            .could(lilacpitch_register::summary::fingerprint(hash))
+        kept[lilacpitch_location::summary::shard_of(hash, 64)]
+            .could(lilacpitch_location::summary::fingerprint(hash))
     });
     println!("false 'could': {:.4} % of 1,000,000 strangers", strangers.count() as f64 / 1e4);
     for per_s in [10u64, 100, 1_000] {
@@ -216,7 +216,7 @@
     for (leaves, rows) in [(0, 10_000u64), (3, 1_000), (3, 100_000), (23, 1_000), (23, 100_000)] {
         let mut plan = Plan { terms: TERMS.into(), record: false, ..Plan::leaves(1, leaves, 0) };
         plan.fronts = vec!["root".into()];
-        let town = Town::start(plan, Path::new(env!("CARGO_BIN_EXE_lilacpitch-lab"))).unwrap();
+        let town = Town::start(plan, Path::new(env!("CARGO_BIN_EXE_lilacpitch-testbed"))).unwrap();
         assert!(town.settled(SOON));
         let holders: Vec<usize> =
             town.site_processes().into_iter().filter(|at| leaves == 0 || *at > 0).collect();
@@ -244,7 +244,7 @@
     for terms in [TERMS, ""] {
         let fronts = vec!["leaf0".into(), "leaf1".into(), String::new()];
         let plan = Plan { terms: terms.into(), record: false, fronts, ..Plan::leaves(3, 2, 1) };
-        let town = Town::start(plan, Path::new(env!("CARGO_BIN_EXE_lilacpitch-lab"))).unwrap();
+        let town = Town::start(plan, Path::new(env!("CARGO_BIN_EXE_lilacpitch-testbed"))).unwrap();
         assert!(town.settled(SOON));
         println!("terms: {}", if terms.is_empty() { "as settings have them" } else { terms });
         beside_one_without(&town);
@@ -282,7 +282,7 @@
 fn calls_purges_and_recovery() {
     let mut town = Town::start(
         Plan { terms: TERMS.into(), record: false, ..Plan::leaves(3, 2, 1) },
-        Path::new(env!("CARGO_BIN_EXE_lilacpitch-lab")),
+        Path::new(env!("CARGO_BIN_EXE_lilacpitch-testbed")),
     )
     .unwrap();
     assert!(town.settled(SOON));
--- a/crates/lilacpitch-testbed/tests/guards.rs
+++ b/crates/lilacpitch-testbed/tests/guards.rs
@@ -1,10 +1,10 @@
 //! A front with a guard switched off, on real sockets: the judge must notice. With all guards on, it must not.
 
-use lilacpitch_edge::front::Guards;
-use lilacpitch_lab::day::Day;
-use lilacpitch_lab::edges::Program;
-use lilacpitch_lab::judge::Rule;
-use lilacpitch_lab::play::{play, Played};
+use lilacpitch_edge::core::Guards;
+use lilacpitch_testbed::call_rules_checker::Rule;
+use lilacpitch_testbed::day::Day;
+use lilacpitch_testbed::edges::Program;
+use lilacpitch_testbed::runner::{play, Played};
 
 /// Six seconds in which a server drains while others are slow, lose answers, and lose their connections.
 fn day() -> Day {
--- a/crates/lilacpitch-testbed/tests/membership.rs
+++ b/crates/lilacpitch-testbed/tests/membership.rs
@@ -1,7 +1,7 @@
 //! Fronts keep view of each other on a simulated network, and the table says what happened there.
 
-use lilacpitch_lab::membership::{membership, watch, Case};
-use lilacpitch_lab::network::Network;
+use lilacpitch_testbed::membership::{membership, watch, Case};
+use lilacpitch_testbed::simulated_network::Network;
 
 const S: u64 = 1_000_000_000;
 
--- a/crates/lilacpitch-testbed/tests/ramps.rs
+++ b/crates/lilacpitch-testbed/tests/ramps.rs
@@ -1,11 +1,11 @@
 //! The ramp of a cold server holds for all fronts together: drawn days of few to many fronts, with even and uneven
 //! traffic, lists that come late or not at all to a third, and a third that starts anew meanwhile.
 
-use lilacpitch_edge::front::Guards;
-use lilacpitch_lab::baseline::Baseline;
-use lilacpitch_lab::day::Day;
-use lilacpitch_lab::judge::Rule;
-use lilacpitch_lab::virtual_day::{play, play_with};
+use lilacpitch_edge::core::Guards;
+use lilacpitch_testbed::baseline::Baseline;
+use lilacpitch_testbed::call_rules_checker::Rule;
+use lilacpitch_testbed::day::Day;
+use lilacpitch_testbed::simulated_run::{play, play_with};
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
 
--- a/crates/lilacpitch-testbed/tests/restarts.rs
+++ b/crates/lilacpitch-testbed/tests/restarts.rs
@@ -1,11 +1,11 @@
 //! Days on sockets with real processes that know each other, are killed and start anew, on a network that damages.
 
-use lilacpitch_lab::day::Day;
-use lilacpitch_lab::edges::Program;
-use lilacpitch_lab::network::Weather;
-use lilacpitch_lab::play::{play, PlayError};
-use lilacpitch_lab::record::Seen;
-use lilacpitch_lab::relay::Relay;
+use lilacpitch_testbed::datagram_relay::Relay;
+use lilacpitch_testbed::day::Day;
+use lilacpitch_testbed::edges::Program;
+use lilacpitch_testbed::record::Seen;
+use lilacpitch_testbed::runner::{play, PlayError};
+use lilacpitch_testbed::simulated_network::Weather;
 use std::net::UdpSocket;
 use std::path::PathBuf;
 use std::time::Duration;
@@ -35,7 +35,8 @@
 #[test]
 fn fronts_that_are_killed_and_start_anew_keep_all_rules_and_carry_calls_again() {
     let day = Day::from_text("day.cue", DAY).unwrap();
-    let program = Program::Process(PathBuf::from(env!("CARGO_BIN_EXE_lilacpitch-lab")), vec!["edge".into()]);
+    let program =
+        Program::Process(PathBuf::from(env!("CARGO_BIN_EXE_lilacpitch-testbed")), vec!["edge".into()]);
     let played = play(&day, &program).unwrap();
     assert_eq!(played.breaches, vec![]);
     assert!(played.report.service > 0.5, "{}", played.report);
@@ -49,7 +50,7 @@
         assert!(setups(edge, back_s, 7) > 10, "front {edge} carries again");
     }
     let down = setups(0, 0, 1) > 0 && {
-        let at = |r: &&lilacpitch_lab::record::Record| (1_100_000_000..1_900_000_000).contains(&r.at_ns);
+        let at = |r: &&lilacpitch_testbed::record::Record| (1_100_000_000..1_900_000_000).contains(&r.at_ns);
         !played.records.iter().filter(at).any(|r| matches!(r.seen, Seen::Setup { edge: 0, .. }))
     };
     assert!(down, "front 0 was down from 1 s to 2 s");
@@ -57,7 +58,7 @@
 
 #[test]
 fn what_cannot_be_played_on_sockets_is_said() {
-    let threads = Program::Thread(lilacpitch_edge::front::Guards::default());
+    let threads = Program::Thread(lilacpitch_edge::core::Guards::default());
     let restarts = Day::from_text("day.cue", DAY).unwrap();
     assert!(matches!(play(&restarts, &threads), Err(PlayError::ProcessesOnly)));
     let confused = DAY.replace("peers_damaged", "peers_confused");
--- a/crates/lilacpitch-testbed/tests/virtual_days.rs
+++ b/crates/lilacpitch-testbed/tests/virtual_days.rs
@@ -1,10 +1,10 @@
 //! Days in virtual time: the rules on drawn days, the same day twice, guards switched off.
 
-use lilacpitch_edge::front::Guards;
-use lilacpitch_lab::day::Day;
-use lilacpitch_lab::judge::Rule;
-use lilacpitch_lab::report::Report;
-use lilacpitch_lab::virtual_day::play;
+use lilacpitch_edge::core::Guards;
+use lilacpitch_testbed::call_rules_checker::Rule;
+use lilacpitch_testbed::day::Day;
+use lilacpitch_testbed::report::Report;
+use lilacpitch_testbed::simulated_run::play;
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
 
--- a/crates/lilacpitch-testbed/tests/virtual_fleet.rs
+++ b/crates/lilacpitch-testbed/tests/virtual_fleet.rs
@@ -1,7 +1,7 @@
 //! The fleet's cores in virtual time: drawn days, three tiers, hundreds of fronts, promises broken on purpose.
 
 use lilacpitch_fleet::Guards;
-use lilacpitch_lab::fleet::virtual_town::{Played, Shape, VirtualTown};
+use lilacpitch_testbed::fleet::simulated_cluster::{Played, Shape, VirtualTown};
 use rayon::prelude::*;
 
 fn play(shape: &Shape, seeds: std::ops::Range<u64>) -> Vec<(u64, Played)> {
@@ -48,7 +48,7 @@
     }
 }
 
-/// `cargo test --release -p lilacpitch-lab --test virtual_fleet -- --ignored --nocapture`
+/// `cargo test --release -p lilacpitch-testbed --test virtual_fleet -- --ignored --nocapture`
 #[test]
 #[ignore = "a minute: docs/operate/laboratory.md says how to run it"]
 fn five_hundred_drawn_days() {
--- a/crates/lilacpitch/src/controller.rs
+++ b/crates/lilacpitch/src/controller.rs
@@ -12,10 +12,10 @@
 mod told;
 
 use crate::interface::*;
-use crate::spread::Spread;
-use crate::voices::Voices;
-use crate::waiting::Waiting;
-use crate::window;
+use crate::latency_deviation::Spread;
+use crate::peer_reports::Voices;
+use crate::pending_queue::Waiting;
+use crate::sliding_window;
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg32;
 use state::{Likeness, Row, Server, State, Suspect, Unanswered};
@@ -110,7 +110,7 @@
 const MOST_VOICES: usize = 32;
 
 /// Set-ups of one kind at one server: those of the window, or the last FEW of them.
-type Count = window::Count<N, FEW, PERIOD_NS>;
+type Count = sliding_window::Count<N, FEW, PERIOD_NS>;
 
 /// The decisions of one front. Same settings, seed and events give the same actions.
 pub struct Controller {
--- a/crates/lilacpitch/src/controller/state.rs
+++ b/crates/lilacpitch/src/controller/state.rs
@@ -2,7 +2,7 @@
 
 use super::Count;
 use crate::interface::*;
-use crate::spread::Spread;
+use crate::latency_deviation::Spread;
 
 /// A set-up that has had no answer yet.
 #[derive(Clone, Copy)]
--- a/crates/lilacpitch/src/lib.rs
+++ b/crates/lilacpitch/src/lib.rs
@@ -9,16 +9,16 @@
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
-pub mod brain;
+pub mod controller;
 pub mod interface;
+pub mod latency_deviation;
+pub mod peer_reports;
+pub mod pending_queue;
 pub mod settings;
-pub mod spread;
-pub mod voices;
-pub mod waiting;
-pub mod window;
+pub mod sliding_window;
 pub mod wire;
 
-pub use brain::Controller;
+pub use controller::Controller;
 pub use interface::{Action, Event, Policy, Settings};
 
 impl Policy for Controller {
--- a/crates/lilacpitch/src/wire.rs
+++ b/crates/lilacpitch/src/wire.rs
@@ -2,7 +2,7 @@
 //!
 //! Only framing, parsing and printing: nothing here decides anything about a call.
 
-use crate::brain::Controller;
+use crate::controller::Controller;
 use crate::interface::*;
 use crate::settings::Site;
 use std::collections::BTreeMap;
