--- a/crates/lilacpitch-edge/src/core/calls.rs
+++ b/crates/lilacpitch-edge/src/core/calls.rs
@@ -3,7 +3,7 @@
 use super::attempt::{Attempt, AttemptState};
 use super::site::{dialled, NO_POOL};
 use super::{left, AttemptId, CallerId, Effect, Front, Timer};
-use lilacpitch::interface::{self, Nanos, Outcome, Report, ServerId};
+use lilacpitch::interface::{self, LoadReport, Nanos, Outcome, ServerId};
 use lilacpitch::Event;
 use lilacpitch_protocol::message::call::{Answer, ToCaller};
 use lilacpitch_protocol::message::signal::ToServer;
@@ -81,8 +81,8 @@
             // The caller's time began when it sent, which may be before a stall of this front.
             budget_ns: (asked.budget_ms * 1_000_000).saturating_sub(self.stall.span_ns(self.now)),
             dialled: asked.number.as_deref().map(dialled),
-            width: 1.0,
-            again: false,
+            circuits: 1.0,
+            retry_after_cut: false,
             in_transit: false,
         };
         let ask = self.asks_fleet(&asked, call.budget_ns);
@@ -90,7 +90,7 @@
             self.timers.set(Timer::Locate(id), self.now + patience_ns);
             effects.push(Effect::Locate { call: id, number, patience_ns });
         } else {
-            self.follow.push_back(Event::Call(call));
+            self.follow.push_back(Event::CallArrived(call));
         }
         self.calls.insert(
             id,
@@ -130,7 +130,7 @@
             Some(super::links::Link::Up(..)) => self.transmit_setup(id, effects),
             Some(super::links::Link::Connecting(_)) => {}
             // Never reached: the next try to connect is the timer's.
-            _ => self.end_attempt(id, Outcome::NoRoute, Report::default(), effects),
+            _ => self.end_attempt(id, Outcome::Unreachable, LoadReport::default(), effects),
         }
         if !self.guards.one_attempt {
             self.send_a_second(call, server, effects);
@@ -194,12 +194,12 @@
     pub(super) fn cancel(&mut self, call: u64, hop: u32, effects: &mut Vec<Effect>) {
         let Some(id) = self.calls.get(&call).and_then(|c| c.attempt) else { return };
         if self.attempts.get(&id).is_some_and(|a| a.hop == hop && a.state != AttemptState::Standing) {
-            self.end_attempt(id, Outcome::CalledOff, Report::default(), effects);
+            self.end_attempt(id, Outcome::Cancelled, LoadReport::default(), effects);
         }
     }
 
     /// A server answered: the call stands.
-    pub(super) fn stands(&mut self, id: AttemptId, report: Report, effects: &mut Vec<Effect>) {
+    pub(super) fn stands(&mut self, id: AttemptId, report: LoadReport, effects: &mut Vec<Effect>) {
         self.timers.clear(Timer::TimeOut(id));
         self.timers.clear(Timer::Resend(id));
         let Some(attempt) = self.attempts.get_mut(&id) else { return };
@@ -216,9 +216,9 @@
             effects.push(Effect::ToCaller(caller, answer.encode()));
         }
         self.row_stands(call, server);
-        self.follow.push_back(Event::Standing { call, attempt: hop });
-        if report.free.is_some() {
-            self.follow.push_back(Event::Reported { server, report });
+        self.follow.push_back(Event::CallEstablished { call, attempt: hop });
+        if report.free_capacity.is_some() {
+            self.follow.push_back(Event::ServerLoadReported { server, report });
         }
     }
 
@@ -285,7 +285,7 @@
         let Some(ended) = self.attempts.remove(&attempt) else { return };
         self.forget_attempt(attempt, ended.server);
         self.transmit(ended.server, &ToServer::Release { attempt }, None, effects);
-        self.settled(id, ended.hop, ended.server, Outcome::Passed, true, Report::default());
+        self.settled(id, ended.hop, ended.server, Outcome::Completed, true, LoadReport::default());
         self.let_go(ended.server, effects);
     }
 
@@ -293,7 +293,7 @@
     /// the module told that nothing more is owed.
     pub(super) fn abandon(&mut self, id: u64, effects: &mut Vec<Effect>) {
         if self.calls.get(&id).is_some_and(|call| call.waits.is_none()) {
-            self.follow.push_back(Event::CallerGone(id));
+            self.follow.push_back(Event::ClientDisconnected(id));
         }
         let Some(attempt) = self.calls.get_mut(&id).and_then(|call| call.attempt.take()) else { return };
         let Some(ended) = self.attempts.remove(&attempt) else { return };
@@ -302,7 +302,7 @@
         if left(ended.state) {
             self.transmit(ended.server, &ToServer::Cancel { attempt }, None, effects);
         }
-        self.settled(id, ended.hop, ended.server, Outcome::CalledOff, true, Report::default());
+        self.settled(id, ended.hop, ended.server, Outcome::Cancelled, true, LoadReport::default());
         self.let_go(ended.server, effects);
     }
 }
--- a/crates/lilacpitch-edge/src/core/facts.rs
+++ b/crates/lilacpitch-edge/src/core/facts.rs
@@ -13,20 +13,20 @@
     /// What this front knows of servers from its own set-ups.
     pub fn facts(&self) -> Vec<Fact> {
         let ms = |ns: Nanos| u32::try_from(ns / MS).unwrap_or(u32::MAX);
-        let named = |fact: interface::Fact| {
+        let named = |fact: interface::ServerReport| {
             Some(Fact {
                 server: self.servers.rows.get(&fact.server)?.name.clone(),
                 age_ms: ms(fact.age_ns),
                 wait_ms: ms(fact.wait_ns),
-                out: fact.out.min(MAX_SETUPS),
-                stood: fact.stood.min(MAX_SETUPS),
-                suspect: fact.suspect,
+                out: fact.in_flight.min(MAX_SETUPS),
+                stood: fact.succeeded.min(MAX_SETUPS),
+                suspect: fact.is_unresponsive,
                 // Warm for long is of no use to anybody.
                 cold_ms: fact.cold_ns.filter(|ns| *ns < self.settings.rules.cold_span_ns).map(ms),
-                drained: fact.drained,
+                drained: fact.is_draining,
             })
         };
-        let mut facts: Vec<Fact> = self.brain.facts().into_iter().filter_map(named).collect();
+        let mut facts: Vec<Fact> = self.brain.server_reports().into_iter().filter_map(named).collect();
         // Past an hour a fact is none.
         facts.retain(|fact| fact.check().is_ok());
         // The most telling first, should there be more than are told.
@@ -46,19 +46,19 @@
     pub(super) fn on_told(&mut self, origin: u64, facts: Vec<Fact>) {
         let known = |fact: Fact| {
             let server = self.servers.known(&fact.server)?;
-            Some(interface::Fact {
+            Some(interface::ServerReport {
                 server,
                 age_ns: Nanos::from(fact.age_ms) * MS,
                 wait_ns: Nanos::from(fact.wait_ms) * MS,
-                out: fact.out,
-                stood: fact.stood,
-                suspect: fact.suspect,
+                in_flight: fact.out,
+                succeeded: fact.stood,
+                is_unresponsive: fact.suspect,
                 cold_ns: fact.cold_ms.map(|ms| Nanos::from(ms) * MS),
-                drained: fact.drained,
+                is_draining: fact.drained,
             })
         };
-        let facts: Vec<interface::Fact> = facts.into_iter().filter_map(known).collect();
+        let facts: Vec<interface::ServerReport> = facts.into_iter().filter_map(known).collect();
         self.counters.facts_told += facts.len() as u64;
-        self.follow.push_back(Event::Told { peer: origin, facts });
+        self.follow.push_back(Event::PeerReported { peer: origin, server_reports: facts });
     }
 }
--- a/crates/lilacpitch-edge/src/core/fleet.rs
+++ b/crates/lilacpitch-edge/src/core/fleet.rs
@@ -95,7 +95,7 @@
             call.first_choice = number;
         }
         call.budget_ns = call.budget_ns.saturating_sub(self.now - since_ns);
-        self.follow.push_back(Event::Call(call));
+        self.follow.push_back(Event::CallArrived(call));
     }
 
     pub(super) fn on_caller_number(&mut self, caller: CallerId, number: String) {
--- a/crates/lilacpitch-edge/src/core/links.rs
+++ b/crates/lilacpitch-edge/src/core/links.rs
@@ -3,7 +3,7 @@
 
 use super::attempt::AttemptState;
 use super::{left, AttemptId, Effect, Front, LinkId, Timer};
-use lilacpitch::interface::{Availability, Entry, Nanos, Outcome, Report, ServerId};
+use lilacpitch::interface::{Availability, Endpoint, LoadReport, Nanos, Outcome, ServerId};
 use lilacpitch::Event;
 use lilacpitch_protocol::message::call::ToCaller;
 use lilacpitch_protocol::message::signal::{FromServer, ReleaseCause, ToServer};
@@ -26,7 +26,7 @@
 pub(super) struct ServerRow {
     pub name: String,
     pub address: SocketAddr,
-    pub entry: Entry,
+    pub entry: Endpoint,
     pub started_ms: u64,
     pub link: Link,
     failures: u32,
@@ -35,7 +35,7 @@
 }
 
 impl ServerRow {
-    pub fn new(name: String, address: SocketAddr, entry: Entry, started_ms: u64) -> Self {
+    pub fn new(name: String, address: SocketAddr, entry: Endpoint, started_ms: u64) -> Self {
         let attempts = BTreeSet::new();
         ServerRow { name, address, entry, started_ms, link: Link::Untried, failures: 0, attempts }
     }
@@ -149,12 +149,16 @@
         for id in attempts {
             let Some(attempt) = self.attempts.get(&id) else { continue };
             match attempt.state {
-                AttemptState::Queued => self.end_attempt(id, Outcome::NoRoute, Report::default(), effects),
+                AttemptState::Queued => {
+                    self.end_attempt(id, Outcome::Unreachable, LoadReport::default(), effects)
+                }
                 AttemptState::Out { message, .. } if message >= written => {
                     self.counters.attempts_unsent += 1;
-                    self.end_attempt(id, Outcome::NoRoute, Report::default(), effects);
+                    self.end_attempt(id, Outcome::Unreachable, LoadReport::default(), effects);
+                }
+                AttemptState::Out { .. } => {
+                    self.end_attempt(id, Outcome::Cut, LoadReport::default(), effects)
                 }
-                AttemptState::Out { .. } => self.end_attempt(id, Outcome::Cut, Report::default(), effects),
                 AttemptState::Standing => self.call_ended(id, ReleaseCause::Cut, effects),
             }
         }
@@ -190,7 +194,7 @@
     /// A server that is gone keeps its connection until the last call there has ended.
     pub(super) fn let_go(&mut self, id: ServerId, effects: &mut Vec<Effect>) {
         let Some(row) = self.servers.rows.get_mut(&id) else { return };
-        if row.entry.availability != Availability::Gone || !row.attempts.is_empty() {
+        if row.entry.availability != Availability::Removed || !row.attempts.is_empty() {
             return;
         }
         if let Link::Connecting(link) | Link::Up(link, _) = row.link {
@@ -214,7 +218,7 @@
         // A repeat that was not written leaves the set-up itself out.
         let Some(attempt) = server.attempts.iter().find(is_it).copied() else { return };
         self.counters.attempts_unsent += 1;
-        self.end_attempt(attempt, Outcome::NotSent, Report::default(), effects);
+        self.end_attempt(attempt, Outcome::NotSent, LoadReport::default(), effects);
     }
 
     pub(super) fn on_link_text(&mut self, link: LinkId, text: &str, effects: &mut Vec<Effect>) {
@@ -223,7 +227,8 @@
             Ok(message) => message,
             Err(error) => return self.server_error(server, &error.to_string()),
         };
-        let report = Report { free: message.load().and_then(|l| l.free).map(|free| free as f64) };
+        let report =
+            LoadReport { free_capacity: message.load().and_then(|l| l.free).map(|free| free as f64) };
         let id = message.attempt();
         let state = self.attempts.get(&id).filter(|a| a.server == server).map(|a| a.state);
         match (message, state) {
@@ -263,13 +268,13 @@
         });
         let Some(call) = self.remove_call(ended.call) else { return };
         let (outcome, word) = match cause {
-            ReleaseCause::Ended => (Outcome::Passed, "ended"),
+            ReleaseCause::Ended => (Outcome::Completed, "ended"),
             ReleaseCause::Cut => (Outcome::Cut, "cut"),
         };
         self.counters.calls_cut += u64::from(cause == ReleaseCause::Cut);
         let text = ToCaller::Released { call: call.name, cause: word.into() }.encode();
         effects.push(Effect::ToCaller(call.caller, text));
-        self.settled(ended.call, ended.hop, ended.server, outcome, true, Report::default());
+        self.settled(ended.call, ended.hop, ended.server, outcome, true, LoadReport::default());
     }
 
     pub(super) fn settled(
@@ -279,9 +284,16 @@
         server: ServerId,
         outcome: Outcome,
         closed: bool,
-        report: Report,
+        report: LoadReport,
     ) {
-        self.follow.push_back(Event::Settled { call, attempt: hop, server, outcome, closed, report });
+        self.follow.push_back(Event::AttemptCompleted {
+            call,
+            attempt: hop,
+            server,
+            outcome,
+            is_final: closed,
+            report,
+        });
     }
 
     /// Ends an attempt that has no answer: its server is told if it may know of it, the module in any case.
@@ -289,18 +301,18 @@
         &mut self,
         id: AttemptId,
         outcome: Outcome,
-        report: Report,
+        report: LoadReport,
         effects: &mut Vec<Effect>,
     ) {
         let Some(attempt) = self.attempts.remove(&id) else { return };
         self.forget_attempt(id, attempt.server);
         match outcome {
             Outcome::TimedOut => self.counters.attempts_timed_out += 1,
-            Outcome::CalledOff => self.counters.attempts_cancelled += 1,
-            Outcome::ProcessorFull(_) => self.counters.attempts_full += 1,
+            Outcome::Cancelled => self.counters.attempts_cancelled += 1,
+            Outcome::Overloaded(_) => self.counters.attempts_full += 1,
             _ => {}
         }
-        let told = matches!(outcome, Outcome::TimedOut | Outcome::CalledOff) && left(attempt.state);
+        let told = matches!(outcome, Outcome::TimedOut | Outcome::Cancelled) && left(attempt.state);
         if told {
             self.transmit(attempt.server, &ToServer::Cancel { attempt: id }, None, effects);
         }
@@ -324,7 +336,7 @@
 fn outcome(message: &FromServer) -> Option<Outcome> {
     Some(match message {
         FromServer::Full { wait_ms, .. } => {
-            Outcome::ProcessorFull(wait_ms.filter(|ms| *ms > 0).map(|ms| ms * 1_000_000))
+            Outcome::Overloaded(wait_ms.filter(|ms| *ms > 0).map(|ms| ms * 1_000_000))
         }
         FromServer::NoCircuit { .. } => Outcome::NoCircuit,
         FromServer::LinesBusy { .. } => Outcome::LinesBusy,
--- a/crates/lilacpitch-edge/src/core/mod.rs
+++ b/crates/lilacpitch-edge/src/core/mod.rs
@@ -22,7 +22,7 @@
 
 use attempt::{Attempt, AttemptState};
 use calls::Call;
-use lilacpitch::interface::{Action, Nanos, Outcome, Report};
+use lilacpitch::interface::{Action, LoadReport, Nanos, Outcome};
 use lilacpitch::{Controller, Event, Policy, Settings};
 use lilacpitch_config::{Edge, Pools};
 use lilacpitch_net::{Stall, Timers};
@@ -299,9 +299,9 @@
     fn fire_due(&mut self, effects: &mut Vec<Effect>) {
         while let Some(timer) = self.timers.pop_due(self.now) {
             match timer {
-                Timer::Module => self.follow.push_back(Event::Wake),
+                Timer::Module => self.follow.push_back(Event::TimerFired),
                 Timer::TimeOut(attempt) => {
-                    self.end_attempt(attempt, Outcome::TimedOut, Report::default(), effects)
+                    self.end_attempt(attempt, Outcome::TimedOut, LoadReport::default(), effects)
                 }
                 Timer::Resend(attempt) => self.resend(attempt, effects),
                 Timer::Reconnect(server) => self.connect(server, effects),
@@ -319,11 +319,13 @@
             self.brain.handle(self.now, event, &mut actions);
             for action in actions.drain(..) {
                 match action {
-                    Action::Send { call, server, timeout_ns } => self.send(call, server, timeout_ns, effects),
-                    Action::Cancel { call, attempt } => self.cancel(call, attempt, effects),
-                    Action::Refuse { call, retry_after_ns } => self.refuse(call, retry_after_ns, effects),
+                    Action::ForwardSetup { call, server, timeout_ns } => {
+                        self.send(call, server, timeout_ns, effects)
+                    }
+                    Action::CancelAttempt { call, attempt } => self.cancel(call, attempt, effects),
+                    Action::Reject { call, retry_after_ns } => self.refuse(call, retry_after_ns, effects),
                     Action::Fail { call } => self.fail(call, "no further attempt is allowed", effects),
-                    Action::WakeAt(at) => self.timers.set_no_later(Timer::Module, at),
+                    Action::SetTimer(at) => self.timers.set_no_later(Timer::Module, at),
                     // The pool list comes unasked.
                     Action::Subscribe => {}
                 }
--- a/crates/lilacpitch-edge/src/core/pools.rs
+++ b/crates/lilacpitch-edge/src/core/pools.rs
@@ -2,7 +2,7 @@
 
 use super::links::ServerRow;
 use super::{Effect, Front};
-use lilacpitch::interface::{Availability, Entry, Nanos, News, Outcome, Report, ServerId};
+use lilacpitch::interface::{Availability, Endpoint, EndpointUpdate, LoadReport, Nanos, Outcome, ServerId};
 use lilacpitch::Event;
 use lilacpitch_config::{Pools, Server, ServerState};
 use std::collections::BTreeSet;
@@ -42,7 +42,7 @@
         }
         for (id, row) in &mut self.servers.rows {
             if !listed.contains(id) {
-                row.entry.availability = Availability::Gone;
+                row.entry.availability = Availability::Removed;
             }
         }
         let ids: Vec<ServerId> = self.servers.rows.keys().copied().collect();
@@ -61,8 +61,8 @@
             }
         }
         tracing::info!(servers = entries.len(), "pool list taken");
-        entries.retain(|e| e.availability != Availability::Gone);
-        self.follow.push_back(Event::List(News::Full(entries)));
+        entries.retain(|e| e.availability != Availability::Removed);
+        self.follow.push_back(Event::EndpointsUpdated(EndpointUpdate::Full(entries)));
     }
 
     /// Enters a listed server, or what has changed of it.
@@ -72,7 +72,7 @@
         let availability = match server.state {
             ServerState::Running => Availability::Ready,
             ServerState::Draining => Availability::Draining,
-            ServerState::Gone => Availability::Gone,
+            ServerState::Gone => Availability::Removed,
         };
         let id = self.servers.id_of(&server.name);
         let row = self.servers.rows.get(&id);
@@ -81,7 +81,7 @@
             Some(row) => row.entry.up_since_ns,
             None => server.started_ms.saturating_mul(1_000_000).min(self.now),
         };
-        let entry = Entry { server: id, number, zone, availability, up_since_ns };
+        let entry = Endpoint { server: id, number, zone, availability, up_since_ns };
         let moved = row.is_some_and(|row| row.address != server.address);
         let anew = row.is_some_and(|row| row.started_ms != server.started_ms);
         match self.servers.rows.get_mut(&id) {
@@ -108,7 +108,7 @@
     /// after all: what the list tells binds what is queued as well as what the module decides.
     fn withdraw_queued(&mut self, id: ServerId, effects: &mut Vec<Effect>) {
         for attempt in self.servers.queued(id) {
-            self.end_attempt(attempt, Outcome::NotSent, Report::default(), effects);
+            self.end_attempt(attempt, Outcome::NotSent, LoadReport::default(), effects);
         }
     }
 
--- a/crates/lilacpitch-edge/src/core/site.rs
+++ b/crates/lilacpitch-edge/src/core/site.rs
@@ -1,6 +1,6 @@
 //! Names to numbers: classes, pools, zones and dialled numbers as the module knows them.
 
-use lilacpitch::interface::{Class, Repeat, Settings};
+use lilacpitch::interface::{Class, Idempotency, Settings};
 use lilacpitch_config::Edge;
 use std::collections::BTreeMap;
 use std::hash::{DefaultHasher, Hash, Hasher};
@@ -56,27 +56,27 @@
     /// What the module is told at its start.
     pub fn module_settings(&self, edge: &Edge) -> Settings {
         let class = |class: &lilacpitch_config::Class| Class {
-            aim_ns: class.aim_ns,
+            latency_objective_ns: class.aim_ns,
             deadline_ns: class.give_up_ns,
-            worth: class.worth,
-            late_worth: class.late_worth,
+            priority_weight: class.worth,
+            late_weight: class.late_worth,
             // A set-up that ran twice holds a circuit until it is released: safe to send again.
-            repeat: Repeat::Safe,
-            memory_ns: 0,
+            idempotency: Idempotency::Idempotent,
+            key_retention_ns: 0,
             pools: class.pools.iter().filter_map(|name| self.pool(name)).collect(),
         };
         Settings {
             classes: edge.classes.iter().map(class).collect(),
             home: None,
-            resend_ns: edge.timing.resend_ns,
+            resend_interval_ns: edge.timing.resend_ns,
             release_ns: edge.rules.release_ns,
             max_attempts: edge.rules.max_attempts,
             may_cancel: true,
             max_retry_after_ns: edge.timing.come_back_longest_ns,
-            list_on_request: false,
-            cold_from: edge.rules.cold_from,
+            must_subscribe: false,
+            slow_start_floor: edge.rules.cold_from,
             cold_ns: edge.rules.cold_span_ns,
-            tip_multiple: edge.rules.tip_multiple,
+            overload_multiple: edge.rules.tip_multiple,
             tick_ns: edge.timing.tick_ns,
         }
     }
--- a/crates/lilacpitch-edge/src/fleet/locate_dispatcher.rs
+++ b/crates/lilacpitch-edge/src/fleet/locate_dispatcher.rs
@@ -120,7 +120,7 @@
                 }
                 News::Ended(done, outcome, answer) => {
                     if let Do::Ask { question, site, process, .. } = done {
-                        let gone = matches!(outcome, Outcome::TimedOut | Outcome::NoRoute | Outcome::Cut);
+                        let gone = matches!(outcome, Outcome::TimedOut | Outcome::Unreachable | Outcome::Cut);
                         if gone && away.insert((site, process)) {
                             tokio::spawn(look_after(agent.clone(), site, process, news_again.clone()));
                         }
@@ -176,11 +176,11 @@
 
 fn why(outcome: Outcome) -> LocateError {
     match outcome {
-        Outcome::ProcessorFull(wait) => {
+        Outcome::Overloaded(wait) => {
             let wait_ms = wait.map_or(0, |ns| (ns / 1_000_000) as u32);
             LocateError::Refused(Refusal::Full { wait_ms })
         }
-        Outcome::NoRoute => LocateError::Unreached,
+        Outcome::Unreachable => LocateError::Unreached,
         Outcome::NoCircuit => LocateError::Refused(Refusal::Behind),
         _ => LocateError::Late,
     }
@@ -189,16 +189,16 @@
 /// How an attempt ended, in the module's words.
 fn outcome(said: Result<Response, LinkError>) -> (Outcome, Option<(Page, String)>) {
     match said {
-        Ok(Response::Found { page, process }) => (Outcome::Passed, Some((page, process))),
+        Ok(Response::Found { page, process }) => (Outcome::Completed, Some((page, process))),
         Ok(Response::Refused(Refusal::Full { wait_ms })) => {
-            (Outcome::ProcessorFull(Some(u64::from(wait_ms) * 1_000_000)), None)
+            (Outcome::Overloaded(Some(u64::from(wait_ms) * 1_000_000)), None)
         }
         // It runs and has nothing to give: as a server without a free circuit.
         Ok(Response::Refused(_)) => (Outcome::NoCircuit, None),
         Ok(_) => (Outcome::Fault, None),
         Err(LinkError::Late) => (Outcome::TimedOut, None),
         Err(LinkError::Unreached(..) | LinkError::Greeting(_) | LinkError::Backlog) => {
-            (Outcome::NoRoute, None)
+            (Outcome::Unreachable, None)
         }
         Err(LinkError::Closed | LinkError::Frame(_)) => (Outcome::Cut, None),
     }
--- a/crates/lilacpitch-fleet/src/query_dispatcher.rs
+++ b/crates/lilacpitch-fleet/src/query_dispatcher.rs
@@ -4,7 +4,8 @@
 
 use crate::Nanos;
 use lilacpitch::interface::{
-    Action, Availability, Call, Class, Entry, News, Outcome, Repeat, Report, ServerId, Settings,
+    Action, Availability, Call, Class, Endpoint, EndpointUpdate, Idempotency, LoadReport, Outcome, ServerId,
+    Settings,
 };
 use lilacpitch::{Controller, Event};
 
@@ -52,7 +53,7 @@
 /// The module in the midst of questions.
 pub struct Asker {
     brain: Controller,
-    entries: Vec<Entry>,
+    entries: Vec<Endpoint>,
     actions: Vec<Action>,
     next: u64,
     attempts: std::collections::BTreeMap<u64, u32>,
@@ -65,13 +66,13 @@
     /// For sites with so many processes each.
     pub fn new(sites: &[usize], timing: Timing, now: Nanos, seed: u64) -> Self {
         let class = |site: u32, urgent: bool| Class {
-            aim_ns: timing.aim_ns,
+            latency_objective_ns: timing.aim_ns,
             deadline_ns: timing.aim_ns * 4,
-            worth: if urgent { 10.0 } else { 1.0 },
-            late_worth: 0.5,
+            priority_weight: if urgent { 10.0 } else { 1.0 },
+            late_weight: 0.5,
             // A question changes nothing.
-            repeat: Repeat::Safe,
-            memory_ns: 0,
+            idempotency: Idempotency::Idempotent,
+            key_retention_ns: 0,
             pools: vec![site],
         };
         let classes =
@@ -79,19 +80,19 @@
         let settings = Settings {
             classes,
             home: None,
-            resend_ns: 0,
+            resend_interval_ns: 0,
             release_ns: 0,
             max_attempts: 3,
             // Attempts that time out go to another process while there is time.
             may_cancel: false,
             max_retry_after_ns: 0,
-            list_on_request: false,
-            cold_from: 1.0,
+            must_subscribe: false,
+            slow_start_floor: 1.0,
             cold_ns: 0,
-            tip_multiple: 1e6,
+            overload_multiple: 1e6,
             tick_ns: timing.tick_ns,
         };
-        let entry = |site: usize, process: usize| Entry {
+        let entry = |site: usize, process: usize| Endpoint {
             server: site as u64 * MOST_PROCESSES + process as u64,
             number: site as u32,
             zone: 0,
@@ -99,10 +100,10 @@
             up_since_ns: 0,
         };
         let all = sites.iter().enumerate().flat_map(|(site, count)| (0..*count).map(move |p| entry(site, p)));
-        let entries: Vec<Entry> = all.collect();
+        let entries: Vec<Endpoint> = all.collect();
         let mut brain = Controller::new(settings, seed);
         let mut actions = Vec::new();
-        brain.handle(now, Event::List(News::Full(entries.clone())), &mut actions);
+        brain.handle(now, Event::EndpointsUpdated(EndpointUpdate::Full(entries.clone())), &mut actions);
         Asker { brain, entries, actions, next: 1, attempts: std::collections::BTreeMap::new() }
     }
 
@@ -113,7 +114,7 @@
         if let Some(entry) = self.entries.iter_mut().find(|entry| entry.server == id) {
             entry.up_since_ns = now;
             let entry = *entry;
-            self.handle(now, Event::List(News::Changes(vec![entry])), out);
+            self.handle(now, Event::EndpointsUpdated(EndpointUpdate::Changes(vec![entry])), out);
         }
     }
 
@@ -128,11 +129,11 @@
             first_choice: site as u32,
             budget_ns,
             dialled: None,
-            width: 1.0,
-            again: false,
+            circuits: 1.0,
+            retry_after_cut: false,
             in_transit: false,
         };
-        self.handle(now, Event::Call(call), out);
+        self.handle(now, Event::CallArrived(call), out);
         id
     }
 
@@ -140,26 +141,27 @@
     pub fn ended(&mut self, now: Nanos, done: Do, outcome: Outcome, out: &mut Vec<Do>) {
         let Do::Ask { question, attempt, site, process, .. } = done else { return };
         let server = server(site, process);
-        if outcome == Outcome::Passed {
+        if outcome == Outcome::Completed {
             self.attempts.remove(&question);
-            self.handle(now, Event::Standing { call: question, attempt }, out);
+            self.handle(now, Event::CallEstablished { call: question, attempt }, out);
         }
-        let closed = outcome == Outcome::Passed;
-        let report = Report::default();
-        let event = Event::Settled { call: question, attempt, server, outcome, closed, report };
+        let closed = outcome == Outcome::Completed;
+        let report = LoadReport::default();
+        let event =
+            Event::AttemptCompleted { call: question, attempt, server, outcome, is_final: closed, report };
         self.handle(now, event, out);
     }
 
     /// Nobody wants the answer any more.
     pub fn forget(&mut self, now: Nanos, question: u64, out: &mut Vec<Do>) {
         if self.attempts.remove(&question).is_some() {
-            self.handle(now, Event::CallerGone(question), out);
+            self.handle(now, Event::ClientDisconnected(question), out);
         }
     }
 
     /// A wake-up that was asked for.
     pub fn wake(&mut self, now: Nanos, out: &mut Vec<Do>) {
-        self.handle(now, Event::Wake, out);
+        self.handle(now, Event::TimerFired, out);
     }
 
     fn handle(&mut self, now: Nanos, event: Event, out: &mut Vec<Do>) {
@@ -167,7 +169,7 @@
         self.brain.handle(now, event, &mut actions);
         for action in actions.drain(..) {
             match action {
-                Action::Send { call, server, timeout_ns } => {
+                Action::ForwardSetup { call, server, timeout_ns } => {
                     let Some(attempts) = self.attempts.get_mut(&call) else { continue };
                     let attempt = *attempts;
                     *attempts += 1;
@@ -175,7 +177,7 @@
                     let (site, process) = (site as usize, process as usize);
                     out.push(Do::Ask { question: call, attempt, site, process, timeout_ns });
                 }
-                Action::Refuse { call, .. } => {
+                Action::Reject { call, .. } => {
                     self.attempts.remove(&call);
                     out.push(Do::Refuse(call));
                 }
@@ -183,9 +185,9 @@
                     self.attempts.remove(&call);
                     out.push(Do::Fail(call));
                 }
-                Action::WakeAt(at) => out.push(Do::WakeAt(at)),
+                Action::SetTimer(at) => out.push(Do::WakeAt(at)),
                 // Without leave to call attempts off there is none; the list does not change.
-                Action::Cancel { .. } | Action::Subscribe => {}
+                Action::CancelAttempt { .. } | Action::Subscribe => {}
             }
         }
         self.actions = actions;
--- a/crates/lilacpitch-node/src/core/active_calls.rs
+++ b/crates/lilacpitch-node/src/core/active_calls.rs
@@ -3,7 +3,7 @@
 use super::calls::{Attempt, AttemptState, Call};
 use super::{CallerId, Effect, Node};
 use crate::signal::{self, CAUSE_CUT, CAUSE_NORMAL};
-use lilacpitch::interface::{CallId, Nanos, Outcome, Report, ServerId};
+use lilacpitch::interface::{CallId, LoadReport, Nanos, Outcome, ServerId};
 use lilacpitch_sip::Request;
 
 /// Releases kept for a connection that may take them; the oldest go first.
@@ -57,10 +57,10 @@
         &mut self,
         id: CallId,
         cause: u16,
-        report: Report,
+        report: LoadReport,
         effects: &mut Vec<Effect>,
     ) {
-        let outcome = if cause == CAUSE_NORMAL { Outcome::Passed } else { Outcome::Cut };
+        let outcome = if cause == CAUSE_NORMAL { Outcome::Completed } else { Outcome::Cut };
         let Some((call, attempt)) = self.take_standing(id) else { return };
         self.tell_release(call.caller, call.wire, cause, effects);
         self.settled(id, attempt.hop, attempt.server, outcome, true, report);
@@ -68,9 +68,9 @@
 
     /// The server's word that a call has come to its end, ahead of its answer: it stood there and is over, so that
     /// its caller is told, and it is not set up again.
-    pub(super) fn ended_unanswered(&mut self, id: CallId, report: Report, effects: &mut Vec<Effect>) {
+    pub(super) fn ended_unanswered(&mut self, id: CallId, report: LoadReport, effects: &mut Vec<Effect>) {
         let Some(attempt) = self.take_attempt(id) else { return };
-        self.settled(id, attempt.hop, attempt.server, Outcome::Passed, true, report);
+        self.settled(id, attempt.hop, attempt.server, Outcome::Completed, true, report);
         self.fail(id, effects);
     }
 
@@ -78,14 +78,14 @@
     pub(super) fn released_by_caller(&mut self, id: CallId, effects: &mut Vec<Effect>) {
         let Some((call, attempt)) = self.take_standing(id) else { return };
         self.release_at_server(attempt, call.wire, effects);
-        self.settled(id, attempt.hop, attempt.server, Outcome::Passed, true, Report::default());
+        self.settled(id, attempt.hop, attempt.server, Outcome::Completed, true, LoadReport::default());
     }
 
     /// The server is not there any more, and what stood there with it.
     pub(super) fn orphaned(&mut self, id: CallId, why: &str, effects: &mut Vec<Effect>) {
         self.counters.orphans += 1;
         tracing::trace!(call = id, why, "orphan");
-        self.released_by_server(id, CAUSE_CUT, Report::default(), effects);
+        self.released_by_server(id, CAUSE_CUT, LoadReport::default(), effects);
     }
 
     fn take_standing(&mut self, id: CallId) -> Option<(Call, Attempt)> {
--- a/crates/lilacpitch-node/src/core/calls.rs
+++ b/crates/lilacpitch-node/src/core/calls.rs
@@ -2,7 +2,7 @@
 
 use super::{CallerId, Effect, LinkId, Node, Timer};
 use crate::signal;
-use lilacpitch::interface::{self, CallId, Nanos, Outcome, Report, ServerId};
+use lilacpitch::interface::{self, CallId, LoadReport, Nanos, Outcome, ServerId};
 use lilacpitch::Event;
 use lilacpitch_sip::Response;
 
@@ -87,8 +87,8 @@
             // The caller's time began when it sent, which may be before a stall of this node.
             budget_ns: (asked.left_ms * 1_000_000).saturating_sub(self.stall.span_ns(self.now)),
             dialled: Some(dialled(&asked.number)),
-            width: asked.width,
-            again: asked.again,
+            circuits: asked.width,
+            retry_after_cut: asked.again,
             in_transit: false,
         };
         let set_up = SetUp { number: asked.number, body: asked.body, echo: asked.echo };
@@ -105,7 +105,7 @@
         self.calls.insert(id, row);
         self.open += 1;
         self.by_wire.insert(asked.wire, id);
-        self.follow.push_back(Event::Call(call));
+        self.follow.push_back(Event::CallArrived(call));
     }
 
     /// The module sends a call to a server.
@@ -120,14 +120,14 @@
         self.counters.sends += 1;
         let Some(call) = self.calls.get_mut(&id) else {
             // Its caller has gone, and the module is yet to hear of it.
-            self.settled(id, 0, server, Outcome::NotSent, true, Report::default());
+            self.settled(id, 0, server, Outcome::NotSent, true, LoadReport::default());
             return;
         };
         let hop = call.hops;
         call.hops += 1;
         let used = call.used.clone();
         let Some(link) = self.link_for(server, &used, effects) else {
-            self.settled(id, hop, server, Outcome::NoRoute, false, Report::default());
+            self.settled(id, hop, server, Outcome::Unreachable, false, LoadReport::default());
             return;
         };
         let Some(call) = self.calls.get_mut(&id) else { return };
@@ -160,7 +160,7 @@
     pub(super) fn cancel(&mut self, id: CallId, hop: u32, effects: &mut Vec<Effect>) {
         let out = self.calls.get(&id).filter(|call| !call.stands()).and_then(|call| call.attempt);
         if out.is_some_and(|attempt| attempt.hop == hop) {
-            self.give_up_attempt(id, Outcome::CalledOff, effects);
+            self.give_up_attempt(id, Outcome::Cancelled, effects);
         }
     }
 
@@ -172,7 +172,7 @@
         if let Some((AttemptState::Out(link, _), sent_ns)) = out {
             self.doubt(link, sent_ns, effects);
         }
-        self.end_attempt(id, outcome, Report::default());
+        self.end_attempt(id, outcome, LoadReport::default());
     }
 
     /// Tells the server of an attempt that is out that it is given up.
@@ -191,7 +191,7 @@
     }
 
     /// An attempt without an answer is over: the module is told.
-    pub(super) fn end_attempt(&mut self, id: CallId, outcome: Outcome, report: Report) {
+    pub(super) fn end_attempt(&mut self, id: CallId, outcome: Outcome, report: LoadReport) {
         if let Some(attempt) = self.take_attempt(id) {
             self.settled(id, attempt.hop, attempt.server, outcome, false, report);
         }
@@ -231,12 +231,12 @@
             return;
         }
         self.counters.gone += 1;
-        self.follow.push_back(Event::CallerGone(id));
+        self.follow.push_back(Event::ClientDisconnected(id));
         self.withdraw(id, effects);
         let attempt = self.take_attempt(id);
         self.take_row(id);
         if let Some(attempt) = attempt {
-            self.settled(id, attempt.hop, attempt.server, Outcome::CalledOff, true, Report::default());
+            self.settled(id, attempt.hop, attempt.server, Outcome::Cancelled, true, LoadReport::default());
         }
     }
 
@@ -254,7 +254,7 @@
         self.servers.entry(server).and_modify(|s| _ = s.standing.insert(id));
         self.callers.entry(caller).and_modify(|c| _ = c.open.remove(&id));
         self.counters.stood += 1;
-        self.follow.push_back(Event::Standing { call: id, attempt: hop });
+        self.follow.push_back(Event::CallEstablished { call: id, attempt: hop });
         effects
             .push(Effect::ToCaller(caller, Response::bytes(200, "OK", &set_up.echo, &[], body.as_bytes())));
     }
@@ -279,7 +279,7 @@
         let open: Vec<_> =
             self.calls.iter().filter(|(_, c)| !c.stands()).map(|(id, c)| (*id, c.hops)).collect();
         for (id, hops) in open {
-            self.follow.push_back(Event::CallerGone(id));
+            self.follow.push_back(Event::ClientDisconnected(id));
             match hops {
                 0 => self.refuse(id, None, effects),
                 _ => self.fail(id, effects),
@@ -298,7 +298,7 @@
         // The module gives up nothing that is out: this node does, as it leaves.
         self.withdraw(id, to);
         if let Some(attempt) = self.take_attempt(id) {
-            self.settled(id, attempt.hop, attempt.server, Outcome::CalledOff, true, Report::default());
+            self.settled(id, attempt.hop, attempt.server, Outcome::Cancelled, true, LoadReport::default());
         }
         let Some(call) = self.take_row(id) else { return false };
         if let Some(set_up) = call.set_up {
--- a/crates/lilacpitch-node/src/core/endpoint_list.rs
+++ b/crates/lilacpitch-node/src/core/endpoint_list.rs
@@ -4,7 +4,7 @@
 use super::upstreams::Server;
 use super::{Effect, Node};
 use crate::coordinator::{Endpoints, State, Target};
-use lilacpitch::interface::{Availability, Entry, News, Outcome, Report, ServerId};
+use lilacpitch::interface::{Availability, Endpoint, EndpointUpdate, LoadReport, Outcome, ServerId};
 use lilacpitch::Event;
 use std::collections::BTreeSet;
 
@@ -23,14 +23,14 @@
         }
         if endpoints.all {
             for (_, row) in self.servers.iter_mut().filter(|(id, _)| !listed.contains(id)) {
-                row.entry.availability = Availability::Gone;
+                row.entry.availability = Availability::Removed;
             }
             self.listed = true;
         }
         tracing::info!(servers = entries.len(), whole = endpoints.all, "list news");
-        self.follow.push_back(Event::List(match endpoints.all {
-            true => News::Full(entries),
-            false => News::Changes(entries),
+        self.follow.push_back(Event::EndpointsUpdated(match endpoints.all {
+            true => EndpointUpdate::Full(entries),
+            false => EndpointUpdate::Changes(entries),
         }));
         // The module hears of the list before it hears of what the list ends.
         self.run_follow(effects);
@@ -44,13 +44,13 @@
     }
 
     /// Enters a listed server, or what has changed of it.
-    fn listed(&mut self, target: &Target, effects: &mut Vec<Effect>) -> (ServerId, Entry) {
+    fn listed(&mut self, target: &Target, effects: &mut Vec<Effect>) -> (ServerId, Endpoint) {
         let id = self.by_uid.get(&target.uid).copied().unwrap_or(self.next_server);
         let zone = self.site.zone_names.iter().position(|name| *name == target.az).unwrap_or(0);
         let availability = match target.state {
             State::InService => Availability::Ready,
             State::Terminating => Availability::Draining,
-            State::Terminated => Availability::Gone,
+            State::Terminated => Availability::Removed,
         };
         // A start that the list puts into the future is one of just now: its clock or ours is off.
         let row = self.servers.get(&id);
@@ -59,7 +59,7 @@
             None => target.boot_ms.saturating_mul(1_000_000).min(self.now),
         };
         let entry =
-            Entry { server: id, number: target.pod_group, zone: zone as u32, availability, up_since_ns };
+            Endpoint { server: id, number: target.pod_group, zone: zone as u32, availability, up_since_ns };
         let Some(row) = self.servers.get_mut(&id) else {
             self.next_server += 1;
             self.by_uid.insert(target.uid.clone(), id);
@@ -96,7 +96,9 @@
             for link in links {
                 let set_ups = self.upstreams.get(&link).map_or(BTreeSet::new(), |l| l.set_ups.clone());
                 self.drop_link(link, effects);
-                set_ups.into_iter().for_each(|call| self.end_attempt(call, Outcome::Cut, Report::default()));
+                set_ups
+                    .into_iter()
+                    .for_each(|call| self.end_attempt(call, Outcome::Cut, LoadReport::default()));
             }
         }
         (id, entry)
@@ -113,13 +115,13 @@
             attempt.is_some_and(|a| matches!(a.state, AttemptState::Queued(_)))
         };
         let queued: Vec<_> = waiting.filter(queued).collect();
-        queued.into_iter().for_each(|call| self.end_attempt(call, Outcome::NotSent, Report::default()));
+        queued.into_iter().for_each(|call| self.end_attempt(call, Outcome::NotSent, LoadReport::default()));
     }
 
     /// A server that is gone leaves the tables once nothing is out or stands there.
     pub(super) fn forget_gone(&mut self, id: ServerId, effects: &mut Vec<Effect>) {
         let Some(row) = self.servers.get(&id) else { return };
-        if row.entry.availability != Availability::Gone {
+        if row.entry.availability != Availability::Removed {
             return;
         }
         let up = row.links.iter().any(|link| self.upstreams.get(link).is_some_and(|l| l.up));
--- a/crates/lilacpitch-node/src/core/mod.rs
+++ b/crates/lilacpitch-node/src/core/mod.rs
@@ -18,7 +18,7 @@
 use crate::signal::FromServer;
 use callers::Caller;
 use calls::Call;
-use lilacpitch::interface::{Action, CallId, Nanos, Outcome, Report, ServerId};
+use lilacpitch::interface::{Action, CallId, LoadReport, Nanos, Outcome, ServerId};
 use lilacpitch::settings::Site;
 use lilacpitch::{Controller, Event};
 use lilacpitch_net::{Stall, Timers};
@@ -283,7 +283,7 @@
     fn fire_due(&mut self, effects: &mut Vec<Effect>) {
         while let Some(timer) = self.timers.pop_due(self.now) {
             match timer {
-                Timer::Module => self.follow.push_back(Event::Wake),
+                Timer::Module => self.follow.push_back(Event::TimerFired),
                 Timer::TimeOut(call) => self.give_up_attempt(call, Outcome::TimedOut, effects),
                 Timer::Look => self.look(effects),
                 Timer::Leave => self.leaving = true,
@@ -302,11 +302,13 @@
             traced.iter().for_each(|event| self.trace(event, &actions));
             for action in actions.drain(..) {
                 match action {
-                    Action::Send { call, server, timeout_ns } => self.send(call, server, timeout_ns, effects),
-                    Action::Cancel { call, attempt } => self.cancel(call, attempt, effects),
-                    Action::Refuse { call, retry_after_ns } => self.refuse(call, retry_after_ns, effects),
+                    Action::ForwardSetup { call, server, timeout_ns } => {
+                        self.send(call, server, timeout_ns, effects)
+                    }
+                    Action::CancelAttempt { call, attempt } => self.cancel(call, attempt, effects),
+                    Action::Reject { call, retry_after_ns } => self.refuse(call, retry_after_ns, effects),
                     Action::Fail { call } => self.fail(call, effects),
-                    Action::WakeAt(at) => self.timers.set_no_later(Timer::Module, at),
+                    Action::SetTimer(at) => self.timers.set_no_later(Timer::Module, at),
                     // The coordinator is followed in any case.
                     Action::Subscribe => {}
                 }
@@ -327,21 +329,21 @@
             tracing::trace!(
                 "believed: {what} call={call} wire={:016x} server={} unanswered={} stood={} wait_ms={} suspect={} \
                  open={open} standing={standing}",
-                wire.unwrap_or(0), row.uid, fact.out, fact.stood, fact.wait_ns / 1_000_000, fact.suspect
+                wire.unwrap_or(0), row.uid, fact.in_flight, fact.succeeded, fact.wait_ns / 1_000_000, fact.is_unresponsive
             );
         };
         match event {
-            Event::Standing { call, .. } => {
+            Event::CallEstablished { call, .. } => {
                 let server = self.calls.get(call).and_then(|call| call.attempt).map(|a| a.server);
                 server.iter().for_each(|server| believed("stands", *call, of(call), *server));
             }
-            Event::Settled { call, server, outcome, .. } => {
+            Event::AttemptCompleted { call, server, outcome, .. } => {
                 believed(&format!("{outcome:?}"), *call, of(call), *server);
             }
             _ => {}
         }
         for action in actions {
-            if let Action::Send { call, server, .. } = action {
+            if let Action::ForwardSetup { call, server, .. } = action {
                 believed("sent", *call, of(call), *server);
             }
         }
@@ -369,24 +371,31 @@
         server: ServerId,
         outcome: Outcome,
         closed: bool,
-        report: Report,
+        report: LoadReport,
     ) {
         *self.counters.outcomes.entry(outcome_name(outcome)).or_default() += 1;
-        self.follow.push_back(Event::Settled { call, attempt, server, outcome, closed, report });
+        self.follow.push_back(Event::AttemptCompleted {
+            call,
+            attempt,
+            server,
+            outcome,
+            is_final: closed,
+            report,
+        });
     }
 }
 
 fn outcome_name(outcome: Outcome) -> &'static str {
     match outcome {
-        Outcome::Passed => "passed",
+        Outcome::Completed => "passed",
         Outcome::Fault => "fault",
         Outcome::LinesBusy => "busy",
         Outcome::NoCircuit => "no_circuit",
-        Outcome::ProcessorFull(_) => "full",
+        Outcome::Overloaded(_) => "full",
         Outcome::TimedOut => "timed_out",
-        Outcome::NoRoute => "no_route",
+        Outcome::Unreachable => "no_route",
         Outcome::Cut => "cut",
-        Outcome::CalledOff => "called_off",
+        Outcome::Cancelled => "called_off",
         Outcome::NotSent => "not_sent",
     }
 }
--- a/crates/lilacpitch-node/src/core/upstreams.rs
+++ b/crates/lilacpitch-node/src/core/upstreams.rs
@@ -3,7 +3,7 @@
 use super::calls::AttemptState;
 use super::{Effect, LinkId, Node, Timer};
 use crate::signal::{refused, FromServer, Load};
-use lilacpitch::interface::{CallId, Entry, Nanos, Outcome, Report, ServerId};
+use lilacpitch::interface::{CallId, Endpoint, LoadReport, Nanos, Outcome, ServerId};
 use lilacpitch::Event;
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -42,7 +42,7 @@
 pub(super) struct Server {
     pub uid: String,
     pub address: SocketAddr,
-    pub entry: Entry,
+    pub entry: Endpoint,
     pub boot_ms: u64,
     pub links: Vec<LinkId>,
     /// Calls that stand there.
@@ -208,13 +208,13 @@
                     tracing::trace!("late: an end of {uid:016x}, cause {cause} {note}, server={server}");
                     let known = self.upstreams.get_mut(&id).and_then(|l| l.given_up.remove(&uid)).is_some();
                     self.counters.strays += u64::from(!known);
-                    self.follow.push_back(Event::Reported { server, report });
+                    self.follow.push_back(Event::ServerLoadReported { server, report });
                 }
             }
             FromServer::Usage(load) => {
                 self.heard(server);
                 let report = self.report(&load);
-                self.follow.push_back(Event::Reported { server, report });
+                self.follow.push_back(Event::ServerLoadReported { server, report });
             }
             FromServer::Other => self.heard(server),
         }
@@ -246,7 +246,7 @@
         }
     }
 
-    fn report(&self, load: &Load) -> Report {
+    fn report(&self, load: &Load) -> LoadReport {
         // By the name in the settings, or by the place among them.
         let value = |index: usize, name: &str| load.get(name).or_else(|| load.get(["x0", "x1"].get(index)?));
         self.site.report(value).unwrap_or_default()
@@ -259,7 +259,7 @@
             attempt.is_some_and(|a| a.state == AttemptState::Out(id, message))
         };
         if let Some(call) = link.set_ups.iter().find(out).copied() {
-            self.end_attempt(call, Outcome::NotSent, Report::default());
+            self.end_attempt(call, Outcome::NotSent, LoadReport::default());
             self.run_follow(effects);
         }
     }
@@ -289,9 +289,9 @@
             let state = self.calls.get(&call).and_then(|call| call.attempt).map(|attempt| attempt.state);
             let outcome = match state {
                 Some(AttemptState::Out(_, message)) if message < written => Outcome::Cut,
-                _ => Outcome::NoRoute,
+                _ => Outcome::Unreachable,
             };
-            self.end_attempt(call, outcome, Report::default());
+            self.end_attempt(call, outcome, LoadReport::default());
         }
         if link.up {
             self.keep_reachable(link.server, effects);
--- a/crates/lilacpitch-node/src/signal.rs
+++ b/crates/lilacpitch-node/src/signal.rs
@@ -162,7 +162,7 @@
 /// What the end of a set-up that had no answer yet tells the module.
 pub fn refused(cause: u16, note: &str, waited_ns: Option<Nanos>) -> Outcome {
     match (cause, note) {
-        (34, "ovl") => Outcome::ProcessorFull(waited_ns.filter(|wait| *wait > 0)),
+        (34, "ovl") => Outcome::Overloaded(waited_ns.filter(|wait| *wait > 0)),
         (34, _) => Outcome::NoCircuit,
         (17 | 47, "busy") => Outcome::LinesBusy,
         (17 | 47, _) => Outcome::Fault,
--- a/crates/lilacpitch-testbed/src/baseline.rs
+++ b/crates/lilacpitch-testbed/src/baseline.rs
@@ -55,7 +55,7 @@
 }
 
 struct Server {
-    entry: Entry,
+    entry: Endpoint,
     out: usize,
     /// Set-ups that may be out at once.
     limit: f64,
@@ -91,12 +91,14 @@
     fn handle(&mut self, now: Nanos, event: Event, actions: &mut Vec<Action>) {
         self.now = self.now.max(now);
         match event {
-            Event::List(News::Full(entries)) => {
-                self.servers.values_mut().for_each(|s| s.entry.availability = Availability::Gone);
+            Event::EndpointsUpdated(EndpointUpdate::Full(entries)) => {
+                self.servers.values_mut().for_each(|s| s.entry.availability = Availability::Removed);
                 entries.into_iter().for_each(|entry| self.listed(entry));
             }
-            Event::List(News::Changes(entries)) => entries.into_iter().for_each(|entry| self.listed(entry)),
-            Event::Call(call) => {
+            Event::EndpointsUpdated(EndpointUpdate::Changes(entries)) => {
+                entries.into_iter().for_each(|entry| self.listed(entry))
+            }
+            Event::CallArrived(call) => {
                 let margin = (2 * self.settings.tick_ns).min(call.budget_ns / 2);
                 let deadline_ns = self.now + call.budget_ns - margin;
                 let row =
@@ -104,46 +106,48 @@
                 self.calls.insert(call.id, row);
                 self.place(call.id, actions);
             }
-            Event::CallerGone(call) => drop(self.calls.remove(&call)),
-            Event::Standing { call, .. } => {
+            Event::ClientDisconnected(call) => drop(self.calls.remove(&call)),
+            Event::CallEstablished { call, .. } => {
                 if let Some(server) = self.calls.remove(&call).and_then(|row| row.last) {
                     self.ended(server, true);
                 }
             }
-            Event::Settled { call, server, outcome, closed, .. } => {
+            Event::AttemptCompleted { call, server, outcome, is_final, .. } => {
                 let Some(row) = self.calls.get_mut(&call).filter(|row| row.out) else { return };
                 row.out = false;
                 row.not_before_ns = outcome.needs_release().then_some(self.now + self.settings.release_ns);
                 self.ended(server, !failed(outcome));
-                if closed {
+                if is_final {
                     self.calls.remove(&call);
                 } else {
                     self.place(call, actions);
                 }
             }
-            Event::Wake => {
+            Event::TimerFired => {
                 let due = |row: &Call| !row.out && row.not_before_ns.is_some_and(|at| at <= self.now);
                 let due: Vec<CallId> = self.calls.iter().filter(|(_, r)| due(r)).map(|(id, _)| *id).collect();
                 due.into_iter().for_each(|id| self.place(id, actions));
             }
-            Event::List(News::Failed) | Event::Told { .. } | Event::Reported { .. } => {}
+            Event::EndpointsUpdated(EndpointUpdate::Failed)
+            | Event::PeerReported { .. }
+            | Event::ServerLoadReported { .. } => {}
         }
         let next = self.calls.values().filter(|row| !row.out).filter_map(|row| row.not_before_ns).min();
-        actions.extend(next.map(|at| Action::WakeAt(at.max(self.now + 1))));
+        actions.extend(next.map(|at| Action::SetTimer(at.max(self.now + 1))));
     }
 
-    fn facts(&self) -> Vec<Fact> {
+    fn server_reports(&self) -> Vec<ServerReport> {
         Vec::new()
     }
 }
 
 /// What these policies take for a failure of the server.
 fn failed(outcome: Outcome) -> bool {
-    !matches!(outcome, Outcome::Passed | Outcome::LinesBusy)
+    !matches!(outcome, Outcome::Completed | Outcome::LinesBusy)
 }
 
 impl Front {
-    fn listed(&mut self, entry: Entry) {
+    fn listed(&mut self, entry: Endpoint) {
         let new = |entry| Server {
             entry,
             out: 0,
@@ -206,13 +210,14 @@
         if self.kind == Baseline::Throttle && self.throttled(server) {
             return self.refuse(id, actions);
         }
-        let gap_ns = if self.settings.resend_ns > 0 { self.settings.resend_ns } else { S / 2 };
+        let gap_ns =
+            if self.settings.resend_interval_ns > 0 { self.settings.resend_interval_ns } else { S / 2 };
         let timeout_ns = left.min(GAPS * gap_ns);
         if let Some(row) = self.calls.get_mut(&id) {
             (row.out, row.last, row.attempts) = (true, Some(server), attempts + 1);
         }
         self.servers.entry(server).and_modify(|s| s.out += 1);
-        actions.push(Action::Send { call: id, server, timeout_ns });
+        actions.push(Action::ForwardSetup { call: id, server, timeout_ns });
     }
 
     /// One more try, as all of these have it.
@@ -236,7 +241,7 @@
     fn refuse(&mut self, id: CallId, actions: &mut Vec<Action>) {
         self.calls.remove(&id);
         let retry_after_ns = Some((S / 2).min(self.settings.max_retry_after_ns)).filter(|w| *w > 0);
-        actions.push(Action::Refuse { call: id, retry_after_ns });
+        actions.push(Action::Reject { call: id, retry_after_ns });
     }
 
     /// What an attempt's end does to the server's standing.
--- a/crates/lilacpitch/benches/event_cost.rs
+++ b/crates/lilacpitch/benches/event_cost.rs
@@ -11,26 +11,26 @@
 
 fn settings() -> Settings {
     let class = Class {
-        aim_ns: 2 * S,
+        latency_objective_ns: 2 * S,
         deadline_ns: 9 * S,
-        worth: 1.0,
-        late_worth: 0.25,
-        repeat: Repeat::Safe,
-        memory_ns: 0,
+        priority_weight: 1.0,
+        late_weight: 0.25,
+        idempotency: Idempotency::Idempotent,
+        key_retention_ns: 0,
         pools: vec![],
     };
     Settings {
         classes: vec![class],
         home: None,
-        resend_ns: S / 2,
+        resend_interval_ns: S / 2,
         release_ns: 3 * S / 10,
         max_attempts: 6,
         may_cancel: true,
         max_retry_after_ns: 2 * S,
-        list_on_request: false,
-        cold_from: 0.3,
+        must_subscribe: false,
+        slow_start_floor: 0.3,
         cold_ns: 10 * S,
-        tip_multiple: 3.0,
+        overload_multiple: 3.0,
         tick_ns: 5_000_000,
     }
 }
@@ -61,14 +61,14 @@
             hold,
             actions: Vec::new(),
         };
-        let entry = |server: u64| Entry {
+        let entry = |server: u64| Endpoint {
             server,
             number: server as u32,
             zone: 0,
             availability: Availability::Ready,
             up_since_ns: 0,
         };
-        steady.event(Event::List(News::Full((0..SERVERS).map(entry).collect())));
+        steady.event(Event::EndpointsUpdated(EndpointUpdate::Full((0..SERVERS).map(entry).collect())));
         while steady.standing.len() < hold {
             steady.call();
         }
@@ -80,8 +80,10 @@
         self.brain.handle(self.now, event, &mut actions);
         for action in actions.drain(..) {
             match action {
-                Action::Send { call, server, .. } => self.out.push_back((self.now + ANSWER_NS, call, server)),
-                Action::WakeAt(at) => self.wake_ns = at,
+                Action::ForwardSetup { call, server, .. } => {
+                    self.out.push_back((self.now + ANSWER_NS, call, server))
+                }
+                Action::SetTimer(at) => self.wake_ns = at,
                 other => panic!("a steady front has no cause for {other:?}"),
             }
         }
@@ -93,29 +95,29 @@
         self.now += self.gap_ns;
         if self.wake_ns <= self.now {
             self.wake_ns = Nanos::MAX;
-            self.event(Event::Wake);
+            self.event(Event::TimerFired);
         }
         while let Some((at, call, server)) = self.out.front().copied().filter(|o| o.0 <= self.now) {
             debug_assert!(at <= self.now);
             self.out.pop_front();
-            self.event(Event::Standing { call, attempt: 0 });
+            self.event(Event::CallEstablished { call, attempt: 0 });
             self.standing.push_back((call, server));
         }
         while self.standing.len() > self.hold {
             let Some((call, server)) = self.standing.pop_front() else { break };
-            let (outcome, report) = (Outcome::Passed, Report::default());
-            self.event(Event::Settled { call, attempt: 0, server, outcome, closed: true, report });
+            let (outcome, report) = (Outcome::Completed, LoadReport::default());
+            self.event(Event::AttemptCompleted { call, attempt: 0, server, outcome, is_final: true, report });
         }
         let id = self.next;
         self.next += 1;
-        self.event(Event::Call(Call {
+        self.event(Event::CallArrived(Call {
             id,
             class: 0,
             first_choice: (id % SERVERS) as u32,
             budget_ns: 3 * S,
             dialled: None,
-            width: 1.0,
-            again: false,
+            circuits: 1.0,
+            retry_after_cut: false,
             in_transit: false,
         }));
     }
@@ -139,21 +141,34 @@
     for waiting in [10u64, 100, 1_000, 10_000] {
         let mut settings = settings();
         // Held for 0.4 of this: for the whole of the measurement.
-        settings.classes[0].aim_ns = 1_000_000 * S;
+        settings.classes[0].latency_objective_ns = 1_000_000 * S;
         settings.classes[0].deadline_ns = 1_000_000 * S;
         let mut brain = Controller::new(settings, 5);
         let mut actions = Vec::new();
-        let entry = |server: u64| Entry {
+        let entry = |server: u64| Endpoint {
             server,
             number: server as u32,
             availability: Availability::Ready,
-            ..Entry::default()
+            ..Endpoint::default()
         };
-        brain.handle(100 * S, Event::List(News::Full((0..SERVERS).map(entry).collect())), &mut actions);
+        brain.handle(
+            100 * S,
+            Event::EndpointsUpdated(EndpointUpdate::Full((0..SERVERS).map(entry).collect())),
+            &mut actions,
+        );
         let call = |id: u64| {
             let (first_choice, budget_ns) = ((id % SERVERS) as u32, 900_000 * S);
             let (dialled, width, again, in_transit) = (None, 1.0, false, false);
-            Event::Call(Call { id, class: 0, first_choice, budget_ns, dialled, width, again, in_transit })
+            Event::CallArrived(Call {
+                id,
+                class: 0,
+                first_choice,
+                budget_ns,
+                dialled,
+                circuits: width,
+                retry_after_cut: again,
+                in_transit,
+            })
         };
         // Set-ups that nobody answers: all servers are suspected, and all further calls held.
         let mut next = 0;
@@ -169,7 +184,7 @@
                 next += 1;
                 now += 10;
                 brain.handle(now, call(next), &mut actions);
-                brain.handle(now, Event::CallerGone(next), &mut actions);
+                brain.handle(now, Event::ClientDisconnected(next), &mut actions);
                 actions.clear();
             });
         });
--- a/crates/lilacpitch/src/controller.rs
+++ b/crates/lilacpitch/src/controller.rs
@@ -139,9 +139,13 @@
 impl Controller {
     /// A controller that knows nothing yet but its settings.
     pub fn new(settings: Settings, seed: u64) -> Self {
-        let top_worth = settings.classes.iter().map(|c| c.worth).fold(f64::MIN, f64::max);
-        let least_aim = settings.classes.iter().map(|c| c.aim_ns).min().unwrap_or(0);
-        let gap_ns = if settings.resend_ns > 0 { settings.resend_ns } else { share(least_aim, GAP_OF_AIM) };
+        let top_worth = settings.classes.iter().map(|c| c.priority_weight).fold(f64::MIN, f64::max);
+        let least_aim = settings.classes.iter().map(|c| c.latency_objective_ns).min().unwrap_or(0);
+        let gap_ns = if settings.resend_interval_ns > 0 {
+            settings.resend_interval_ns
+        } else {
+            share(least_aim, GAP_OF_AIM)
+        };
         Controller {
             rng: Pcg32::seed_from_u64(seed),
             now: 0,
@@ -167,22 +171,22 @@
         self.begin(now, actions);
         self.roll_periods();
         match event {
-            Event::List(news) => self.on_list(news),
-            Event::Call(call) => self.on_call(call, actions),
-            Event::CallerGone(id) => self.on_caller_gone(id),
-            Event::Standing { call, attempt } => self.on_standing(call, attempt),
-            Event::Settled { call, attempt, server, outcome, closed, report } => {
+            Event::EndpointsUpdated(news) => self.on_list(news),
+            Event::CallArrived(call) => self.on_call(call, actions),
+            Event::ClientDisconnected(id) => self.on_caller_gone(id),
+            Event::CallEstablished { call, attempt } => self.on_standing(call, attempt),
+            Event::AttemptCompleted { call, attempt, server, outcome, is_final, report } => {
                 self.on_report(server, report);
                 self.on_outcome(server, call, outcome);
-                if closed {
+                if is_final {
                     self.forget(call);
                 } else {
                     self.on_settled(call, attempt, outcome, actions);
                 }
             }
-            Event::Told { peer, facts } => self.on_told(peer, facts),
-            Event::Reported { server, report } => self.on_report(server, report),
-            Event::Wake => {}
+            Event::PeerReported { peer, server_reports } => self.on_told(peer, server_reports),
+            Event::ServerLoadReported { server, report } => self.on_report(server, report),
+            Event::TimerFired => {}
         }
         self.look_at_servers(actions);
         self.look_at_calls(actions);
@@ -194,7 +198,7 @@
         if self.started_ns.is_none() {
             self.started_ns = Some(self.now);
             self.period = self.now / PERIOD_NS;
-            if self.settings.list_on_request {
+            if self.settings.must_subscribe {
                 actions.push(Action::Subscribe);
             }
         }
@@ -215,19 +219,19 @@
 
     // ---- Events ----
 
-    fn on_list(&mut self, news: News) {
+    fn on_list(&mut self, news: EndpointUpdate) {
         let entries = match news {
-            News::Failed => {
+            EndpointUpdate::Failed => {
                 // Asking again at once, all fronts together, is what makes discovery fail.
                 let wait = PERIOD_NS * 5 + share(PERIOD_NS * 10, self.drawn());
-                self.subscribe_ns = Some(self.now + wait).filter(|_| self.settings.list_on_request);
+                self.subscribe_ns = Some(self.now + wait).filter(|_| self.settings.must_subscribe);
                 return;
             }
-            News::Changes(entries) => entries,
-            News::Full(entries) => {
+            EndpointUpdate::Changes(entries) => entries,
+            EndpointUpdate::Full(entries) => {
                 let listed = |s: &Server| entries.iter().any(|e| e.server == s.entry.server);
                 let gone = self.servers.values_mut().filter(|s| !listed(s));
-                gone.for_each(|s| s.entry.availability = Availability::Gone);
+                gone.for_each(|s| s.entry.availability = Availability::Removed);
                 entries
             }
         };
@@ -253,7 +257,7 @@
         // What is gone leaves once another has its number, and its rate with it.
         let used = self.servers.values().filter(|s| s.in_service()).map(|s| s.entry.number);
         let used: BTreeSet<u32> = used.collect();
-        let gone = |s: &Server| s.entry.availability == Availability::Gone && s.out.is_empty();
+        let gone = |s: &Server| s.entry.availability == Availability::Removed && s.out.is_empty();
         self.servers.retain(|_, s| !(gone(s) && used.contains(&s.entry.number)));
     }
 
@@ -295,14 +299,14 @@
     /// What an attempt's end tells of its server.
     fn on_outcome(&mut self, server: ServerId, id: CallId, outcome: Outcome) {
         // A set-up turned away did not wait in line: it tells nothing of those that do, but the wait itself.
-        let alive = matches!(outcome, Outcome::Passed | Outcome::Fault | Outcome::LinesBusy);
-        self.answered(server, id, alive, outcome == Outcome::Passed);
-        use Outcome::{CalledOff, NoCircuit, ProcessorFull, TimedOut};
-        if matches!(outcome, ProcessorFull(_) | NoCircuit | TimedOut | CalledOff) {
+        let alive = matches!(outcome, Outcome::Completed | Outcome::Fault | Outcome::LinesBusy);
+        self.answered(server, id, alive, outcome == Outcome::Completed);
+        use Outcome::{Cancelled, NoCircuit, Overloaded, TimedOut};
+        if matches!(outcome, Overloaded(_) | NoCircuit | TimedOut | Cancelled) {
             self.servers.entry(server).and_modify(|s| s.ill += (1.0 - s.ill) / SHARE_OVER);
         }
         match outcome {
-            Outcome::ProcessorFull(wait) => {
+            Outcome::Overloaded(wait) => {
                 let (now, wait_ns) = (self.now, wait.unwrap_or(self.gap_ns).min(WINDOW_NS));
                 self.hold_off(server, wait_ns);
                 if self.stray(server) {
@@ -323,7 +327,7 @@
                 }
             }
             Outcome::TimedOut if !self.stray(server) => self.press(server, true),
-            Outcome::NoRoute => self.suspect(server, false),
+            Outcome::Unreachable => self.suspect(server, false),
             _ => {}
         }
     }
@@ -353,9 +357,9 @@
         self.place(id, actions);
     }
 
-    fn on_report(&mut self, id: ServerId, report: Report) {
+    fn on_report(&mut self, id: ServerId, report: LoadReport) {
         let now = self.now;
-        self.servers.entry(id).and_modify(|s| (s.free, s.free_ns) = (report.free, now));
+        self.servers.entry(id).and_modify(|s| (s.free, s.free_ns) = (report.free_capacity, now));
     }
 
     /// Whether a symptom is one of few among set-ups that stood, and no wait bears it out.
@@ -464,7 +468,7 @@
 
     /// Whether nothing more can come of a call: then it gets its answer at once.
     fn hopeless(&self, row: &Row) -> bool {
-        let unsafe_again = self.settings.classes[row.call.class].repeat == Repeat::Unsafe;
+        let unsafe_again = self.settings.classes[row.call.class].idempotency == Idempotency::NonIdempotent;
         matches!(row.state, State::Held | State::Releasing)
             && (self.now.max(row.not_before_ns) >= self.patience_ns(row)
                 || row.attempts >= self.settings.max_attempts
@@ -473,18 +477,18 @@
 
     /// Whether the wanted time has passed since its caller's first try: served late it displaces fresh calls.
     fn is_late(&self, row: &Row) -> bool {
-        self.now.saturating_sub(row.first_ns) > self.settings.classes[row.call.class].aim_ns
+        self.now.saturating_sub(row.first_ns) > self.settings.classes[row.call.class].latency_objective_ns
     }
 
     /// What a call would still be worth.
     fn worth(&self, row: &Row) -> f64 {
         let class = &self.settings.classes[row.call.class];
-        class.worth * if self.is_late(row) { class.late_worth } else { 1.0 }
+        class.priority_weight * if self.is_late(row) { class.late_weight } else { 1.0 }
     }
 
     /// Until when a call that finds no server may be held here.
     fn patience_ns(&self, row: &Row) -> Nanos {
-        let aim_ns = self.settings.classes[row.call.class].aim_ns;
+        let aim_ns = self.settings.classes[row.call.class].latency_objective_ns;
         let until = row.taken_ns + if row.attempts == 0 { share(aim_ns, HOLD_OF_AIM) } else { aim_ns };
         until.min(row.deadline_ns)
     }
@@ -514,7 +518,7 @@
             }
         }
         self.queue(id);
-        actions.push(Action::Send { call: id, server, timeout_ns });
+        actions.push(Action::ForwardSetup { call: id, server, timeout_ns });
     }
 
     /// The final answer, at once. Refused where the rules allow it, else failed.
@@ -523,9 +527,9 @@
         // Many callers dial a number that is busy: the next one is hardly this one again.
         let number = row.call.dialled.filter(|number| !self.busy.contains_key(number));
         self.unserved.extend(number.map(|number| (number, row.first_ns)));
-        let refusable = match self.settings.classes[row.call.class].repeat {
-            Repeat::Safe | Repeat::Keyed(Scope::All) => true,
-            Repeat::Keyed(_) | Repeat::Unsafe => row.may_have_run.is_none(),
+        let refusable = match self.settings.classes[row.call.class].idempotency {
+            Idempotency::Idempotent | Idempotency::IdempotencyKey(Scope::All) => true,
+            Idempotency::IdempotencyKey(_) | Idempotency::NonIdempotent => row.may_have_run.is_none(),
         };
         if !refusable {
             actions.push(Action::Fail { call: id });
@@ -534,7 +538,7 @@
         // Drawn, so that refused callers don't come back in step.
         let wait = share(self.gap_ns, 1.0 + self.drawn());
         let retry_after_ns = Some(wait.min(self.settings.max_retry_after_ns)).filter(|w| *w > 0);
-        actions.push(Action::Refuse { call: id, retry_after_ns });
+        actions.push(Action::Reject { call: id, retry_after_ns });
     }
 
     fn forget(&mut self, id: CallId) {
@@ -581,8 +585,8 @@
     /// All that the pick goes by in a held call.
     fn likeness(&self, row: &Row) -> Likeness {
         let (call, ran, failed) = (row.call, row.may_have_run, (row.attempts > 0).then_some(row.server));
-        let flags = [call.again, call.in_transit, self.is_late(row)];
-        (call.class, call.first_choice, call.width.to_bits(), flags, ran, failed)
+        let flags = [call.retry_after_cut, call.in_transit, self.is_late(row)];
+        (call.class, call.first_choice, call.circuits.to_bits(), flags, ran, failed)
     }
 
     /// One timer at a time: the next period's end, or sooner when a call's release or patience runs out.
@@ -591,7 +595,7 @@
         let at = due_ns.min((self.period + 1) * PERIOD_NS).max(self.now + 1);
         if self.wake_ns.is_none_or(|set| at < set) {
             self.wake_ns = Some(at);
-            actions.push(Action::WakeAt(at));
+            actions.push(Action::SetTimer(at));
         }
     }
 
@@ -605,7 +609,7 @@
     /// The share of its capacity that it surely has at its age; `None` once it is warm.
     fn cold_share(&self, now: Nanos, settings: &Settings) -> Option<f64> {
         let warmth = now.saturating_sub(self.cold_since_ns?) as f64 / settings.cold_ns.max(1) as f64;
-        (warmth < 1.0).then_some(settings.cold_from + (1.0 - settings.cold_from) * warmth)
+        (warmth < 1.0).then_some(settings.slow_start_floor + (1.0 - settings.slow_start_floor) * warmth)
     }
 
     /// How long a set-up is surely on its way there; where few stood of late, the shortest has waited too.
--- a/crates/lilacpitch/src/controller/counts.rs
+++ b/crates/lilacpitch/src/controller/counts.rs
@@ -97,7 +97,7 @@
         if self.may_scout(server) || server.suspect.is_some_and(|s| s.told) {
             return false;
         }
-        let urgent = call.again || call.in_transit;
+        let urgent = call.retry_after_cut || call.in_transit;
         let cheapest = self.worth(row) < self.top_worth;
         if self.is_late(row) && !urgent && self.wait_gaps(server) > LATE_GAPS * LATE_CALL_OF {
             return true;
@@ -106,7 +106,10 @@
             0 => false,
             1 => cheapest && !urgent,
             // Calls that were cut come again all at once: urgent ones too wait where they would be late.
-            _ => !urgent || self.expected_wait_ns(server) > self.settings.classes[call.class].aim_ns,
+            _ => {
+                !urgent
+                    || self.expected_wait_ns(server) > self.settings.classes[call.class].latency_objective_ns
+            }
         }
     }
 
--- a/crates/lilacpitch/src/controller/guards.rs
+++ b/crates/lilacpitch/src/controller/guards.rs
@@ -24,14 +24,14 @@
         }
         // Own circuits are told whenever they change; lines of a shared pool are not, and figures age.
         let holds = self.settings.home.is_some() || self.now - server.free_ns < WINDOW_NS;
-        if holds && server.free.is_some_and(|free| free < row.call.width) {
+        if holds && server.free.is_some_and(|free| free < row.call.circuits) {
             return false;
         }
-        match (class.repeat, row.may_have_run) {
-            (Repeat::Safe, _) | (_, None) => true,
-            (Repeat::Unsafe, Some(_)) => false,
-            (Repeat::Keyed(scope), Some((zone, number, sent_ns))) => {
-                self.now < sent_ns + class.memory_ns
+        match (class.idempotency, row.may_have_run) {
+            (Idempotency::Idempotent, _) | (_, None) => true,
+            (Idempotency::NonIdempotent, Some(_)) => false,
+            (Idempotency::IdempotencyKey(scope), Some((zone, number, sent_ns))) => {
+                self.now < sent_ns + class.key_retention_ns
                     && match scope {
                         Scope::All => true,
                         Scope::Zone => zone == entry.zone,
@@ -63,7 +63,7 @@
     pub(super) fn cold_ceiling(&self, server: &Server) -> Option<f64> {
         let can_do = server.cold_share(self.now, &self.settings)?;
         let known = self.normal_per_s(server) * can_do * (COLD_TAKES.0 + COLD_TAKES.1 * can_do);
-        let growth = (self.settings.tip_multiple * GROWTH_OF_TIP).max(1.0);
+        let growth = (self.settings.overload_multiple * GROWTH_OF_TIP).max(1.0);
         let proven = Some(self.per_s(&server.stood, 0.0)).filter(|_| !server.stood.few(self.period));
         Some(proven.map_or(known, |rate| known.max(rate * growth)))
     }
@@ -145,7 +145,7 @@
             let due = !row.calling_off && row.state == State::Out;
             if due && row.attempts < self.settings.max_attempts {
                 row.calling_off = true;
-                to.push(Action::Cancel { call: out.call, attempt: row.attempts - 1 });
+                to.push(Action::CancelAttempt { call: out.call, attempt: row.attempts - 1 });
             }
         }
     }
--- a/crates/lilacpitch/src/controller/state.rs
+++ b/crates/lilacpitch/src/controller/state.rs
@@ -37,7 +37,7 @@
 
 #[derive(Default)]
 pub(super) struct Server {
-    pub(super) entry: Entry,
+    pub(super) entry: Endpoint,
     pub(super) offered: Count,
     pub(super) sent: Count,
     pub(super) stood: Count,
--- a/crates/lilacpitch/src/interface.rs
+++ b/crates/lilacpitch/src/interface.rs
@@ -11,13 +11,13 @@
 
 /// How often a call of a class may take effect.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Repeat {
+pub enum Idempotency {
     /// May be sent and refused freely.
-    Safe,
+    Idempotent,
     /// Repeats are recognised among the servers of one scope, for a while.
-    Keyed(Scope),
+    IdempotencyKey(Scope),
     /// Must not be sent again once an attempt may have run.
-    Unsafe,
+    NonIdempotent,
 }
 
 /// The servers among which a keyed call's repeats are recognised.
@@ -35,17 +35,17 @@
 #[derive(Debug, Clone, PartialEq)]
 pub struct Class {
     /// Wanted set-up time.
-    pub aim_ns: Nanos,
+    pub latency_objective_ns: Nanos,
     /// How long a caller goes on trying, from the first try.
     pub deadline_ns: Nanos,
     /// What a call that stands in time is worth.
-    pub worth: f64,
+    pub priority_weight: f64,
     /// The share of it that is left when it stands later.
-    pub late_worth: f64,
+    pub late_weight: f64,
     /// Effect of repeated set-ups.
-    pub repeat: Repeat,
+    pub idempotency: Idempotency,
     /// How long a keyed call's repeats are recognised.
-    pub memory_ns: Nanos,
+    pub key_retention_ns: Nanos,
     /// Numbers of the servers that can take it; empty: any.
     pub pools: Vec<u32>,
 }
@@ -58,7 +58,7 @@
     /// The number of the exchange this front stands in, where there is one; nothing is sent there.
     pub home: Option<u32>,
     /// Set-ups that wait are sent again by the network after this span; 0: never.
-    pub resend_ns: Nanos,
+    pub resend_interval_ns: Nanos,
     /// Rest of a call after an attempt that timed out, was cut or was called off.
     pub release_ns: Nanos,
     /// Attempts allowed for one call.
@@ -68,13 +68,13 @@
     /// Whether callers are told when to come back, and the longest wait they heed; 0: not told.
     pub max_retry_after_ns: Nanos,
     /// Whether the list of servers must be asked for.
-    pub list_on_request: bool,
+    pub must_subscribe: bool,
     /// A server starts with at least this share of its capacity,
-    pub cold_from: f64,
+    pub slow_start_floor: f64,
     /// and is warm after this span.
     pub cold_ns: Nanos,
     /// A cold server falls over when sent so many times what it can do at its age.
-    pub tip_multiple: f64,
+    pub overload_multiple: f64,
     /// Shortest span between two rounds of events.
     pub tick_ns: Nanos,
 }
@@ -88,12 +88,12 @@
     Draining,
     /// Withdrawn.
     #[default]
-    Gone,
+    Removed,
 }
 
 /// A server as the list shows it.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
-pub struct Entry {
+pub struct Endpoint {
     /// Its id.
     pub server: ServerId,
     /// Its number among exchanges or pools, which calls name as first choice.
@@ -108,20 +108,20 @@
 
 /// What a piece of list news holds.
 #[derive(Debug, Clone, PartialEq)]
-pub enum News {
+pub enum EndpointUpdate {
     /// Only the servers that changed.
-    Changes(Vec<Entry>),
+    Changes(Vec<Endpoint>),
     /// The complete list; servers not in it are gone.
-    Full(Vec<Entry>),
+    Full(Vec<Endpoint>),
     /// Asking failed; the list in hand stays in force.
     Failed,
 }
 
 /// What a server's figures tell that is used: its processor's own are late and noisy, and left aside.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
-pub struct Report {
+pub struct LoadReport {
     /// Free circuits or agents towards it.
-    pub free: Option<f64>,
+    pub free_capacity: Option<f64>,
 }
 
 /// A call handed to this front.
@@ -138,9 +138,9 @@
     /// The number dialled, where it is known: a caller's further try dials the same.
     pub dialled: Option<u64>,
     /// Circuits it takes.
-    pub width: f64,
+    pub circuits: f64,
     /// Cut before, and coming again.
-    pub again: bool,
+    pub retry_after_cut: bool,
     /// In transit from another front: goes to its first choice or back.
     pub in_transit: bool,
 }
@@ -149,7 +149,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Outcome {
     /// The call stood and has ended.
-    Passed,
+    Completed,
     /// A fault of signalling.
     Fault,
     /// All lines of the number dialled are busy.
@@ -157,15 +157,15 @@
     /// No circuit or agent was free; it never ran.
     NoCircuit,
     /// The processor was full; it never ran. With the wait that the server told, if any.
-    ProcessorFull(Option<Nanos>),
+    Overloaded(Option<Nanos>),
     /// No answer in time; it may have run.
     TimedOut,
     /// The server was not reached; it never ran.
-    NoRoute,
+    Unreachable,
     /// The set-up or the call was cut.
     Cut,
     /// Called off.
-    CalledOff,
+    Cancelled,
     /// Not sent at all; it never ran.
     NotSent,
 }
@@ -173,18 +173,18 @@
 impl Outcome {
     /// Whether this outcome proves that the attempt had no effect.
     pub fn never_ran(self) -> bool {
-        matches!(self, Outcome::NoCircuit | Outcome::ProcessorFull(_) | Outcome::NoRoute | Outcome::NotSent)
+        matches!(self, Outcome::NoCircuit | Outcome::Overloaded(_) | Outcome::Unreachable | Outcome::NotSent)
     }
 
     /// Whether the call must wait for its release before it is sent again.
     pub fn needs_release(self) -> bool {
-        matches!(self, Outcome::TimedOut | Outcome::Cut | Outcome::CalledOff)
+        matches!(self, Outcome::TimedOut | Outcome::Cut | Outcome::Cancelled)
     }
 }
 
 /// What one front knows of a server, for another that has just started.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Fact {
+pub struct ServerReport {
     /// The server.
     pub server: ServerId,
     /// How old the newest evidence is.
@@ -192,37 +192,37 @@
     /// The wait expected there.
     pub wait_ns: Nanos,
     /// Set-ups of the teller that are unanswered there.
-    pub out: u32,
+    pub in_flight: u32,
     /// Set-ups of the teller that stood there within the window.
-    pub stood: u32,
+    pub succeeded: u32,
     /// Taken to be silent.
-    pub suspect: bool,
+    pub is_unresponsive: bool,
     /// Since when it is cold, as a span until now.
     pub cold_ns: Option<Nanos>,
     /// Listed as draining or gone.
-    pub drained: bool,
+    pub is_draining: bool,
 }
 
 /// What happens to a front.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Event {
     /// News of the list of servers.
-    List(News),
+    EndpointsUpdated(EndpointUpdate),
     /// A call was handed to this front.
-    Call(Call),
+    CallArrived(Call),
     /// The caller is gone; nothing more is owed.
-    CallerGone(CallId),
+    ClientDisconnected(CallId),
     /// A wake-up that was asked for.
-    Wake,
+    TimerFired,
     /// The call stands.
-    Standing {
+    CallEstablished {
         /// The call.
         call: CallId,
         /// The attempt's number, from 0.
         attempt: u32,
     },
     /// An attempt ended.
-    Settled {
+    AttemptCompleted {
         /// The call.
         call: CallId,
         /// The attempt's number, from 0.
@@ -232,23 +232,23 @@
         /// How it ended.
         outcome: Outcome,
         /// Whether the call is over for this front.
-        closed: bool,
+        is_final: bool,
         /// The server's figures.
-        report: Report,
+        report: LoadReport,
     },
     /// Another front, by a number of its own, says what it knows.
-    Told {
+    PeerReported {
         /// The front.
         peer: u64,
         /// Its facts.
-        facts: Vec<Fact>,
+        server_reports: Vec<ServerReport>,
     },
     /// A server's figures by themselves.
-    Reported {
+    ServerLoadReported {
         /// The server.
         server: ServerId,
         /// Its figures.
-        report: Report,
+        report: LoadReport,
     },
 }
 
@@ -256,7 +256,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Action {
     /// Send a set-up.
-    Send {
+    ForwardSetup {
         /// The call.
         call: CallId,
         /// The server.
@@ -265,14 +265,14 @@
         timeout_ns: Nanos,
     },
     /// Call an attempt off.
-    Cancel {
+    CancelAttempt {
         /// The call.
         call: CallId,
         /// The attempt's number.
         attempt: u32,
     },
     /// Final answer: turned away.
-    Refuse {
+    Reject {
         /// The call.
         call: CallId,
         /// When the caller had better come back, if anything is said.
@@ -284,7 +284,7 @@
         call: CallId,
     },
     /// Send [`Event::Wake`] at this moment.
-    WakeAt(Nanos),
+    SetTimer(Nanos),
     /// Ask for the list and its changes from now on.
     Subscribe,
 }
@@ -294,5 +294,5 @@
     /// Takes one event and appends what is to be done about it.
     fn handle(&mut self, now: Nanos, event: Event, actions: &mut Vec<Action>);
     /// What it knows of servers from its own set-ups.
-    fn facts(&self) -> Vec<Fact>;
+    fn server_reports(&self) -> Vec<ServerReport>;
 }
--- a/crates/lilacpitch/src/lib.rs
+++ b/crates/lilacpitch/src/lib.rs
@@ -26,7 +26,7 @@
         Controller::handle(self, now, event, actions);
     }
 
-    fn facts(&self) -> Vec<interface::Fact> {
-        Controller::facts(self)
+    fn server_reports(&self) -> Vec<interface::ServerReport> {
+        Controller::server_reports(self)
     }
 }
--- a/crates/lilacpitch/src/peer_reports.rs
+++ b/crates/lilacpitch/src/peer_reports.rs
@@ -1,23 +1,23 @@
 //! What other fronts told of servers: a container, which decides nothing.
 
-use crate::interface::{Fact, Nanos, ServerId};
+use crate::interface::{Nanos, ServerId, ServerReport};
 use std::collections::BTreeMap;
 
 /// Facts by server and teller, each with the moment that its evidence is of; of each server the newest `MOST`.
 #[derive(Debug, Default)]
 pub struct Voices<const MOST: usize> {
-    facts: BTreeMap<(ServerId, u64), (Nanos, Fact)>,
+    facts: BTreeMap<(ServerId, u64), (Nanos, ServerReport)>,
     /// By server the last two fronts at which something more stood, the latest first, and when.
     stood: BTreeMap<ServerId, [(u64, Nanos); 2]>,
 }
 
 impl<const MOST: usize> Voices<MOST> {
     /// Takes what a front tells in place of what it told of that server before.
-    pub fn add(&mut self, peer: u64, as_of: Nanos, fact: Fact) {
+    pub fn add(&mut self, peer: u64, as_of: Nanos, fact: ServerReport) {
         let id = fact.server;
-        let count = fact.stood;
+        let count = fact.succeeded;
         let before = self.facts.insert((id, peer), (as_of, fact));
-        if before.is_some_and(|(_, before)| before.stood < count) {
+        if before.is_some_and(|(_, before)| before.succeeded < count) {
             self.note_stood(id, peer, as_of);
         }
         let known = self.facts.range((id, 0)..=(id, u64::MAX));
@@ -49,13 +49,19 @@
     }
 
     /// What is known of a server.
-    pub fn of(&self, id: ServerId) -> impl Iterator<Item = &(Nanos, Fact)> {
+    pub fn of(&self, id: ServerId) -> impl Iterator<Item = &(Nanos, ServerReport)> {
         self.facts.range((id, 0)..=(id, u64::MAX)).map(|(_, told)| told)
     }
 
     /// The sum of a count over what is newer than a moment, each by `each` at most, and the largest by no more than
     /// the next: one front alone adds nothing, and takes nothing from what the others tell.
-    pub fn sum_bounded(&self, id: ServerId, since: Nanos, each: usize, count: fn(&Fact) -> u32) -> usize {
+    pub fn sum_bounded(
+        &self,
+        id: ServerId,
+        since: Nanos,
+        each: usize,
+        count: fn(&ServerReport) -> u32,
+    ) -> usize {
         let lately = self.of(id).filter(|(as_of, _)| *as_of > since);
         let counts = lately.map(|(_, fact)| (count(fact) as usize).min(each));
         let (sum, most, next) = counts.fold((0, 0, 0), |(sum, most, next), count| {
@@ -76,8 +82,17 @@
 mod tests {
     use super::*;
 
-    fn fact(server: ServerId, out: u32) -> Fact {
-        Fact { server, out, age_ns: 0, wait_ns: 0, stood: 0, suspect: false, cold_ns: None, drained: false }
+    fn fact(server: ServerId, out: u32) -> ServerReport {
+        ServerReport {
+            server,
+            in_flight: out,
+            age_ns: 0,
+            wait_ns: 0,
+            succeeded: 0,
+            is_unresponsive: false,
+            cold_ns: None,
+            is_draining: false,
+        }
     }
 
     #[test]
@@ -87,12 +102,16 @@
             voices.add(peer, as_of, fact(5, out));
         }
         assert_eq!((voices.of(5).count(), voices.whole_since(5)), (3, Some(20)), "1 told twice");
-        assert_eq!(voices.sum_bounded(5, 0, 4, |f| f.out), 2 + 2 + 1, "7 counts for 4, and 4 for the next");
-        assert_eq!(voices.sum_bounded(5, 30, 4, |f| f.out), 0, "newer than 30 is one alone");
+        assert_eq!(
+            voices.sum_bounded(5, 0, 4, |f| f.in_flight),
+            2 + 2 + 1,
+            "7 counts for 4, and 4 for the next"
+        );
+        assert_eq!(voices.sum_bounded(5, 30, 4, |f| f.in_flight), 0, "newer than 30 is one alone");
         voices.add(4, 50, fact(5, 0));
         assert_eq!((voices.of(5).count(), voices.whole_since(5)), (3, Some(30)), "the oldest is gone");
         voices.add(5, 60, fact(5, 3));
-        assert_eq!(voices.sum_bounded(5, 40, 4, |f| f.out), 0, "newer than 40 only");
+        assert_eq!(voices.sum_bounded(5, 40, 4, |f| f.in_flight), 0, "newer than 40 only");
         voices.forget_until(50);
         assert_eq!((voices.of(5).count(), voices.whole_since(5)), (1, None));
         assert_eq!(voices.of(6).count(), 0);
@@ -102,7 +121,7 @@
     fn something_stood_by_the_word_of_two_fronts() {
         let mut voices = Voices::<3>::default();
         let mut tell = |peer, as_of, stood| {
-            voices.add(peer, as_of, Fact { stood, ..fact(5, 0) });
+            voices.add(peer, as_of, ServerReport { succeeded: stood, ..fact(5, 0) });
             voices.stood_ns(5)
         };
         assert_eq!([tell(1, 10, 3), tell(2, 20, 1)], [0, 0], "what stood before is not known");
--- a/crates/lilacpitch/src/settings.rs
+++ b/crates/lilacpitch/src/settings.rs
@@ -1,6 +1,6 @@
 //! Reads the settings object that a front is handed at its start: one reader for the adapter and the front node.
 
-use crate::interface::{Class, Nanos, Repeat, Report, Scope, Settings};
+use crate::interface::{Class, Idempotency, LoadReport, Nanos, Scope, Settings};
 use serde_json::Value;
 use std::fmt;
 
@@ -92,15 +92,15 @@
         let settings = Settings {
             classes,
             home: (home >= 0.0).then_some(home as u32),
-            resend_ns: span("family_info.retransmit_ns", 0.0)?,
+            resend_interval_ns: span("family_info.retransmit_ns", 0.0)?,
             release_ns: span("family_info.release_ns", 0.0)?,
             max_attempts: number("permissions.max_attempts", 1.0)?.max(1.0) as u32,
             may_cancel: flag("permissions.cancel", false)?,
             max_retry_after_ns: if retry_after { span("permissions.max_retry_after_ns", 0.0)? } else { 0 },
-            list_on_request: word(at("discovery")) == "on_request",
-            cold_from: number("rules.cold_from", 1.0)?.clamp(0.0, 1.0),
+            must_subscribe: word(at("discovery")) == "on_request",
+            slow_start_floor: number("rules.cold_from", 1.0)?.clamp(0.0, 1.0),
             cold_ns: span("rules.cold_ns", 0.0)?,
-            tip_multiple: number("rules.tip_multiple", 1.0)?.max(1.0),
+            overload_multiple: number("rules.tip_multiple", 1.0)?.max(1.0),
             tick_ns,
         };
         Ok(Site {
@@ -118,8 +118,8 @@
     pub fn report<'a>(
         &self,
         mut value_of: impl FnMut(usize, &str) -> Option<&'a str>,
-    ) -> Result<Report, String> {
-        let mut report = Report::default();
+    ) -> Result<LoadReport, String> {
+        let mut report = LoadReport::default();
         for (index, name) in self.report_fields.iter().enumerate() {
             let Some(text) = value_of(index, name) else { continue };
             let value = match text.parse::<f64>() {
@@ -127,7 +127,7 @@
                 _ => return Err(format!("not a number: {text:.40}")),
             };
             if name == "free" && value >= 0.0 {
-                report.free = Some(value);
+                report.free_capacity = Some(value);
             }
         }
         Ok(report)
@@ -158,17 +158,17 @@
     }
     let pools = pools.and_then(Value::as_array).into_iter().flatten();
     Ok(Class {
-        aim_ns,
+        latency_objective_ns: aim_ns,
         deadline_ns: figure("deadline_ns", aim_ns as f64)? as Nanos,
-        worth: figure("worth", 1.0)?,
-        late_worth: figure("late_worth", 0.0)?,
-        repeat: match word(class.get("repeat")).as_str() {
-            "idempotency_key" => Repeat::Keyed(scope),
-            "non_idempotent" => Repeat::Unsafe,
-            "read_like" | "" => Repeat::Safe,
+        priority_weight: figure("worth", 1.0)?,
+        late_weight: figure("late_worth", 0.0)?,
+        idempotency: match word(class.get("repeat")).as_str() {
+            "idempotency_key" => Idempotency::IdempotencyKey(scope),
+            "non_idempotent" => Idempotency::NonIdempotent,
+            "read_like" | "" => Idempotency::Idempotent,
             other => return fault(&at("repeat"), format!("unknown: {other:.40}")),
         },
-        memory_ns: figure("memory_span_ns", 0.0)? as Nanos,
+        key_retention_ns: figure("memory_span_ns", 0.0)? as Nanos,
         pools: pools.filter_map(Value::as_u64).map(|p| p as u32).collect(),
     })
 }
--- a/crates/lilacpitch/src/wire.rs
+++ b/crates/lilacpitch/src/wire.rs
@@ -107,7 +107,7 @@
         }
     }
 
-    fn report(&self, site: &Site) -> Result<Report, Fault> {
+    fn report(&self, site: &Site) -> Result<LoadReport, Fault> {
         let text = self.get("pressure").filter(|text| !text.is_empty() && *text != "-");
         let parts: Vec<&str> = text.map_or(Vec::new(), |text| text.split(',').collect());
         site.report(|index, _| parts.get(index).copied()).or_else(|what| fault("pressure", what))
@@ -117,30 +117,30 @@
 fn outcome(fields: &Fields) -> Result<Outcome, Fault> {
     let note = fields.uint_or("note", 0)?;
     Ok(match fields.need("result")? {
-        "pass" => Outcome::Passed,
+        "pass" => Outcome::Completed,
         "fault" if note & 15 == 4 => Outcome::LinesBusy,
         "fault" => Outcome::Fault,
         "no_room" if note & 15 == 3 => {
             let wait = (note / 16).saturating_mul(1_000_000);
-            Outcome::ProcessorFull(Some(wait).filter(|w| *w > 0))
+            Outcome::Overloaded(Some(wait).filter(|w| *w > 0))
         }
         "no_room" => Outcome::NoCircuit,
         "too_slow" => Outcome::TimedOut,
-        "no_route" => Outcome::NoRoute,
+        "no_route" => Outcome::Unreachable,
         "cut" => Outcome::Cut,
-        "undone" => Outcome::CalledOff,
+        "undone" => Outcome::Cancelled,
         "stale_send" => Outcome::NotSent,
         other => return fault("result", format!("unknown outcome: {other:.40}")),
     })
 }
 
-fn entry(fields: &Fields) -> Result<Entry, Fault> {
-    Ok(Entry {
+fn entry(fields: &Fields) -> Result<Endpoint, Fault> {
+    Ok(Endpoint {
         server: fields.uint("server")?,
         number: fields.small("number")?,
         zone: fields.uint_or("rack_zone", 0)? as u32,
         availability: match fields.uint("availability")? {
-            0 => Availability::Gone,
+            0 => Availability::Removed,
             1 => Availability::Ready,
             2 => Availability::Draining,
             _ => return fault("availability", "not 0, 1 or 2"),
@@ -153,20 +153,20 @@
 pub fn print(front: u64, action: &Action, out: &mut String) {
     // Writing to a String cannot fail.
     let _ = match *action {
-        Action::Send { call, server, timeout_ns } => {
+        Action::ForwardSetup { call, server, timeout_ns } => {
             writeln!(out, "SEND\tfront={front}\thandle={call}\tserver={server}\ttimeout_ns={timeout_ns}")
         }
-        Action::Cancel { call, attempt } => {
+        Action::CancelAttempt { call, attempt } => {
             writeln!(out, "ABANDON\tfront={front}\thandle={call}\thop={attempt}")
         }
-        Action::Refuse { call, retry_after_ns: Some(wait) } => {
+        Action::Reject { call, retry_after_ns: Some(wait) } => {
             writeln!(out, "DECLINE\tfront={front}\thandle={call}\tcome_back_ns={wait}")
         }
-        Action::Refuse { call, retry_after_ns: None } => {
+        Action::Reject { call, retry_after_ns: None } => {
             writeln!(out, "DECLINE\tfront={front}\thandle={call}")
         }
         Action::Fail { call } => writeln!(out, "FAIL\tfront={front}\thandle={call}"),
-        Action::WakeAt(at) => writeln!(out, "DEFER\tfront={front}\tmoment_ns={at}\tkey_back=1"),
+        Action::SetTimer(at) => writeln!(out, "DEFER\tfront={front}\tmoment_ns={at}\tkey_back=1"),
         Action::Subscribe => writeln!(out, "OBSERVE\tfront={front}\ton=1"),
     };
 }
@@ -181,7 +181,7 @@
 pub struct Host {
     now: Option<Nanos>,
     fronts: BTreeMap<u64, Hosted>,
-    lists: BTreeMap<u64, Vec<Entry>>,
+    lists: BTreeMap<u64, Vec<Endpoint>>,
     filling: Option<(u64, u64)>,
     actions: Vec<Action>,
     lines: u64,
@@ -279,14 +279,14 @@
         let event = match name {
             "ROSTER_CHANGE" => {
                 let kind = fields.uint("kind")?;
-                let list = || -> Result<Vec<Entry>, Fault> {
+                let list = || -> Result<Vec<Endpoint>, Fault> {
                     let set = fields.uint("set_id")?;
                     self.lists.get(&set).cloned().ok_or_else(|| ("set_id".into(), "no such list".into()))
                 };
-                Event::List(match kind {
-                    0 => News::Changes(list()?),
-                    1 | 2 => News::Full(list()?),
-                    3 => News::Failed,
+                Event::EndpointsUpdated(match kind {
+                    0 => EndpointUpdate::Changes(list()?),
+                    1 | 2 => EndpointUpdate::Full(list()?),
+                    3 => EndpointUpdate::Failed,
                     _ => return fault("kind", "not 0 to 3"),
                 })
             }
@@ -295,35 +295,37 @@
                 if class >= hosted.site.class_names.len() {
                     return fault("category", "no such class");
                 }
-                Event::Call(Call {
+                Event::CallArrived(Call {
                     id: fields.uint("handle")?,
                     class,
                     first_choice: fields.number_or("terminates_at", -1.0)? as i64 as u32,
                     budget_ns: fields.span("budget_ns")?,
                     dialled: fields.get("item").map(|_| fields.uint("item")).transpose()?,
-                    width: fields.number_or("units", 1.0)?,
-                    again: fields.flag("again")?,
+                    circuits: fields.number_or("units", 1.0)?,
+                    retry_after_cut: fields.flag("again")?,
                     in_transit: fields.flag("midflow")?,
                 })
             }
-            "CLIENT_GONE" => Event::CallerGone(fields.uint("handle")?),
+            "CLIENT_GONE" => Event::ClientDisconnected(fields.uint("handle")?),
             "FIRED" => {
                 fields.uint("key_back")?;
-                Event::Wake
+                Event::TimerFired
             }
-            "UNDER_WAY" => Event::Standing { call: fields.uint("handle")?, attempt: fields.small("hop")? },
-            "SETTLED" => Event::Settled {
+            "UNDER_WAY" => {
+                Event::CallEstablished { call: fields.uint("handle")?, attempt: fields.small("hop")? }
+            }
+            "SETTLED" => Event::AttemptCompleted {
                 call: fields.uint("handle")?,
                 attempt: fields.small("hop")?,
                 server: fields.uint("server")?,
                 outcome: outcome(&fields)?,
-                closed: fields.flag("closed")?,
+                is_final: fields.flag("closed")?,
                 report: fields.report(&hosted.site)?,
             },
             "ECHO" => {
                 fields.need("result")?;
                 let report = fields.report(&hosted.site)?;
-                Event::Reported { server: fields.uint("server")?, report }
+                Event::ServerLoadReported { server: fields.uint("server")?, report }
             }
             // Fronts' messages are not used.
             _ => return Ok(false),
--- a/crates/lilacpitch/tests/common/mod.rs
+++ b/crates/lilacpitch/tests/common/mod.rs
@@ -10,32 +10,32 @@
 /// Two classes, the second worth three times the first; nothing here is any deployment's figure.
 pub fn settings() -> Settings {
     let class = |worth: f64| Class {
-        aim_ns: 1_600 * MS,
+        latency_objective_ns: 1_600 * MS,
         deadline_ns: 8 * S,
-        worth,
-        late_worth: 0.2,
-        repeat: Repeat::Safe,
-        memory_ns: 5 * S,
+        priority_weight: worth,
+        late_weight: 0.2,
+        idempotency: Idempotency::Idempotent,
+        key_retention_ns: 5 * S,
         pools: Vec::new(),
     };
     Settings {
         classes: vec![class(1.0), class(3.0)],
         home: None,
-        resend_ns: 400 * MS,
+        resend_interval_ns: 400 * MS,
         release_ns: 250 * MS,
         max_attempts: 5,
         may_cancel: true,
         max_retry_after_ns: 2 * S,
-        list_on_request: false,
-        cold_from: 0.3,
+        must_subscribe: false,
+        slow_start_floor: 0.3,
         cold_ns: 12 * S,
-        tip_multiple: 3.0,
+        overload_multiple: 3.0,
         tick_ns: 5 * MS,
     }
 }
 
-pub fn entry(server: ServerId, number: u32) -> Entry {
-    Entry { server, number, zone: 0, availability: Availability::Ready, up_since_ns: 0 }
+pub fn entry(server: ServerId, number: u32) -> Endpoint {
+    Endpoint { server, number, zone: 0, availability: Availability::Ready, up_since_ns: 0 }
 }
 
 pub struct Front {
@@ -48,7 +48,7 @@
 }
 
 impl Front {
-    pub fn new(settings: Settings, entries: &[Entry]) -> Self {
+    pub fn new(settings: Settings, entries: &[Endpoint]) -> Self {
         let mut front = Front {
             brain: Controller::new(settings, 7),
             now: 100 * S,
@@ -56,7 +56,7 @@
             log: Vec::new(),
             wakes: Default::default(),
         };
-        front.event(Event::List(News::Full(entries.to_vec())));
+        front.event(Event::EndpointsUpdated(EndpointUpdate::Full(entries.to_vec())));
         front
     }
 
@@ -65,7 +65,7 @@
         let mut actions = Vec::new();
         self.brain.handle(self.now, event, &mut actions);
         for action in &actions {
-            if let Action::WakeAt(at) = action {
+            if let Action::SetTimer(at) = action {
                 self.wakes.insert(*at);
             }
             self.log.push((self.now, *action));
@@ -79,7 +79,7 @@
         while let Some(at) = self.wakes.first().copied().filter(|at| *at <= end) {
             self.wakes.remove(&at);
             self.now = self.now.max(at);
-            done.extend(self.event(Event::Wake));
+            done.extend(self.event(Event::TimerFired));
         }
         self.now = end;
         done
@@ -92,13 +92,13 @@
             first_choice: 1,
             budget_ns: 3 * S,
             dialled: None,
-            width: 1.0,
-            again: false,
+            circuits: 1.0,
+            retry_after_cut: false,
             in_transit: false,
         };
         change(&mut call);
         self.next += 1;
-        let actions = self.event(Event::Call(call));
+        let actions = self.event(Event::CallArrived(call));
         (call.id, actions)
     }
 
@@ -107,12 +107,12 @@
     }
 
     pub fn stands(&mut self, call: CallId, attempt: u32) -> Vec<Action> {
-        self.event(Event::Standing { call, attempt })
+        self.event(Event::CallEstablished { call, attempt })
     }
 
     pub fn settled(&mut self, call: CallId, attempt: u32, server: ServerId, outcome: Outcome) -> Vec<Action> {
-        let report = Report::default();
-        self.event(Event::Settled { call, attempt, server, outcome, closed: false, report })
+        let report = LoadReport::default();
+        self.event(Event::AttemptCompleted { call, attempt, server, outcome, is_final: false, report })
     }
 
     /// Calls arrive this far apart and stand 40 ms after their set-up, for a while.
@@ -124,7 +124,7 @@
             actions.extend(self.pass(apart.saturating_sub(40 * MS)));
             actions.extend(self.pass(40 * MS));
             for action in actions {
-                if let Action::Send { call, .. } = action {
+                if let Action::ForwardSetup { call, .. } = action {
                     // What an answer sets free is sent at once, and stands with the next.
                     next.extend(self.stands(call, self.attempts(call) - 1));
                 }
@@ -134,20 +134,21 @@
 
     /// How often a call was sent.
     pub fn attempts(&self, id: CallId) -> u32 {
-        self.log.iter().filter(|(_, a)| matches!(a, Action::Send { call, .. } if *call == id)).count() as u32
+        self.log.iter().filter(|(_, a)| matches!(a, Action::ForwardSetup { call, .. } if *call == id)).count()
+            as u32
     }
 }
 
 pub fn sent_to(actions: &[Action], id: CallId) -> Option<ServerId> {
     actions.iter().find_map(|a| match a {
-        Action::Send { call, server, .. } if *call == id => Some(*server),
+        Action::ForwardSetup { call, server, .. } if *call == id => Some(*server),
         _ => None,
     })
 }
 
 pub fn answered(actions: &[Action], id: CallId) -> bool {
     actions.iter().any(|a| match a {
-        Action::Refuse { call, .. } | Action::Fail { call } => *call == id,
+        Action::Reject { call, .. } | Action::Fail { call } => *call == id,
         _ => false,
     })
 }
--- a/crates/lilacpitch/tests/faults.rs
+++ b/crates/lilacpitch/tests/faults.rs
@@ -16,7 +16,7 @@
             front.stands(id, 0);
         } else {
             front.settled(id, 0, server, Outcome::Fault);
-            front.event(lilacpitch::Event::CallerGone(id));
+            front.event(lilacpitch::Event::ClientDisconnected(id));
         }
         front.pass(60 * MS);
     }
--- a/crates/lilacpitch/tests/fleet.rs
+++ b/crates/lilacpitch/tests/fleet.rs
@@ -52,8 +52,8 @@
             come_back: Vec::new(),
             serial: 0,
         };
-        let list: Vec<Entry> = servers.iter().map(|(id, _)| entry(*id, *id as u32)).collect();
-        fleet.all(|| Event::List(News::Full(list.clone())));
+        let list: Vec<Endpoint> = servers.iter().map(|(id, _)| entry(*id, *id as u32)).collect();
+        fleet.all(|| Event::EndpointsUpdated(EndpointUpdate::Full(list.clone())));
         fleet
     }
 
@@ -69,10 +69,10 @@
         for action in actions {
             self.serial += 1;
             match action {
-                Action::WakeAt(at) => {
+                Action::SetTimer(at) => {
                     self.fronts[front].1.insert(at);
                 }
-                Action::Send { call, server, .. } => {
+                Action::ForwardSetup { call, server, .. } => {
                     self.sends.push_back((self.now, front, server));
                     let calls = &mut self.fronts[front].2;
                     let attempt = calls.get(&call).map_or(0, |(attempt, _)| attempt + 1);
@@ -80,9 +80,9 @@
                     let (does, free_ns) = self.servers.get_mut(&server).unwrap();
                     let (at, outcome) = match does {
                         Does::Silent => continue,
-                        Does::Full => (self.now, Some(Outcome::ProcessorFull(Some(2 * S)))),
+                        Does::Full => (self.now, Some(Outcome::Overloaded(Some(2 * S)))),
                         Does::Works(_) if *free_ns > self.now + 3 * S => {
-                            (self.now, Some(Outcome::ProcessorFull(Some(*free_ns - self.now))))
+                            (self.now, Some(Outcome::Overloaded(Some(*free_ns - self.now))))
                         }
                         Does::Works(per_s) => {
                             *free_ns = (*free_ns).max(self.now) + (1e9 / *per_s) as Nanos;
@@ -92,13 +92,13 @@
                     self.due.insert((at + 30 * MS, self.serial), (front, call, attempt, server, outcome));
                 }
                 // A set-up called off is worked on all the same, but nobody hears of it.
-                Action::Cancel { call, attempt } => {
+                Action::CancelAttempt { call, attempt } => {
                     self.due.retain(|_, d| (d.0, d.1) != (front, call));
                     let server = self.fronts[front].2[&call].1;
-                    let end = (front, call, attempt, server, Some(Outcome::CalledOff));
+                    let end = (front, call, attempt, server, Some(Outcome::Cancelled));
                     self.due.insert((self.now + 20 * MS, self.serial), end);
                 }
-                Action::Refuse { retry_after_ns, .. } => self.come_back.extend(retry_after_ns),
+                Action::Reject { retry_after_ns, .. } => self.come_back.extend(retry_after_ns),
                 _ => {}
             }
         }
@@ -118,16 +118,16 @@
                         first_choice: choice(self.next),
                         budget_ns: 3 * S,
                         dialled: None,
-                        width: 1.0,
-                        again: false,
+                        circuits: 1.0,
+                        retry_after_cut: false,
                         in_transit: false,
                     };
                     self.next += 1;
-                    self.event(front, Event::Call(call));
+                    self.event(front, Event::CallArrived(call));
                 }
                 while self.fronts[front].1.first().is_some_and(|at| *at <= self.now) {
                     self.fronts[front].1.pop_first();
-                    self.event(front, Event::Wake);
+                    self.event(front, Event::TimerFired);
                 }
             }
             while self.due.first_key_value().is_some_and(|((at, _), _)| *at <= self.now) {
@@ -135,12 +135,22 @@
                 match outcome {
                     None => {
                         self.stood.push((self.now, server));
-                        self.event(front, Event::Standing { call, attempt });
+                        self.event(front, Event::CallEstablished { call, attempt });
                     }
                     Some(outcome) => {
-                        let report = Report::default();
+                        let report = LoadReport::default();
                         let closed = false;
-                        self.event(front, Event::Settled { call, attempt, server, outcome, closed, report });
+                        self.event(
+                            front,
+                            Event::AttemptCompleted {
+                                call,
+                                attempt,
+                                server,
+                                outcome,
+                                is_final: closed,
+                                report,
+                            },
+                        );
                     }
                 }
             }
@@ -184,12 +194,12 @@
 #[test]
 fn a_cold_server_gets_no_more_together_than_it_can_do() {
     let mut fleet = four();
-    let gone = Entry { availability: Availability::Gone, ..entry(1, 1) };
-    fleet.all(|| Event::List(News::Changes(vec![gone])));
+    let gone = Endpoint { availability: Availability::Removed, ..entry(1, 1) };
+    fleet.all(|| Event::EndpointsUpdated(EndpointUpdate::Changes(vec![gone])));
     fleet.run(3 * S, 670 * MS, one_of_four);
     fleet.servers.insert(1, (Does::Works(30.0), 0));
-    let back = Entry { up_since_ns: fleet.now, ..entry(1, 1) };
-    fleet.all(|| Event::List(News::Changes(vec![back])));
+    let back = Endpoint { up_since_ns: fleet.now, ..entry(1, 1) };
+    fleet.all(|| Event::EndpointsUpdated(EndpointUpdate::Changes(vec![back])));
     // It can do 30 a second at first and falls over at 90, each a second; 75 were normal.
     let mut most: f64 = 0.0;
     for _ in 0..12 {
--- a/crates/lilacpitch/tests/lost.rs
+++ b/crates/lilacpitch/tests/lost.rs
@@ -30,8 +30,8 @@
     while front.now < sent_ns + S {
         // What else goes on there: an event every few milliseconds.
         let done = front.pass(5 * MS);
-        let done = [done, front.event(lilacpitch::Event::Wake)].concat();
-        if done.contains(&Action::Cancel { call: lost, attempt: 0 }) {
+        let done = [done, front.event(lilacpitch::Event::TimerFired)].concat();
+        if done.contains(&Action::CancelAttempt { call: lost, attempt: 0 }) {
             return front.now - sent_ns;
         }
     }
--- a/crates/lilacpitch/tests/mechanism.rs
+++ b/crates/lilacpitch/tests/mechanism.rs
@@ -5,7 +5,7 @@
 use lilacpitch::interface::*;
 use lilacpitch::{Action, Event};
 
-fn two() -> Vec<Entry> {
+fn two() -> Vec<Endpoint> {
     vec![entry(11, 1), entry(22, 2)]
 }
 
@@ -46,19 +46,19 @@
         if left == 0 {
             return (id, actions);
         }
-        front.event(Event::CallerGone(id));
+        front.event(Event::ClientDisconnected(id));
         front.pass(20 * MS);
     }
 }
 
 #[test]
 fn one_refusal_among_many_that_stood_cuts_nothing_and_a_run_of_them_does() {
-    for outcome in [Outcome::ProcessorFull(Some(S)), Outcome::NoCircuit] {
+    for outcome in [Outcome::Overloaded(Some(S)), Outcome::NoCircuit] {
         let mut front = Front::new(settings(), &[entry(11, 1)]);
         front.steady(50 * MS, 6 * S);
         let (id, _) = front.call(0);
         front.settled(id, 0, 11, outcome);
-        front.event(Event::CallerGone(id));
+        front.event(Event::ClientDisconnected(id));
         front.pass(300 * MS);
         let (id, actions) = front.call(0);
         assert_eq!(sent_to(&actions, id), Some(11), "{outcome:?}: one of a hundred holds nothing back");
@@ -75,11 +75,12 @@
     // Found in the laboratory: the first answer ever was 'full', and for 25 s nothing was sent.
     let mut front = Front::new(settings(), &[entry(11, 1)]);
     let (id, _) = front.call(0);
-    front.settled(id, 0, 11, Outcome::ProcessorFull(Some(50 * MS)));
-    front.event(Event::CallerGone(id));
+    front.settled(id, 0, 11, Outcome::Overloaded(Some(50 * MS)));
+    front.event(Event::ClientDisconnected(id));
     let from = front.now;
     front.steady(50 * MS, 12 * S);
-    let sends = front.log.iter().filter(|(at, a)| *at > from && matches!(a, Action::Send { .. })).count();
+    let sends =
+        front.log.iter().filter(|(at, a)| *at > from && matches!(a, Action::ForwardSetup { .. })).count();
     assert!(sends > 150, "{sends} of 240 in 12 s");
 }
 
@@ -88,13 +89,13 @@
     let mut front = Front::new(settings(), &[entry(11, 1)]);
     front.steady(50 * MS, 6 * S);
     let (id, _) = front.call(0);
-    let report = Report { free: Some(0.0) };
-    front.event(Event::Settled {
+    let report = LoadReport { free_capacity: Some(0.0) };
+    front.event(Event::AttemptCompleted {
         call: id,
         attempt: 0,
         server: 11,
         outcome: Outcome::NoCircuit,
-        closed: false,
+        is_final: false,
         report,
     });
     front.pass(50 * MS);
@@ -106,7 +107,7 @@
 fn a_full_processor_is_left_alone_for_the_wait_that_it_told() {
     let mut front = Front::new(settings(), &two());
     front.steady(200 * MS, 4 * S);
-    let (id, again) = turned_away(&mut front, Outcome::ProcessorFull(Some(S)));
+    let (id, again) = turned_away(&mut front, Outcome::Overloaded(Some(S)));
     assert_eq!(sent_to(&again, id), Some(22), "never ran: tried elsewhere at once");
     front.stands(id, 1);
     front.pass(900 * MS);
@@ -124,16 +125,16 @@
     // One server, so that nothing can go elsewhere. 5 calls a second stand; then one processor full.
     let mut front = Front::new(settings(), &[entry(11, 1)]);
     front.steady(200 * MS, 6 * S);
-    let (last, _) = turned_away(&mut front, Outcome::ProcessorFull(Some(10 * MS)));
-    front.event(Event::CallerGone(last));
+    let (last, _) = turned_away(&mut front, Outcome::Overloaded(Some(10 * MS)));
+    front.event(Event::ClientDisconnected(last));
     // 5 a second stood, so that is the ceiling, and the window is past both thresholds of it.
     front.pass(20 * MS);
     let (dear, actions) = front.call(1);
     assert_eq!(sent_to(&actions, dear), None, "state 2 holds all non-urgent calls");
-    let (urgent, actions) = front.call_with(|c| c.again = true);
+    let (urgent, actions) = front.call_with(|c| c.retry_after_cut = true);
     assert_eq!(sent_to(&actions, urgent), Some(11), "urgent calls pass");
     front.stands(urgent, 0);
-    front.event(Event::CallerGone(dear));
+    front.event(Event::ClientDisconnected(dear));
     // As the window slides, it comes down between S2 and S1: dear calls pass again, cheap ones not yet.
     front.pass(1_300 * MS);
     let (cheap, actions) = front.call(0);
@@ -141,7 +142,7 @@
     let (dear, actions) = front.call(1);
     assert_eq!(sent_to(&actions, dear), Some(11), "and no other");
     front.stands(dear, 0);
-    front.event(Event::CallerGone(cheap));
+    front.event(Event::ClientDisconnected(cheap));
     // Clean time later the ceiling no longer decides anything.
     front.pass(20 * S);
     for _ in 0..5 {
@@ -158,12 +159,12 @@
     one.classes.truncate(1);
     let mut front = Front::new(one, &[entry(11, 1)]);
     front.steady(200 * MS, 6 * S);
-    let (last, _) = turned_away(&mut front, Outcome::ProcessorFull(Some(10 * MS)));
-    front.event(Event::CallerGone(last));
+    let (last, _) = turned_away(&mut front, Outcome::Overloaded(Some(10 * MS)));
+    front.event(Event::ClientDisconnected(last));
     let from = front.now;
     front.steady(100 * MS, S);
     let sends = |front: &Front, from| {
-        front.log.iter().filter(|(at, a)| *at > from && matches!(a, Action::Send { .. })).count()
+        front.log.iter().filter(|(at, a)| *at > from && matches!(a, Action::ForwardSetup { .. })).count()
     };
     // 5 a second stood; 10 are offered in 1 s, and S2 of the ceiling leaves room for a few.
     let held = sends(&front, from);
@@ -183,7 +184,7 @@
         let (id, mut actions) = front.call(0);
         actions.extend(front.pass(2 * S));
         let wait = actions.iter().find_map(|a| match a {
-            Action::Refuse { call, retry_after_ns } if *call == id => *retry_after_ns,
+            Action::Reject { call, retry_after_ns } if *call == id => *retry_after_ns,
             _ => None,
         });
         waits.push(wait.expect("refused, with a wait"));
@@ -220,8 +221,8 @@
     front.pass(30 * MS);
     front.stands(quick, 0);
     let done = front.pass(600 * MS);
-    assert!(done.contains(&Action::Cancel { call: lost, attempt: 0 }));
-    front.settled(lost, 0, 11, Outcome::CalledOff);
+    assert!(done.contains(&Action::CancelAttempt { call: lost, attempt: 0 }));
+    front.settled(lost, 0, 11, Outcome::Cancelled);
     let done = front.pass(249 * MS);
     assert_eq!(sent_to(&done, lost), None);
     let done = front.pass(10 * MS);
@@ -237,8 +238,8 @@
     front.steady(200 * MS, 6 * S);
     let (first, _) = front.call(1);
     let done = front.pass(1_100 * MS);
-    assert!(done.contains(&Action::Cancel { call: first, attempt: 0 }), "silent: called off");
-    front.settled(first, 0, 11, Outcome::CalledOff);
+    assert!(done.contains(&Action::CancelAttempt { call: first, attempt: 0 }), "silent: called off");
+    front.settled(first, 0, 11, Outcome::Cancelled);
     let mut trials = 0;
     for _ in 0..60 {
         let (id, actions) = front.call(1);
@@ -250,8 +251,8 @@
             None => {}
         }
         for action in front.pass(50 * MS) {
-            if let Action::Cancel { call, attempt } = action {
-                front.settled(call, attempt, 11, Outcome::CalledOff);
+            if let Action::CancelAttempt { call, attempt } = action {
+                front.settled(call, attempt, 11, Outcome::Cancelled);
             }
         }
     }
@@ -265,7 +266,7 @@
     front.steady(250 * MS, 6 * S);
     let mut sent = 0;
     for _ in 0..40 {
-        let (id, actions) = front.call_with(|c| c.again = true);
+        let (id, actions) = front.call_with(|c| c.retry_after_cut = true);
         sent += usize::from(sent_to(&actions, id).is_some());
     }
     assert!((2..=10).contains(&sent), "{sent} of 40 sent at once");
@@ -276,10 +277,10 @@
     // Incident i9e28fc: batches came late, and the time of held calls ran out meanwhile.
     let mut front = Front::new(settings(), &[entry(11, 1)]);
     front.now += 2 * S;
-    front.event(Event::Wake);
+    front.event(Event::TimerFired);
     let (_, actions) = front.call(1);
     let timeout = actions.iter().find_map(|a| match a {
-        Action::Send { timeout_ns, .. } => Some(*timeout_ns),
+        Action::ForwardSetup { timeout_ns, .. } => Some(*timeout_ns),
         _ => None,
     });
     assert!(timeout.is_some_and(|t| t <= 1_500 * MS), "{timeout:?}");
@@ -295,8 +296,8 @@
             front.stands(id, 0);
         }
     }
-    let fresh = Entry { up_since_ns: front.now, ..entry(33, 3) };
-    front.event(Event::List(News::Changes(vec![fresh])));
+    let fresh = Endpoint { up_since_ns: front.now, ..entry(33, 3) };
+    front.event(Event::EndpointsUpdated(EndpointUpdate::Changes(vec![fresh])));
     let mut sent = 0;
     for _ in 0..100 {
         let (id, actions) = front.call_with(|c| c.first_choice = 3);
@@ -313,12 +314,18 @@
     // granja-peru big-2: a large server came back beside small ones and got a share of what those take.
     let mut front = Front::new(settings(), &two());
     front.steady(60 * MS, 6 * S);
-    front.event(Event::List(News::Changes(vec![Entry { availability: Availability::Gone, ..entry(11, 1) }])));
+    front.event(Event::EndpointsUpdated(EndpointUpdate::Changes(vec![Endpoint {
+        availability: Availability::Removed,
+        ..entry(11, 1)
+    }])));
     front.pass(3 * S);
-    front.event(Event::List(News::Changes(vec![Entry { up_since_ns: front.now, ..entry(11, 1) }])));
+    front.event(Event::EndpointsUpdated(EndpointUpdate::Changes(vec![Endpoint {
+        up_since_ns: front.now,
+        ..entry(11, 1)
+    }])));
     let from = front.now;
     front.steady(60 * MS, 3 * S);
-    let back = |a: &Action| matches!(a, Action::Send { server: 11, .. });
+    let back = |a: &Action| matches!(a, Action::ForwardSetup { server: 11, .. });
     let sent = front.log.iter().filter(|(at, a)| *at > from && back(a)).count();
     // 16 a second before: about a third of that at first, not the trickle of 2 in a window.
     assert!((8..=30).contains(&sent), "{sent} in 3 s");
@@ -361,22 +368,22 @@
 fn odd_events_are_taken_without_a_panic_or_an_answer() {
     let mut front = Front::new(settings(), &two());
     let (id, _) = front.call(0);
-    let quiet = |actions: Vec<Action>| actions.iter().all(|a| matches!(a, Action::WakeAt(_)));
+    let quiet = |actions: Vec<Action>| actions.iter().all(|a| matches!(a, Action::SetTimer(_)));
     assert!(quiet(front.stands(999, 0)), "unknown call");
     assert!(quiet(front.stands(id, 5)), "attempt never made");
     assert!(quiet(front.settled(999, 0, 11, Outcome::TimedOut)));
     assert!(quiet(front.settled(id, 7, 11, Outcome::TimedOut)), "attempt never made");
-    assert!(quiet(front.settled(id, 7, 777, Outcome::NoRoute)), "server never listed");
-    assert!(quiet(front.event(Event::CallerGone(999))));
-    assert!(quiet(front.event(Event::Wake)));
+    assert!(quiet(front.settled(id, 7, 777, Outcome::Unreachable)), "server never listed");
+    assert!(quiet(front.event(Event::ClientDisconnected(999))));
+    assert!(quiet(front.event(Event::TimerFired)));
     // The same id again is ignored, and a class that is not in the settings too.
     front.next = id;
     assert!(quiet(front.call(0).1));
     assert!(quiet(front.call_with(|c| c.class = 40).1));
     // A clock that runs back stands still.
     front.now -= 50 * S;
-    assert!(quiet(front.event(Event::Wake)));
-    assert!(quiet(front.event(Event::List(News::Failed))));
+    assert!(quiet(front.event(Event::TimerFired)));
+    assert!(quiet(front.event(Event::EndpointsUpdated(EndpointUpdate::Failed))));
     front.now += 51 * S;
     assert!(quiet(front.stands(id, 0)), "the call itself was kept");
 }
@@ -388,7 +395,7 @@
     let (first, _) = front.call_with(|c| c.dialled = Some(77));
     let done = front.pass(S);
     assert!(answered(&done, first), "no server: refused");
-    front.event(Event::List(News::Full(vec![entry(11, 1)])));
+    front.event(Event::EndpointsUpdated(EndpointUpdate::Full(vec![entry(11, 1)])));
     front.steady(100 * MS, 4 * S);
     // Four set-ups out: a wait between half and all of what holds the cheapest tier back.
     let out: Vec<_> = (0..4).map(|_| front.call(0).0).collect();
@@ -442,7 +449,7 @@
     // A front node's day: with a resend gap of 100 ms, set-ups were on their way for 40 to 56 ms of it. A wait of
     // half a gap more counted as late, and a quarter of the calls was refused beside servers with room.
     let mut told = settings();
-    told.resend_ns = 100 * MS;
+    told.resend_interval_ns = 100 * MS;
     let mut front = Front::new(told, &[entry(11, 1)]);
     let mut out = std::collections::VecDeque::new();
     // 50 calls a second, of which each stands after so many steps of 20 ms: how many of 100 were not sent.
@@ -459,7 +466,7 @@
             while out.len() >= steps.max(1) {
                 let done = front.stands(out.pop_front().unwrap(), 0);
                 out.extend(done.iter().filter_map(|action| match action {
-                    Action::Send { call, .. } => Some(*call),
+                    Action::ForwardSetup { call, .. } => Some(*call),
                     _ => None,
                 }));
             }
@@ -517,8 +524,8 @@
     let done = front.pass(350 * MS);
     assert_eq!(sent_to(&done, held), Some(11), "a gap on, and as far apart as usual, one goes to find out");
     let done = front.stands(held, 0);
-    assert!(done.contains(&Action::Cancel { call: lost, attempt: 0 }));
-    front.event(Event::CallerGone(lost));
+    assert!(done.contains(&Action::CancelAttempt { call: lost, attempt: 0 }));
+    front.event(Event::ClientDisconnected(lost));
     // Two a second would be past any ceiling set to what stood of late; several a second pass.
     for _ in 0..8 {
         let (id, actions) = front.call(0);
@@ -534,13 +541,13 @@
     let mut mesh = settings();
     mesh.home = Some(9);
     let mut front = Front::new(mesh, &two());
-    let none = Report { free: Some(0.0) };
-    front.event(Event::Reported { server: 11, report: none });
+    let none = LoadReport { free_capacity: Some(0.0) };
+    front.event(Event::ServerLoadReported { server: 11, report: none });
     front.pass(30 * S);
     let (id, actions) = front.call(0);
     assert_eq!(sent_to(&actions, id), Some(22));
     front.stands(id, 0);
-    front.event(Event::Reported { server: 11, report: Report { free: Some(2.0) } });
+    front.event(Event::ServerLoadReported { server: 11, report: LoadReport { free_capacity: Some(2.0) } });
     let (id, actions) = front.call(0);
     assert_eq!(sent_to(&actions, id), Some(11));
 }
@@ -550,15 +557,18 @@
     let mut front = Front::new(settings(), &two());
     front.steady(100 * MS, 4 * S);
     for _ in 0..5 {
-        front.event(Event::List(News::Changes(vec![Entry {
-            availability: Availability::Gone,
+        front.event(Event::EndpointsUpdated(EndpointUpdate::Changes(vec![Endpoint {
+            availability: Availability::Removed,
             ..entry(11, 1)
         }])));
         let from = front.now;
         front.steady(100 * MS, S);
-        let there = |a: &Action| matches!(a, Action::Send { server: 11, .. });
+        let there = |a: &Action| matches!(a, Action::ForwardSetup { server: 11, .. });
         assert!(!front.log.iter().any(|(at, a)| *at > from && there(a)), "nothing new while gone");
-        front.event(Event::List(News::Changes(vec![Entry { up_since_ns: front.now, ..entry(11, 1) }])));
+        front.event(Event::EndpointsUpdated(EndpointUpdate::Changes(vec![Endpoint {
+            up_since_ns: front.now,
+            ..entry(11, 1)
+        }])));
         let from = front.now;
         front.steady(100 * MS, S);
         let sent = front.log.iter().filter(|(at, a)| *at > from && there(a)).count();
@@ -572,13 +582,13 @@
     for (old, new) in [(11, 44), (44, 11)] {
         let mut front = Front::new(settings(), &[entry(old, 1), entry(22, 2)]);
         front.steady(60 * MS, 6 * S);
-        front.event(Event::List(News::Changes(vec![
-            Entry { availability: Availability::Draining, ..entry(old, 1) },
-            Entry { up_since_ns: front.now, ..entry(new, 1) },
+        front.event(Event::EndpointsUpdated(EndpointUpdate::Changes(vec![
+            Endpoint { availability: Availability::Draining, ..entry(old, 1) },
+            Endpoint { up_since_ns: front.now, ..entry(new, 1) },
         ])));
         let from = front.now;
         front.steady(60 * MS, 3 * S);
-        let there = |a: &Action| matches!(a, Action::Send { server, .. } if *server == new);
+        let there = |a: &Action| matches!(a, Action::ForwardSetup { server, .. } if *server == new);
         let sent = front.log.iter().filter(|(at, a)| *at > from && there(a)).count();
         // 16 a second before: a third of that and more, but not all of it.
         assert!((8..=30).contains(&sent), "{sent} in 3 s");
@@ -607,12 +617,12 @@
     let mut front = Front::new(settings(), &[entry(11, 1)]);
     let timeout = |actions: &[Action]| {
         actions.iter().find_map(|a| match a {
-            Action::Send { timeout_ns, .. } => Some(*timeout_ns),
+            Action::ForwardSetup { timeout_ns, .. } => Some(*timeout_ns),
             _ => None,
         })
     };
     front.now += 2 * S;
-    front.event(Event::Wake);
+    front.event(Event::TimerFired);
     front.pass(4 * S);
     let (id, actions) = front.call(1);
     assert!(timeout(&actions).is_some_and(|t| t <= 1_500 * MS), "still expected 4 s later");
@@ -624,24 +634,24 @@
 
 // ---- What other fronts tell ----
 
-fn calm(server: ServerId) -> Fact {
-    Fact {
+fn calm(server: ServerId) -> ServerReport {
+    ServerReport {
         server,
         age_ns: 100 * MS,
         wait_ns: 20 * MS,
-        out: 0,
-        stood: 0,
-        suspect: false,
+        in_flight: 0,
+        succeeded: 0,
+        is_unresponsive: false,
         cold_ns: None,
-        drained: false,
+        is_draining: false,
     }
 }
 
 /// First choices of server 11 that a new front sends there of ten, a third of a second apart, after these words.
-fn sent_there(words: &[Fact]) -> usize {
+fn sent_there(words: &[ServerReport]) -> usize {
     let mut front = Front::new(settings(), &two());
     for (peer, fact) in words.iter().enumerate() {
-        front.event(Event::Told { peer: peer as u64, facts: vec![*fact] });
+        front.event(Event::PeerReported { peer: peer as u64, server_reports: vec![*fact] });
     }
     let mut there = 0;
     for _ in 0..10 {
@@ -653,7 +663,7 @@
             front.stands(id, 0);
         } else {
             there += 1;
-            front.event(Event::CallerGone(id));
+            front.event(Event::ClientDisconnected(id));
         }
         front.pass(330 * MS);
     }
@@ -662,8 +672,8 @@
 
 #[test]
 fn what_most_tell_of_a_server_holds_a_new_front_back_and_no_one_alone_does() {
-    let silent = Fact { suspect: true, ..calm(11) };
-    let slow = Fact { age_ns: 0, wait_ns: 900 * MS, ..calm(11) };
+    let silent = ServerReport { is_unresponsive: true, ..calm(11) };
+    let slow = ServerReport { age_ns: 0, wait_ns: 900 * MS, ..calm(11) };
     let all = sent_there(&[]);
     assert_eq!(all, 10, "nobody tells anything: as ever");
     assert_eq!(sent_there(&[calm(11), calm(11), calm(11)]), 10);
@@ -674,16 +684,16 @@
     let held = sent_there(&[slow; 4]);
     assert!((5..=8).contains(&held), "held back while the words are fresh, a second or so: {held}");
     assert!(sent_there(&[slow, calm(11), calm(11), calm(11)]) > held);
-    let drained = Fact { drained: true, ..calm(11) };
+    let drained = ServerReport { is_draining: true, ..calm(11) };
     assert!(sent_there(&[drained, drained, drained]) <= 2);
 }
 
 /// Of so many first choices of server 11, so far apart, those sent there; these words are told before each.
-fn answered_there(front: &mut Front, calls: usize, apart_ns: Nanos, words: &[Fact]) -> usize {
+fn answered_there(front: &mut Front, calls: usize, apart_ns: Nanos, words: &[ServerReport]) -> usize {
     let mut there = 0;
     for _ in 0..calls {
         for (peer, fact) in words.iter().enumerate() {
-            front.event(Event::Told { peer: peer as u64, facts: vec![*fact] });
+            front.event(Event::PeerReported { peer: peer as u64, server_reports: vec![*fact] });
         }
         let (id, actions) = front.call(0);
         there += usize::from(sent_to(&actions, id) == Some(11));
@@ -694,34 +704,44 @@
     there
 }
 
-fn sent_there_beside(words: &[Fact]) -> usize {
+fn sent_there_beside(words: &[ServerReport]) -> usize {
     answered_there(&mut Front::new(settings(), &two()), 40, S, words)
 }
 
 #[test]
 fn set_ups_that_others_have_out_move_a_front_with_few_calls_elsewhere() {
-    let busy = Fact { age_ns: 10 * MS, wait_ns: 150 * MS, out: 2, ..calm(11) };
+    let busy = ServerReport { age_ns: 10 * MS, wait_ns: 150 * MS, in_flight: 2, ..calm(11) };
     assert_eq!(sent_there_beside(&[]), 40);
     assert_eq!(sent_there_beside(&[busy; 6]), 0, "ten are out there, and none elsewhere");
-    assert_eq!(sent_there_beside(&[Fact { out: 0, ..busy }; 6]), 40, "nobody waits there now");
-    let quick = Fact { wait_ns: 20 * MS, ..busy };
+    assert_eq!(sent_there_beside(&[ServerReport { in_flight: 0, ..busy }; 6]), 40, "nobody waits there now");
+    let quick = ServerReport { wait_ns: 20 * MS, ..busy };
     assert_eq!(sent_there_beside(&[quick; 6]), 40, "many are out there, and answered at once");
     // Ten out where six stood in three seconds: the line there is seconds long, whatever those before it waited.
-    assert_eq!(sent_there_beside(&[Fact { stood: 1, ..quick }; 6]), 0);
-    assert_eq!(sent_there_beside(&[Fact { stood: 1, out: 0, ..quick }; 6]), 40, "none is in line");
+    assert_eq!(sent_there_beside(&[ServerReport { succeeded: 1, ..quick }; 6]), 0);
+    assert_eq!(
+        sent_there_beside(&[ServerReport { succeeded: 1, in_flight: 0, ..quick }; 6]),
+        40,
+        "none is in line"
+    );
     // Whoever takes it to be silent has its own lost there, not in line.
-    let (lost, well) = (Fact { suspect: true, ..quick }, Fact { stood: 2, out: 0, ..quick });
+    let (lost, well) = (
+        ServerReport { is_unresponsive: true, ..quick },
+        ServerReport { succeeded: 2, in_flight: 0, ..quick },
+    );
     assert_eq!(sent_there_beside(&[well, well, well, lost, lost, lost]), 40);
     assert_eq!(sent_there_beside(&[well, well, well, quick, quick, quick]), 0);
     // Two who have some out hold nobody back, and one that is wrong about what stood does not lend them weight.
-    let (two, wrong) = (Fact { stood: 1, out: 4, ..quick }, Fact { stood: u32::MAX, out: 0, ..quick });
+    let (two, wrong) = (
+        ServerReport { succeeded: 1, in_flight: 4, ..quick },
+        ServerReport { succeeded: u32::MAX, in_flight: 0, ..quick },
+    );
     assert_eq!(sent_there_beside(&[two, two]), 40);
     assert_eq!(sent_there_beside(&[two, two, wrong]), 40, "one alone moves nothing");
     // One that is wrong, whatever it tells, moves nothing; nor do many that told it long ago.
-    let wrong = Fact { out: 1_000_000, ..busy };
-    let still = Fact { out: 0, ..busy };
+    let wrong = ServerReport { in_flight: 1_000_000, ..busy };
+    let still = ServerReport { in_flight: 0, ..busy };
     assert_eq!(sent_there_beside(&[wrong, still, still, still, still, still]), 40);
-    assert_eq!(sent_there_beside(&[Fact { age_ns: 2 * S, ..busy }; 6]), 40);
+    assert_eq!(sent_there_beside(&[ServerReport { age_ns: 2 * S, ..busy }; 6]), 40);
 }
 
 /// Whether a lone set-up at server 11 is called off within 1.2 s, three gaps, while these fronts tell that more
@@ -732,12 +752,18 @@
     assert_eq!(sent_to(&actions, id), Some(11));
     for stood in 1..=12 {
         for peer in 0..peers {
-            let fact = Fact { age_ns: 10 * MS, stood, out: 1, wait_ns: 300 * MS, ..calm(11) };
-            front.event(Event::Told { peer, facts: vec![fact] });
+            let fact = ServerReport {
+                age_ns: 10 * MS,
+                succeeded: stood,
+                in_flight: 1,
+                wait_ns: 300 * MS,
+                ..calm(11)
+            };
+            front.event(Event::PeerReported { peer, server_reports: vec![fact] });
         }
         front.pass(100 * MS);
     }
-    front.log.iter().any(|(_, action)| matches!(action, Action::Cancel { call, .. } if *call == id))
+    front.log.iter().any(|(_, action)| matches!(action, Action::CancelAttempt { call, .. } if *call == id))
 }
 
 #[test]
@@ -755,8 +781,10 @@
         let mut front = Front::new(settings(), &[entry(11, 1)]);
         assert_eq!(answered_there(&mut front, calls, 4 * S, &[]), calls);
         let tell = |front: &mut Front, out: u32| -> Vec<Action> {
-            let fact = Fact { age_ns: 0, stood: 2, out, ..calm(11) };
-            (0..6).flat_map(|peer| front.event(Event::Told { peer, facts: vec![fact] })).collect()
+            let fact = ServerReport { age_ns: 0, succeeded: 2, in_flight: out, ..calm(11) };
+            (0..6)
+                .flat_map(|peer| front.event(Event::PeerReported { peer, server_reports: vec![fact] }))
+                .collect()
         };
         tell(&mut front, 4);
         let (id, held) = front.call(0);
@@ -788,7 +816,7 @@
         }
         front.call(0);
         front.pass(190 * MS);
-        front.event(Event::Wake);
+        front.event(Event::TimerFired);
         front.brain.facts()[0].wait_ns
     };
     assert!(waits(3 * S, 12 * S) >= 190 * MS, "four in twelve seconds");
@@ -797,10 +825,10 @@
 
 #[test]
 fn facts_fade_with_their_age() {
-    let old = Fact { age_ns: 31 * S, suspect: true, ..calm(11) };
+    let old = ServerReport { age_ns: 31 * S, is_unresponsive: true, ..calm(11) };
     assert_eq!(sent_there(&[old, old, old]), 10);
-    let older = Fact { age_ns: 5 * S, wait_ns: 900 * MS, ..calm(11) };
-    let fresh = Fact { age_ns: 0, ..older };
+    let older = ServerReport { age_ns: 5 * S, wait_ns: 900 * MS, ..calm(11) };
+    let fresh = ServerReport { age_ns: 0, ..older };
     assert_eq!(sent_there(&[older; 5]), 10, "a wait of five seconds ago is over");
     assert!(sent_there(&[fresh; 5]) < 10);
 }
@@ -810,22 +838,23 @@
     let mut list = two();
     list[0].availability = Availability::Draining;
     let mut front = Front::new(settings(), &list);
-    let fine = Fact { out: u32::MAX, wait_ns: 0, ..calm(11) };
-    (0..9).for_each(|peer| drop(front.event(Event::Told { peer, facts: vec![fine] })));
+    let fine = ServerReport { in_flight: u32::MAX, wait_ns: 0, ..calm(11) };
+    (0..9).for_each(|peer| drop(front.event(Event::PeerReported { peer, server_reports: vec![fine] })));
     let (id, actions) = front.call(1);
     assert_eq!(sent_to(&actions, id), Some(22), "draining stays draining");
     // A cold server gets no more than without.
     let sends = |told: bool| {
         let mut front = Front::new(settings(), &two());
         front.steady(100 * MS, 6 * S);
-        let back = Entry { up_since_ns: front.now, ..entry(11, 1) };
-        front.event(Event::List(News::Changes(vec![back])));
+        let back = Endpoint { up_since_ns: front.now, ..entry(11, 1) };
+        front.event(Event::EndpointsUpdated(EndpointUpdate::Changes(vec![back])));
         if told {
-            (0..9).for_each(|peer| drop(front.event(Event::Told { peer, facts: vec![fine] })));
+            (0..9)
+                .for_each(|peer| drop(front.event(Event::PeerReported { peer, server_reports: vec![fine] })));
         }
         let from = front.now;
         front.steady(100 * MS, 3 * S);
-        let to_11 = |a: &Action| matches!(a, Action::Send { server: 11, .. });
+        let to_11 = |a: &Action| matches!(a, Action::ForwardSetup { server: 11, .. });
         front.log.iter().filter(|(at, a)| *at > from && to_11(a)).count()
     };
     assert!(sends(true) <= sends(false), "{} {}", sends(true), sends(false));
@@ -834,9 +863,9 @@
 
 #[test]
 fn a_server_that_most_call_cold_gets_its_cold_share() {
-    let cold = Fact { cold_ns: Some(S), ..calm(11) };
+    let cold = ServerReport { cold_ns: Some(S), ..calm(11) };
     let mut front = Front::new(settings(), &two());
-    (0..3).for_each(|peer| drop(front.event(Event::Told { peer, facts: vec![cold] })));
+    (0..3).for_each(|peer| drop(front.event(Event::PeerReported { peer, server_reports: vec![cold] })));
     let facts = |front: &mut Front| {
         let (id, actions) = front.call_with(|c| c.first_choice = 2);
         assert_eq!(sent_to(&actions, id), Some(22));
@@ -847,7 +876,7 @@
     // Own facts speak of what this front itself has seen, and of nothing it was told.
     let own = facts(&mut front);
     assert_eq!(own.len(), 1);
-    assert_eq!((own[0].server, own[0].suspect, own[0].cold_ns), (22, false, None));
+    assert_eq!((own[0].server, own[0].is_unresponsive, own[0].cold_ns), (22, false, None));
     // It answers at once; all the same it is used like a cold one, far below what is meant for it.
     let told = answered_there(&mut front, 12, 200 * MS, &[]);
     let untold = answered_there(&mut Front::new(settings(), &two()), 12, 200 * MS, &[]);
--- a/crates/lilacpitch/tests/rules.rs
+++ b/crates/lilacpitch/tests/rules.rs
@@ -15,7 +15,7 @@
     out: Option<(u32, ServerId, Nanos)>,
     attempts: u32,
     not_before: Nanos,
-    may_have_run: Option<(Entry, Nanos)>,
+    may_have_run: Option<(Endpoint, Nanos)>,
     closed: bool,
     standing: bool,
 }
@@ -36,10 +36,10 @@
     let outcome = prop_oneof![
         Just(Outcome::TimedOut),
         Just(Outcome::Cut),
-        Just(Outcome::NoRoute),
+        Just(Outcome::Unreachable),
         Just(Outcome::NoCircuit),
-        Just(Outcome::ProcessorFull(Some(300 * MS))),
-        Just(Outcome::ProcessorFull(None)),
+        Just(Outcome::Overloaded(Some(300 * MS))),
+        Just(Outcome::Overloaded(None)),
         Just(Outcome::NotSent),
         Just(Outcome::Fault),
         Just(Outcome::LinesBusy),
@@ -61,21 +61,21 @@
 
 fn varied() -> impl Strategy<Value = Settings> {
     let repeat = prop_oneof![
-        Just(Repeat::Safe),
-        Just(Repeat::Unsafe),
-        Just(Repeat::Keyed(Scope::All)),
-        Just(Repeat::Keyed(Scope::Zone)),
-        Just(Repeat::Keyed(Scope::Number)),
+        Just(Idempotency::Idempotent),
+        Just(Idempotency::NonIdempotent),
+        Just(Idempotency::IdempotencyKey(Scope::All)),
+        Just(Idempotency::IdempotencyKey(Scope::Zone)),
+        Just(Idempotency::IdempotencyKey(Scope::Number)),
     ];
     (repeat, any::<[bool; 5]>(), 0..3u64, 1..4u32).prop_map(
         |(repeat, [cancel, ask, home, pools, wait], resend, attempts)| {
             let mut s = settings();
-            s.classes[1].repeat = repeat;
-            s.classes[1].memory_ns = 2 * S;
+            s.classes[1].idempotency = repeat;
+            s.classes[1].key_retention_ns = 2 * S;
             s.may_cancel = cancel;
-            s.list_on_request = ask;
+            s.must_subscribe = ask;
             s.home = home.then_some(2);
-            s.resend_ns = resend * 300 * MS;
+            s.resend_interval_ns = resend * 300 * MS;
             s.max_attempts = attempts;
             s.max_retry_after_ns = if wait { S } else { 0 };
             if pools {
@@ -93,7 +93,7 @@
     now: Nanos,
     wakes: BTreeSet<Nanos>,
     calls: BTreeMap<CallId, Known>,
-    list: BTreeMap<ServerId, Entry>,
+    list: BTreeMap<ServerId, Endpoint>,
     sends: Vec<(Nanos, ServerId)>,
 }
 
@@ -109,7 +109,7 @@
     fn check(&mut self, action: Action) {
         let now = self.now;
         match action {
-            Action::Send { call, server, timeout_ns } => {
+            Action::ForwardSetup { call, server, timeout_ns } => {
                 let entry = self.list[&server];
                 let known = self.calls.get_mut(&call).expect("a call that was given");
                 let class = &self.settings.classes[known.call.class];
@@ -121,11 +121,11 @@
                 assert!(known.out.is_none(), "rule 2: two attempts out");
                 assert!(known.attempts < self.settings.max_attempts);
                 if let Some((first, at)) = known.may_have_run {
-                    match class.repeat {
-                        Repeat::Safe => {}
-                        Repeat::Unsafe => panic!("rule 2: unsafe call sent again"),
-                        Repeat::Keyed(scope) => {
-                            assert!(now < at + class.memory_ns, "rule 2: past its memory");
+                    match class.idempotency {
+                        Idempotency::Idempotent => {}
+                        Idempotency::NonIdempotent => panic!("rule 2: unsafe call sent again"),
+                        Idempotency::IdempotencyKey(scope) => {
+                            assert!(now < at + class.key_retention_ns, "rule 2: past its memory");
                             assert!(match scope {
                                 Scope::All => true,
                                 Scope::Zone => first.zone == entry.zone,
@@ -149,15 +149,16 @@
                     assert!(recent <= 12, "rule 4: {recent} set-ups within a second of its start");
                 }
             }
-            Action::Cancel { call, attempt } => {
+            Action::CancelAttempt { call, attempt } => {
                 assert!(self.settings.may_cancel);
                 let known = &self.calls[&call];
                 assert!(attempt < known.attempts);
             }
-            Action::Refuse { call, .. } => {
+            Action::Reject { call, .. } => {
                 let known = self.calls.get_mut(&call).expect("a call that was given");
-                let repeat = self.settings.classes[known.call.class].repeat;
-                let free = matches!(repeat, Repeat::Safe | Repeat::Keyed(Scope::All));
+                let repeat = self.settings.classes[known.call.class].idempotency;
+                let free =
+                    matches!(repeat, Idempotency::Idempotent | Idempotency::IdempotencyKey(Scope::All));
                 assert!(free || (known.may_have_run.is_none() && known.out.is_none()), "rule 2: refused");
                 assert!(!known.closed && known.out.is_none(), "rule 1: two answers");
                 known.closed = true;
@@ -167,11 +168,11 @@
                 assert!(!known.closed && known.out.is_none(), "rule 1: two answers");
                 known.closed = true;
             }
-            Action::WakeAt(at) => {
+            Action::SetTimer(at) => {
                 assert!(at > now);
                 self.wakes.insert(at);
             }
-            Action::Subscribe => assert!(self.settings.list_on_request),
+            Action::Subscribe => assert!(self.settings.must_subscribe),
         }
     }
 
@@ -191,7 +192,7 @@
             }
             if let Some(at) = self.wakes.first().copied().filter(|at| *at <= self.now) {
                 self.wakes.remove(&at);
-                self.feed(Event::Wake);
+                self.feed(Event::TimerFired);
             }
             let slack = 20 * MS;
             for (id, known) in &self.calls {
@@ -212,7 +213,14 @@
         }
         let closed = known.standing;
         known.closed |= closed;
-        self.feed(Event::Settled { call: id, attempt, server, outcome, closed, report: Report::default() });
+        self.feed(Event::AttemptCompleted {
+            call: id,
+            attempt,
+            server,
+            outcome,
+            is_final: closed,
+            report: LoadReport::default(),
+        });
     }
 
     fn pick(&self, index: usize, standing: bool) -> Option<CallId> {
@@ -231,8 +239,8 @@
                     first_choice: number,
                     budget_ns: budget_ms * MS,
                     dialled: Some(u64::from(number)),
-                    width: 1.0,
-                    again,
+                    circuits: 1.0,
+                    retry_after_cut: again,
                     in_transit,
                 };
                 let known = Known {
@@ -246,7 +254,7 @@
                     standing: false,
                 };
                 self.calls.insert(*next, known);
-                self.feed(Event::Call(call));
+                self.feed(Event::CallArrived(call));
             }
             Step::Pass(ms) => self.pass(ms),
             Step::Stand(i) => {
@@ -255,13 +263,14 @@
                     if let Some(known) = self.calls.get_mut(&id) {
                         known.standing = true;
                     }
-                    self.feed(Event::Standing { call: id, attempt });
+                    self.feed(Event::CallEstablished { call: id, attempt });
                 }
             }
             Step::End(i, outcome) => {
                 if let Some(id) = self.pick(i, true) {
                     let standing = self.calls[&id].standing;
-                    let outcome = if standing && outcome != Outcome::Cut { Outcome::Passed } else { outcome };
+                    let outcome =
+                        if standing && outcome != Outcome::Cut { Outcome::Completed } else { outcome };
                     self.end(id, outcome);
                 }
             }
@@ -274,31 +283,31 @@
                         known.closed = true;
                         known.out = None;
                     }
-                    self.feed(Event::CallerGone(id));
+                    self.feed(Event::ClientDisconnected(id));
                 }
             }
             Step::List(server, state, fresh) => {
                 let mut entry = self.list[&server];
                 entry.availability =
-                    [Availability::Gone, Availability::Ready, Availability::Draining][state as usize];
+                    [Availability::Removed, Availability::Ready, Availability::Draining][state as usize];
                 if fresh {
                     entry.up_since_ns = self.now;
                 }
                 self.list.insert(server, entry);
-                self.feed(Event::List(News::Changes(vec![entry])));
+                self.feed(Event::EndpointsUpdated(EndpointUpdate::Changes(vec![entry])));
             }
             Step::Full(mask) => {
                 let mut kept = Vec::new();
                 for (server, entry) in &mut self.list {
                     let there = mask & (1 << server) != 0;
-                    entry.availability = if there { Availability::Ready } else { Availability::Gone };
+                    entry.availability = if there { Availability::Ready } else { Availability::Removed };
                     if there {
                         kept.push(*entry);
                     }
                 }
-                self.feed(Event::List(News::Full(kept)));
+                self.feed(Event::EndpointsUpdated(EndpointUpdate::Full(kept)));
             }
-            Step::Failed => self.feed(Event::List(News::Failed)),
+            Step::Failed => self.feed(Event::EndpointsUpdated(EndpointUpdate::Failed)),
         }
     }
 }
@@ -312,8 +321,8 @@
         .run(
             &(varied(), proptest::collection::vec(step(), 1..120), any::<u64>()),
             |(settings, steps, seed)| {
-                let list: BTreeMap<ServerId, Entry> =
-                    (0..4u64).map(|s| (s, Entry { zone: s as u32 % 2, ..entry(s, s as u32) })).collect();
+                let list: BTreeMap<ServerId, Endpoint> =
+                    (0..4u64).map(|s| (s, Endpoint { zone: s as u32 % 2, ..entry(s, s as u32) })).collect();
                 let mut world = World {
                     brain: Controller::new(settings.clone(), seed),
                     settings,
@@ -324,7 +333,7 @@
                     sends: Vec::new(),
                 };
                 let all = world.list.values().copied().collect();
-                world.feed(Event::List(News::Full(all)));
+                world.feed(Event::EndpointsUpdated(EndpointUpdate::Full(all)));
                 let mut next = 0;
                 for step in steps {
                     world.play(step, &mut next);
