--- a/crates/lilacpitch-edge/src/core/fleet.rs
+++ b/crates/lilacpitch-edge/src/core/fleet.rs
@@ -102,7 +102,7 @@
         let Some(fleet) = self.fleet.as_mut().filter(|_| self.callers.contains_key(&caller)) else { return };
         fleet.came(RowNews {
             there: true,
-            kind: Kind::Reached,
+            kind: Kind::Binding,
             number,
             holder: self.name.clone(),
             serial: caller,
@@ -114,7 +114,7 @@
 
     pub(super) fn row_left(&mut self, caller: CallerId) {
         if let Some(fleet) = &mut self.fleet {
-            fleet.went(Kind::Reached, caller);
+            fleet.went(Kind::Binding, caller);
         }
     }
 
@@ -124,7 +124,7 @@
         let Some(row) = self.servers.rows.get(&server) else { return };
         fleet.came(RowNews {
             there: true,
-            kind: Kind::Standing,
+            kind: Kind::ActiveCall,
             number,
             holder: row.name.clone(),
             serial: id,
@@ -136,7 +136,7 @@
 
     pub(super) fn row_ended(&mut self, id: u64, call: &Call) {
         if let Some(fleet) = self.fleet.as_mut().filter(|_| call.stands) {
-            fleet.went(Kind::Standing, id);
+            fleet.went(Kind::ActiveCall, id);
         }
     }
 
--- a/crates/lilacpitch-edge/src/core/mod.rs
+++ b/crates/lilacpitch-edge/src/core/mod.rs
@@ -72,9 +72,9 @@
     /// The pool list was read, and has changed.
     PoolList(Pools),
     /// Another front, by its origin, says what it knows of servers.
-    Told(u64, Vec<lilacpitch_gossip::Fact>),
+    Told(u64, Vec<lilacpitch_gossip::ServerReport>),
     /// What other fronts, by their origins, have lately met at servers.
-    Heard(Vec<(u64, lilacpitch_gossip::Fact)>),
+    Heard(Vec<(u64, lilacpitch_gossip::ServerReport)>),
     /// A caller said, as it connected, at which number it is reached.
     CallerNumber(CallerId, String),
     /// The fleet's answer for a call that waits for it: the pool through which its number is reached, if any.
--- a/crates/lilacpitch-edge/src/fleet/admin_pages.rs
+++ b/crates/lilacpitch-edge/src/fleet/admin_pages.rs
@@ -2,7 +2,7 @@
 
 use super::Agent;
 use lilacpitch_fleet::locate::{Answer, Site, MAX_LIMIT};
-use lilacpitch_location::{Kind, Number, Query, What};
+use lilacpitch_location::{Kind, Number, Query, QueryTarget};
 use lilacpitch_rpc::steady_ns;
 use std::fmt::Write;
 use std::sync::atomic::Ordering::Relaxed;
@@ -50,8 +50,8 @@
         };
         let kind = match field("kind").as_deref() {
             None => None,
-            Some("reached") => Some(Kind::Reached),
-            Some("standing") => Some(Kind::Standing),
+            Some("reached") => Some(Kind::Binding),
+            Some("standing") => Some(Kind::ActiveCall),
             Some(other) => return Err(format!("kind {other:?}")),
         };
         let since = (whole("from_ms")?, whole("to_ms")?);
@@ -60,7 +60,7 @@
             (from, to) => Some((from.unwrap_or(0), to.unwrap_or(u64::MAX))),
         };
         let query = Query {
-            what: What::Prefix(prefix),
+            target: QueryTarget::Prefix(prefix),
             kind,
             class: field("class"),
             trunk_group: field("trunk_group"),
@@ -122,14 +122,14 @@
     let mut parts = text.split('|');
     let number = Number::new(parts.next()?).ok()?;
     let kind = match parts.next()? {
-        "reached" => Kind::Reached,
-        "standing" => Kind::Standing,
+        "reached" => Kind::Binding,
+        "standing" => Kind::ActiveCall,
         _ => return None,
     };
     let (name, front) = (parts.next()?.to_string(), parts.next()?.to_string());
     let (life, serial) = (parts.next()?.parse().ok()?, parts.next()?.parse().ok()?);
-    let holder = lilacpitch_location::Holder { name, front, life, serial };
-    Some(lilacpitch_location::Key { number, kind, holder })
+    let holder = lilacpitch_location::Owner { name, front, incarnation: life, serial };
+    Some(lilacpitch_location::Key { number, kind, owner: holder })
 }
 
 fn written(answer: &Answer) -> String {
@@ -153,19 +153,19 @@
             key.number,
             row.class,
             row.trunk_group,
-            key.holder.name,
-            key.holder.front,
-            key.holder.life,
-            key.holder.serial,
+            key.owner.name,
+            key.owner.front,
+            key.owner.incarnation,
+            key.owner.serial,
             row.since_ms
         );
     }
     if let Some(key) = &answer.cursor {
-        let (kind, holder) = (key.kind.as_str(), &key.holder);
+        let (kind, holder) = (key.kind.as_str(), &key.owner);
         let _ = writeln!(
             out,
             "cursor {}|{kind}|{}|{}|{}|{}",
-            key.number, holder.name, holder.front, holder.life, holder.serial
+            key.number, holder.name, holder.front, holder.incarnation, holder.serial
         );
     }
     out
--- a/crates/lilacpitch-edge/src/fleet/lease_client.rs
+++ b/crates/lilacpitch-edge/src/fleet/lease_client.rs
@@ -3,7 +3,7 @@
 use super::{wall_ms, Agent, Counters, FromAgent};
 use lilacpitch_fleet::lease_holder::Taken;
 use lilacpitch_fleet::message::{Order, Request, Response};
-use lilacpitch_rpc::{steady_ns, Dialer, Link};
+use lilacpitch_rpc::{steady_ns, Dialer, RpcConnection};
 use std::sync::Arc;
 use std::time::Duration;
 
@@ -12,7 +12,7 @@
     loop {
         let (asked_ns, applied) = (steady_ns(), agent.holder.lock().position());
         let home = agent.above();
-        let again = match home.ask(Request::Renew(applied), agent.patience()).await {
+        let again = match home.request(Request::Renew(applied), agent.patience()).await {
             Ok(Response::Refused(why)) => {
                 tracing::debug!(%why, "no lease");
                 agent.above.lock().failed();
@@ -42,7 +42,7 @@
     let gap = Duration::from_nanos(agent.of.terms.poll_ns);
     loop {
         let (asked_ns, known) = (steady_ns(), agent.catalogue.read().known());
-        let said = agent.above().ask(Request::Summaries(known), agent.patience()).await;
+        let said = agent.above().request(Request::Summaries(known), agent.patience()).await;
         let more = match said {
             Ok(Response::Summaries(news)) => {
                 let (more, wrong) = agent.catalogue.write().take(asked_ns, news);
@@ -112,7 +112,7 @@
     }
 
     /// What the home site asks of this front.
-    pub(super) fn answer(&self, _from: &Link, ask: Request) -> Response {
+    pub(super) fn answer(&self, _from: &RpcConnection, ask: Request) -> Response {
         let Request::Orders { log, orders } = ask else {
             return Response::Refused(lilacpitch_fleet::message::Refusal::Unwanted);
         };
@@ -132,7 +132,7 @@
     async fn say_version(&self, home: &Dialer) {
         let record = self.recorder.lock().record(wall_ms());
         if let Ok(Response::Written) =
-            home.ask(Request::Audit(vec![record.clone()]), self.patience() * 3).await
+            home.request(Request::Audit(vec![record.clone()]), self.patience() * 3).await
         {
             self.recorder.lock().taken(&record);
         }
@@ -141,6 +141,6 @@
     /// The front stops: what is cached is dropped, and the home site need not wait for the lease.
     pub(super) async fn leave(&self) {
         self.cache.clear(steady_ns());
-        let _ = self.above().ask(Request::Leave, self.patience()).await;
+        let _ = self.above().request(Request::Leave, self.patience()).await;
     }
 }
--- a/crates/lilacpitch-edge/src/fleet/locate_dispatcher.rs
+++ b/crates/lilacpitch-edge/src/fleet/locate_dispatcher.rs
@@ -6,7 +6,7 @@
 use lilacpitch_fleet::message::{Refusal, Request, Response};
 use lilacpitch_fleet::query_dispatcher::{look_after_ns, Asker, Do, Timing};
 use lilacpitch_location::Page;
-use lilacpitch_rpc::{steady_ns, LinkError};
+use lilacpitch_rpc::{steady_ns, RpcError};
 use parking_lot::Mutex;
 use std::collections::{HashMap, HashSet};
 use std::sync::Arc;
@@ -147,7 +147,7 @@
                     let (way, request) = (agent.sites[site].1[process].clone(), open.request.clone());
                     let (news, patience) = (news.clone(), Duration::from_nanos(timeout_ns));
                     tokio::spawn(async move {
-                        let (outcome, answer) = outcome(way.ask(request, patience).await);
+                        let (outcome, answer) = outcome(way.request(request, patience).await);
                         let _ = news.send(News::Ended(what, outcome, answer)).await;
                     });
                 }
@@ -167,7 +167,7 @@
     for nth in 0.. {
         tokio::time::sleep(Duration::from_nanos(look_after_ns(nth))).await;
         let way = &agent.sites[site].1[process];
-        if way.ask(Request::Summaries(Vec::new()), CONNECT).await.is_ok() {
+        if way.request(Request::Summaries(Vec::new()), CONNECT).await.is_ok() {
             let _ = news.send(News::Back(site, process)).await;
             return;
         }
@@ -187,7 +187,7 @@
 }
 
 /// How an attempt ended, in the module's words.
-fn outcome(said: Result<Response, LinkError>) -> (Outcome, Option<(Page, String)>) {
+fn outcome(said: Result<Response, RpcError>) -> (Outcome, Option<(Page, String)>) {
     match said {
         Ok(Response::Found { page, process }) => (Outcome::Completed, Some((page, process))),
         Ok(Response::Refused(Refusal::Full { wait_ms })) => {
@@ -196,10 +196,10 @@
         // It runs and has nothing to give: as a server without a free circuit.
         Ok(Response::Refused(_)) => (Outcome::NoCircuit, None),
         Ok(_) => (Outcome::Fault, None),
-        Err(LinkError::Late) => (Outcome::TimedOut, None),
-        Err(LinkError::Unreached(..) | LinkError::Greeting(_) | LinkError::Backlog) => {
+        Err(RpcError::TimedOut) => (Outcome::TimedOut, None),
+        Err(RpcError::Unreached(..) | RpcError::Greeting(_) | RpcError::Backlog) => {
             (Outcome::Unreachable, None)
         }
-        Err(LinkError::Closed | LinkError::Frame(_)) => (Outcome::Cut, None),
+        Err(RpcError::Closed | RpcError::Frame(_)) => (Outcome::Cut, None),
     }
 }
--- a/crates/lilacpitch-edge/src/fleet/mod.rs
+++ b/crates/lilacpitch-edge/src/fleet/mod.rs
@@ -25,7 +25,7 @@
 use lilacpitch_fleet::{Guards, Nanos};
 use lilacpitch_gossip::Keys;
 use lilacpitch_location::Kind;
-use lilacpitch_rpc::{steady_ns, Dialer, Me, Serve};
+use lilacpitch_rpc::{steady_ns, Dialer, LocalIdentity, RequestHandler};
 use parking_lot::{Mutex, RwLock};
 use std::hash::Hasher;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -87,7 +87,7 @@
 
 pub(crate) struct Agent {
     of: FleetOf,
-    me: Me,
+    me: LocalIdentity,
     guards: Guards,
     settings: u64,
     list: AtomicU64,
@@ -116,12 +116,12 @@
 #[derive(Default)]
 struct Door(OnceLock<Weak<Agent>>);
 
-impl Serve for Door {
+impl RequestHandler for Door {
     fn serve(
         self: Arc<Self>,
-        from: Arc<lilacpitch_rpc::Link>,
+        from: Arc<lilacpitch_rpc::RpcConnection>,
         locate_dispatcher: lilacpitch_fleet::message::Request,
-    ) -> lilacpitch_rpc::Served {
+    ) -> lilacpitch_rpc::ResponseFuture {
         match self.0.get().and_then(Weak::upgrade) {
             Some(agent) => Box::pin(async move { agent.answer(&from, locate_dispatcher) }),
             None => Box::pin(std::future::pending()),
@@ -146,7 +146,7 @@
     /// Says a row: with the next [`Handle::say_due`], or soon where it is of a call. If the agent does not keep up, all
     /// rows are wanted again later.
     pub fn row(&mut self, now: Nanos, row: RowNews) {
-        let presses = row.kind == Kind::Reached;
+        let presses = row.kind == Kind::Binding;
         let full = self.held.push(now, row, presses);
         self.changed(full);
     }
@@ -207,7 +207,7 @@
     let text = std::fs::read_to_string(&of.key_file).map_err(|e| format!("{}: {e}", of.key_file))?;
     let keys = Keys::from_text(&text).map_err(|e| format!("{}: {e}", of.key_file))?;
     let life = SystemTime::now().duration_since(UNIX_EPOCH).map_or(1, |since| since.as_nanos() as u64);
-    let me = Me { name: edge.name.clone(), life, role: Role::Front, keys };
+    let me = LocalIdentity { name: edge.name.clone(), life, role: Role::Front, keys };
     let runtime = tokio::runtime::Builder::new_multi_thread()
         .worker_threads(of.threads)
         .thread_name("fleet")
@@ -218,7 +218,7 @@
     let (to_agent, from_front) = mpsc::channel(QUEUE);
     let door = Arc::new(Door::default());
     let dial = |address: &std::net::SocketAddr| {
-        Arc::new(Dialer::new(*address, me.clone(), door.clone() as Arc<dyn Serve>, CONNECT))
+        Arc::new(Dialer::new(*address, me.clone(), door.clone() as Arc<dyn RequestHandler>, CONNECT))
     };
     let sites: Vec<(String, Vec<Arc<Dialer>>)> =
         of.sites.iter().map(|site| (site.name.clone(), site.processes.iter().map(dial).collect())).collect();
--- a/crates/lilacpitch-edge/src/fleet/record_publisher.rs
+++ b/crates/lilacpitch-edge/src/fleet/record_publisher.rs
@@ -4,7 +4,7 @@
 use super::{Agent, Counters, FromAgent};
 use crate::core::RowNews;
 use lilacpitch_fleet::message::{Refusal, Request, Response, RowChange};
-use lilacpitch_location::{Holder, Key, Number, Row};
+use lilacpitch_location::{Key, LocationRecord, Number, Owner};
 use std::collections::VecDeque;
 use std::sync::Arc;
 use std::time::Duration;
@@ -63,13 +63,13 @@
         // The front checked it: what is not a number never was one of a call.
         let number = Number::new(&news.number).ok()?;
         let (front, life) = (self.me.name.clone(), self.me.life);
-        let holder = Holder { name: news.holder, front, life, serial: news.serial };
-        let key = Key { number, kind: news.kind, holder };
+        let holder = Owner { name: news.holder, front, incarnation: life, serial: news.serial };
+        let key = Key { number, kind: news.kind, owner: holder };
         if !news.there {
             return Some(RowChange::Withdraw(key));
         }
         let (class, trunk_group, since_ms) = (news.class, news.trunk_group, news.since_ms);
-        Some(RowChange::Put(Row { key, class, trunk_group, since_ms }))
+        Some(RowChange::Put(LocationRecord { key, class, trunk_group, since_ms }))
     }
 
     /// Rows were lost on the way from the front: all that it has follow, and what went meanwhile the site sweeps out
@@ -111,7 +111,7 @@
         }
         let count = batch.len();
         let write = Request::Write { first, changes: batch };
-        match agent.above().ask(write, agent.patience() * 2).await {
+        match agent.above().request(write, agent.patience() * 2).await {
             Ok(Response::Written) => {
                 Counters::one(&agent.counters.written);
                 agent.record_publisher.lock().written(first, count);
--- a/crates/lilacpitch-edge/src/net/driver.rs
+++ b/crates/lilacpitch-edge/src/net/driver.rs
@@ -164,14 +164,14 @@
             },
             _ = tokio::time::sleep_until(due.unwrap_or_else(tokio::time::Instant::now)), if due.is_some() => {
                 driver.feed(Input::Timeout);
-                driver.talk(|talk, now, out| talk.peers.timeout(now, out));
+                driver.talk(|talk, now, out| talk.peers.handle_timeout(now, out));
             }
             datagram = Talk::receive(&driver.talk) => driver.datagram(&datagram),
             said = heard(&mut agent_says) => driver.fleet_said(said),
             _ = &mut stop, if !stopping => {
                 stopping = true;
                 driver.feed(Input::Stop);
-                driver.talk(|talk, now, out| talk.peers.leave(now, out));
+                driver.talk(|talk, now, out| talk.peers.begin_leave(now, out));
             }
         }
     }
@@ -218,7 +218,7 @@
             }
             News::Keys(keys) => {
                 tracing::info!("keys of peers taken");
-                self.talk(|talk, _, _| talk.peers.rekey(keys));
+                self.talk(|talk, _, _| talk.peers.set_keys(keys));
             }
             News::KeysRefused(why) => {
                 tracing::error!(why, "keys of peers refused, those in hand stay in force")
@@ -273,17 +273,17 @@
         for effect in out {
             match effect {
                 Said::Send(to, bytes) => self.talk.iter().for_each(|talk| talk.send(to, &bytes)),
-                Said::Asked(asker) => {
+                Said::ReportsRequested(asker) => {
                     let facts = self.front.facts();
-                    self.talk(|talk, now, out| talk.peers.answer(now, asker, facts, out));
+                    self.talk(|talk, now, out| talk.peers.answer_request(now, asker, facts, out));
                 }
                 Said::News => {
                     let facts = self.front.facts();
-                    self.talk(|talk, now, out| talk.peers.tell(now, &facts, out));
+                    self.talk(|talk, now, out| talk.peers.publish_reports(now, &facts, out));
                 }
                 Said::Heard(heard) => self.feed(Input::Heard(heard)),
                 // By its origin, of which its address is part: two fronts that were given one name by mistake are two voices all the same.
-                Said::Told(peer, facts) => self.feed(Input::Told(peer.origin(), facts)),
+                Said::ReportsReceived(peer, facts) => self.feed(Input::Told(peer.origin(), facts)),
                 Said::Joined(peer) => {
                     tracing::info!(peer = peer.name, address = %peer.address, "peer is there")
                 }
@@ -295,7 +295,7 @@
     fn datagram(&mut self, bytes: &[u8]) {
         let Some(talk) = &mut self.talk else { return };
         let mut out = Vec::new();
-        if let Err(refused) = talk.peers.datagram(self.clock.now(), bytes, &mut out) {
+        if let Err(refused) = talk.peers.handle_datagram(self.clock.now(), bytes, &mut out) {
             tracing::debug!(%refused, "datagram refused");
         }
         self.talked(out);
--- a/crates/lilacpitch-edge/src/net/gossip_socket.rs
+++ b/crates/lilacpitch-edge/src/net/gossip_socket.rs
@@ -80,15 +80,15 @@
         let _ = writeln!(
             out,
             "# sent {} datagrams, {} bytes; taken {}",
-            counted.sent.0, counted.sent.1, counted.taken
+            counted.sent.0, counted.sent.1, counted.accepted
         );
         let _ = writeln!(
             out,
             "# asked {}, answers taken {}, answered {}",
-            counted.asked.0, counted.asked.1, counted.answered
+            counted.requests.0, counted.requests.1, counted.answered
         );
         let _ = writeln!(out, "# news told {}, voices heard {}", counted.news.0, counted.news.1);
-        for (refused, count) in &counted.refused {
+        for (refused, count) in &counted.rejected {
             let _ = writeln!(out, "# refused {count}: {refused}");
         }
         out
--- a/crates/lilacpitch-edge/tests/peers_hard.rs
+++ b/crates/lilacpitch-edge/tests/peers_hard.rs
@@ -3,7 +3,7 @@
 mod common;
 use common::*;
 use lilacpitch_gossip::sealed_datagram::VERSION;
-use lilacpitch_gossip::{Effect, Fact, Keys, Peers, Settings};
+use lilacpitch_gossip::{Effect, Keys, Peers, ServerReport, Settings};
 use lilacpitch_protocol::message::call::{Answer, ToCaller};
 use lilacpitch_testbed::datagram_relay::Relay;
 use lilacpitch_testbed::simulated_network::Weather;
@@ -55,7 +55,7 @@
 }
 
 impl Fake {
-    fn start(at: SocketAddr, seeds: &[SocketAddr], facts: &[Fact], quirk: Quirk) -> Self {
+    fn start(at: SocketAddr, seeds: &[SocketAddr], facts: &[ServerReport], quirk: Quirk) -> Self {
         let (stop, stopped) = channel();
         let (seeds, facts) = (seeds.to_vec(), facts.to_vec());
         let thread = std::thread::spawn(move || {
@@ -85,7 +85,7 @@
     socket: &UdpSocket,
     at: SocketAddr,
     seeds: &[SocketAddr],
-    facts: &[Fact],
+    facts: &[ServerReport],
     quirk: Quirk,
     stopped: &Receiver<()>,
 ) -> bool {
@@ -96,9 +96,9 @@
     peers.start(now(), &mut out);
     while stopped.try_recv() == Err(TryRecvError::Empty) {
         if let Ok((length, _)) = socket.recv_from(&mut buffer) {
-            let _ = peers.datagram(now(), &buffer[..length], &mut out);
+            let _ = peers.handle_datagram(now(), &buffer[..length], &mut out);
         }
-        peers.timeout(now(), &mut out);
+        peers.handle_timeout(now(), &mut out);
         while !out.is_empty() {
             for effect in std::mem::take(&mut out) {
                 match effect {
@@ -106,9 +106,11 @@
                         bytes[0] = quirk.version.unwrap_or(bytes[0]);
                         let _ = socket.send_to(&bytes, to);
                     }
-                    Effect::Asked(_) if quirk.dies_asked => return true,
-                    Effect::Asked(asker) => peers.answer(now(), asker, facts.to_vec(), &mut out),
-                    Effect::News => peers.tell(now(), facts, &mut out),
+                    Effect::ReportsRequested(_) if quirk.dies_asked => return true,
+                    Effect::ReportsRequested(asker) => {
+                        peers.answer_request(now(), asker, facts.to_vec(), &mut out)
+                    }
+                    Effect::News => peers.publish_reports(now(), facts, &mut out),
                     _ => {}
                 }
             }
@@ -117,19 +119,28 @@
     false
 }
 
-fn well(server: usize) -> Fact {
+fn well(server: usize) -> ServerReport {
     let server = format!("r{server}");
-    Fact { server, age_ms: 20, wait_ms: 0, out: 0, stood: 5, suspect: false, cold_ms: None, drained: false }
+    ServerReport {
+        server,
+        age_ms: 20,
+        wait_ms: 0,
+        in_flight: 0,
+        succeeded: 5,
+        is_unresponsive: false,
+        warming_up_for_ms: None,
+        is_draining: false,
+    }
 }
 
-fn silent(server: usize) -> Fact {
-    Fact { suspect: true, stood: 0, out: 3, wait_ms: 1_000, ..well(server) }
+fn silent(server: usize) -> ServerReport {
+    ServerReport { is_unresponsive: true, succeeded: 0, in_flight: 3, wait_ms: 1_000, ..well(server) }
 }
 
 /// A front that asks these scripted peers, once it was told all they have, or once `told` facts came.
 fn asks(
     servers: &Servers,
-    of: &[(Vec<Fact>, Quirk)],
+    of: &[(Vec<ServerReport>, Quirk)],
     told: u64,
 ) -> (Edge, Vec<Fake>, tempfile::NamedTempFile) {
     let (key, at) = (key_file(), ports(of.len() + 1));
@@ -176,7 +187,7 @@
 #[test]
 fn facts_that_are_minutes_old_are_as_none() {
     let servers = Servers::start(&[true, true]);
-    let old = vec![Fact { age_ms: 300_000, ..silent(0) }];
+    let old = vec![ServerReport { age_ms: 300_000, ..silent(0) }];
     let (edge, _fakes, _key) = asks(
         &servers,
         &[(old.clone(), Quirk::default()), (old.clone(), Quirk::default()), (old, Quirk::default())],
@@ -204,8 +215,13 @@
 fn one_confused_peer_moves_nothing_and_all_confused_do_not_stop_calls() {
     let servers = Servers::start(&[true, true]);
     let confused = || {
-        let down =
-            |server| Fact { wait_ms: 60_000, out: 1_000, cold_ms: Some(0), drained: true, ..silent(server) };
+        let down = |server| ServerReport {
+            wait_ms: 60_000,
+            in_flight: 1_000,
+            warming_up_for_ms: Some(0),
+            is_draining: true,
+            ..silent(server)
+        };
         (vec![down(0), down(1)], Quirk::default())
     };
     let sound = || (vec![well(0), well(1)], Quirk::default());
--- a/crates/lilacpitch-fleet/src/cache.rs
+++ b/crates/lilacpitch-fleet/src/cache.rs
@@ -42,7 +42,7 @@
         Scope::Number(one) => one == number,
         Scope::Prefix(prefix) => number.as_str().starts_with(prefix.as_str()),
         Scope::Holder(name) => {
-            answer.rows.iter().any(|r| r.key.holder.name == *name || r.key.holder.front == *name)
+            answer.rows.iter().any(|r| r.key.owner.name == *name || r.key.owner.front == *name)
         }
         Scope::All => true,
     }
--- a/crates/lilacpitch-fleet/src/catalogue.rs
+++ b/crates/lilacpitch-fleet/src/catalogue.rs
@@ -4,7 +4,7 @@
 use crate::message::{Known, Pending, Position, SiteNews};
 use crate::{Guards, Nanos};
 use lilacpitch_location::summary::{fingerprint, shard_of};
-use lilacpitch_location::{Query, RegisterError, ShardNews, ShardSummary, What};
+use lilacpitch_location::{LocationError, Query, QueryTarget, ShardSummary, ShardUpdate};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Bytes of news in one answer; the rest is asked for again.
@@ -71,17 +71,17 @@
 
     /// What each site's summary says of a question.
     pub fn judge<'a>(&'a self, now: Nanos, query: &'a Query) -> impl Iterator<Item = (&'a str, Verdict)> {
-        let hash = match &query.what {
-            What::Number(number) => Some(number.hash64()),
+        let hash = match &query.target {
+            QueryTarget::Number(number) => Some(number.hash64()),
             // A summary knows whole numbers only.
-            What::Prefix(_) => None,
+            QueryTarget::Prefix(_) => None,
         };
         self.sites.iter().map(move |(site, summary)| {
             let verdict = match (self.fresh(summary, now), hash) {
                 (Some(as_of_ns), Some(hash)) => {
                     let shard = &summary.shards[shard_of(hash, summary.shards.len())];
                     let out = Verdict::RuledOut { life: summary.life, total: summary.total, as_of_ns };
-                    if shard.could(fingerprint(hash)) {
+                    if shard.may_contain(fingerprint(hash)) {
                         Verdict::Could
                     } else {
                         out
@@ -125,7 +125,7 @@
 
     /// Takes an answer to a question that was asked at `asked_ns`; whether more is to be asked for at once. News that
     /// does not read costs that site its summary until the next, and nothing else.
-    pub fn take(&mut self, asked_ns: Nanos, all: Vec<SiteNews>) -> (bool, Vec<RegisterError>) {
+    pub fn take(&mut self, asked_ns: Nanos, all: Vec<SiteNews>) -> (bool, Vec<LocationError>) {
         let (mut more, mut wrong) = (false, Vec::new());
         for news in all {
             let Some(summary) = self.sites.get_mut(&news.site) else { continue };
@@ -184,8 +184,8 @@
     total: u64,
     shards: usize,
     room: &mut usize,
-    mut since: impl FnMut(usize, u64) -> Option<ShardNews>,
-) -> (Vec<ShardNews>, u64, bool) {
+    mut since: impl FnMut(usize, u64) -> Option<ShardUpdate>,
+) -> (Vec<ShardUpdate>, u64, bool) {
     if known.life == life && known.total == total {
         return (Vec::new(), total, false);
     }
@@ -209,9 +209,9 @@
 }
 
 /// Takes one site's news; whether it lacks something.
-fn take(summary: &mut Summary, as_of_ns: Nanos, news: SiteNews) -> Result<bool, RegisterError> {
+fn take(summary: &mut Summary, as_of_ns: Nanos, news: SiteNews) -> Result<bool, LocationError> {
     if news.shards == 0 || news.shards > MAX_SHARDS {
-        return Err(RegisterError::Shards(news.shards as usize));
+        return Err(LocationError::Shards(news.shards as usize));
     }
     if summary.life != news.life || summary.shards.len() != news.shards as usize {
         let shards = vec![ShardSummary::default(); news.shards as usize];
@@ -220,7 +220,7 @@
     for one in &news.news {
         let what = "a shard that the site does not have";
         let shard = summary.shards.get_mut(one.shard as usize);
-        shard.ok_or(RegisterError::Summary { shard: one.shard, what })?.take(one)?;
+        shard.ok_or(LocationError::Summary { shard: one.shard, what })?.take(one)?;
     }
     summary.total = summary.shards.iter().map(ShardSummary::version).sum();
     // Who says less than is known here lags behind: nothing is to be had from it.
--- a/crates/lilacpitch-fleet/src/locate.rs
+++ b/crates/lilacpitch-fleet/src/locate.rs
@@ -3,7 +3,7 @@
 use crate::catalogue::{Catalogue, Verdict};
 use crate::error::LocateError;
 use crate::{Guards, Nanos};
-use lilacpitch_location::{Key, Page, Query, Row};
+use lilacpitch_location::{Key, LocationRecord, Page, Query};
 use std::collections::BTreeMap;
 
 /// Most rows of one answer.
@@ -36,7 +36,7 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Answer {
     /// The rows: in the order of keys.
-    pub rows: Vec<Row>,
+    pub rows: Vec<LocationRecord>,
     /// What became of each site.
     pub sites: BTreeMap<String, Site>,
     /// Every site was asked or ruled out.
@@ -49,7 +49,7 @@
 
 impl Answer {
     /// The newest row: two sites may hold a number, and the later one is where it is.
-    pub fn newest(&self) -> Option<&Row> {
+    pub fn newest(&self) -> Option<&LocationRecord> {
         self.rows.iter().max_by_key(|row| (row.since_ms, &row.key))
     }
 }
@@ -110,7 +110,7 @@
         let Some(open) = self.sites.get_mut(site).filter(|said| said.is_none()) else { return };
         *open = Some(match said {
             Ok((page, process)) => {
-                let rows = page.rows.len();
+                let rows = page.records.len();
                 self.pages.push(page);
                 Site::Asked { process, rows }
             }
@@ -134,7 +134,7 @@
         let complete = !sites.values().any(|said| matches!(said, Site::NotReached(_)));
         // Past the first cut of any site rows of it are missing.
         let cut = self.pages.iter().filter_map(|page| page.cursor.clone()).min();
-        let mut rows: Vec<Row> = self.pages.into_iter().flat_map(|page| page.rows).collect();
+        let mut rows: Vec<LocationRecord> = self.pages.into_iter().flat_map(|page| page.records).collect();
         rows.sort_unstable_by(|a, b| a.key.cmp(&b.key));
         rows.dedup_by(|a, b| a.key == b.key);
         if let Some(cut) = &cut {
--- a/crates/lilacpitch-fleet/src/message.rs
+++ b/crates/lilacpitch-fleet/src/message.rs
@@ -2,7 +2,7 @@
 
 use crate::audit::Record;
 use crate::disk_loss_recovery::LogVote;
-use lilacpitch_location::{Key, Number, Page, Query, Row, ShardNews};
+use lilacpitch_location::{Key, LocationRecord, Number, Page, Query, ShardUpdate};
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
@@ -100,7 +100,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RowChange {
     /// Entered, or in place of one with its key.
-    Put(Row),
+    Put(LocationRecord),
     /// Withdrawn.
     Withdraw(Key),
 }
@@ -145,7 +145,7 @@
     /// The last order that came of its changes.
     pub ordered: Position,
     /// What is new, of the shards whose versions were named.
-    pub news: Vec<ShardNews>,
+    pub news: Vec<ShardUpdate>,
     /// There is more: ask again.
     pub more: bool,
 }
--- a/crates/lilacpitch-fleet/tests/cache_orders.rs
+++ b/crates/lilacpitch-fleet/tests/cache_orders.rs
@@ -20,7 +20,7 @@
 mod cache;
 
 use cache::Cache;
-use lilacpitch_location::{Holder, Key, Kind, Number, Row};
+use lilacpitch_location::{Key, Kind, LocationRecord, Number, Owner};
 use locate::Answer;
 use message::{Order, Scope, What};
 use shuttle::sync::atomic::{AtomicU64, Ordering};
@@ -33,9 +33,9 @@
 
 /// An answer that was read when the site's row was of this version.
 fn answer(version: u64) -> Answer {
-    let holder = Holder { name: "edge-1".into(), front: "edge-1".into(), life: 1, serial: version };
-    let row = Row {
-        key: Key { number: number(), kind: Kind::Reached, holder },
+    let holder = Owner { name: "edge-1".into(), front: "edge-1".into(), incarnation: 1, serial: version };
+    let row = LocationRecord {
+        key: Key { number: number(), kind: Kind::Binding, owner: holder },
         class: String::new(),
         trunk_group: "p".into(),
         since_ms: version,
@@ -64,13 +64,13 @@
         purging.apply(tick(&at), &order);
         // From here on nobody may see what the purge withdrew.
         for _ in 0..2 {
-            let seen = purging.get(&number()).map(|answer| answer.rows[0].key.holder.serial);
+            let seen = purging.get(&number()).map(|answer| answer.rows[0].key.owner.serial);
             assert!(seen.is_none_or(|version| version == 2), "version {seen:?} after its purge");
         }
     });
     fillers.into_iter().for_each(|filler| filler.join().unwrap());
     purge.join().unwrap();
-    let seen = cache.get(&number()).map(|answer| answer.rows[0].key.holder.serial);
+    let seen = cache.get(&number()).map(|answer| answer.rows[0].key.owner.serial);
     assert!(seen.is_none_or(|version| version == 2), "version {seen:?} in the end");
 }
 
--- a/crates/lilacpitch-fleet/tests/errors.rs
+++ b/crates/lilacpitch-fleet/tests/errors.rs
@@ -3,7 +3,7 @@
 
 use lilacpitch_fleet::error::*;
 use lilacpitch_fleet::message::Refusal;
-use lilacpitch_location::RegisterError;
+use lilacpitch_location::LocationError;
 use miette::Diagnostic;
 use std::collections::BTreeSet;
 
@@ -26,11 +26,11 @@
 fn all_variants_have_a_code_of_their_own_and_a_help() {
     let mut codes = BTreeSet::new();
     let word = String::new;
-    walk!(codes, RegisterError, [
-        RegisterError::Number("x".into()) => RegisterError::Number(_),
-        RegisterError::Name { field: "class", found: word() } => RegisterError::Name { .. },
-        RegisterError::Summary { shard: 1, what: "x" } => RegisterError::Summary { .. },
-        RegisterError::Shards(0) => RegisterError::Shards(_),
+    walk!(codes, LocationError, [
+        LocationError::Number("x".into()) => LocationError::Number(_),
+        LocationError::Name { field: "class", found: word() } => LocationError::Name { .. },
+        LocationError::Summary { shard: 1, what: "x" } => LocationError::Summary { .. },
+        LocationError::Shards(0) => LocationError::Shards(_),
     ]);
     walk!(codes, FrameError, [
         FrameError::Forged => FrameError::Forged,
--- a/crates/lilacpitch-gossip/src/lib.rs
+++ b/crates/lilacpitch-gossip/src/lib.rs
@@ -16,7 +16,7 @@
 pub mod sealed_datagram;
 pub mod server_report;
 
-pub use member_id::PeerId;
-pub use peers::{Asker, Counters, Effect, Peers, Settings};
-pub use sealed_datagram::{KeyError, Keys, Refused};
-pub use server_report::Fact;
+pub use member_id::MemberId;
+pub use peers::{Counters, Effect, Peers, Requester, Settings};
+pub use sealed_datagram::{DatagramError, KeyError, Keys};
+pub use server_report::ServerReport;
--- a/crates/lilacpitch-gossip/src/member_id.rs
+++ b/crates/lilacpitch-gossip/src/member_id.rs
@@ -8,7 +8,7 @@
 
 /// A front, in one of its lives.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct PeerId {
+pub struct MemberId {
     /// Its name in its settings.
     pub name: String,
     /// Where its datagrams come in. One front to an address.
@@ -17,7 +17,7 @@
     pub epoch: u64,
 }
 
-impl PeerId {
+impl MemberId {
     /// This life, as its voice is known by: in what it answers and in news, so that one front has one voice.
     pub fn origin(&self) -> u64 {
         let address = match self.address.ip() {
@@ -30,16 +30,16 @@
     }
 
     /// Whether it can be one.
-    pub fn is_sound(&self) -> bool {
+    pub fn is_valid(&self) -> bool {
         self.name.len() <= MAX_NAME_BYTES && self.name.bytes().all(|b| b.is_ascii_graphic())
     }
 }
 
-impl foca::Identity for PeerId {
+impl foca::Identity for MemberId {
     type Addr = SocketAddr;
 
     fn renew(&self) -> Option<Self> {
-        Some(PeerId { epoch: self.epoch + 1, ..self.clone() })
+        Some(MemberId { epoch: self.epoch + 1, ..self.clone() })
     }
 
     fn addr(&self) -> SocketAddr {
--- a/crates/lilacpitch-gossip/src/peers.rs
+++ b/crates/lilacpitch-gossip/src/peers.rs
@@ -1,9 +1,11 @@
 //! A front's side of the talk among fronts: membership, questions and answers.
 
-use crate::member_id::PeerId;
-use crate::rumors::{Board, Sheet};
-use crate::sealed_datagram::{Heard, Keys, Refused, MAX_DATAGRAM_BYTES, MAX_SKEW_MS, OVERHEAD_BYTES};
-use crate::server_report::{Fact, FACTS_A_DATAGRAM, MAX_FACTS};
+use crate::member_id::MemberId;
+use crate::rumors::{RumorBatch, RumorBoard};
+use crate::sealed_datagram::{
+    DatagramError, Keys, ReplayFilter, MAX_DATAGRAM_BYTES, MAX_SKEW_MS, OVERHEAD_BYTES,
+};
+use crate::server_report::{ServerReport, MAX_REPORTS, REPORTS_PER_DATAGRAM};
 use foca::{Config, Foca, NoCustomBroadcast, Notification, PostcardCodec, Runtime, Timer};
 use lilacpitch::interface::Nanos;
 use rand::rngs::StdRng;
@@ -65,8 +67,8 @@
 
 /// Who asked, and how its question is to be answered.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Asker {
-    peer: PeerId,
+pub struct Requester {
+    peer: MemberId,
     question: u64,
 }
 
@@ -76,17 +78,17 @@
     /// Send a datagram.
     Send(SocketAddr, Vec<u8>),
     /// A peer is there.
-    Joined(PeerId),
+    Joined(MemberId),
     /// A peer is gone: left, or taken to be dead.
-    Left(PeerId),
+    Left(MemberId),
     /// A peer asks what this front knows: to be answered by [`Peers::answer`].
-    Asked(Asker),
+    ReportsRequested(Requester),
     /// A peer says what it knows, as it was asked; its voice is that of its [`PeerId::origin`].
-    Told(PeerId, Vec<Fact>),
+    ReportsReceived(MemberId, Vec<ServerReport>),
     /// What this front itself knows is wanted, to be told by [`Peers::tell`].
     News,
     /// What fronts, by their origins, have lately met at servers: new here.
-    Heard(Vec<(u64, Fact)>),
+    Heard(Vec<(u64, ServerReport)>),
 }
 
 /// What has been counted.
@@ -95,11 +97,11 @@
     /// Datagrams sent, and their bytes.
     pub sent: (u64, u64),
     /// Datagrams taken.
-    pub taken: u64,
+    pub accepted: u64,
     /// Datagrams refused, by reason.
-    pub refused: BTreeMap<Refused, u64>,
+    pub rejected: BTreeMap<DatagramError, u64>,
     /// Questions asked, and answers taken.
-    pub asked: (u64, u64),
+    pub requests: (u64, u64),
     /// Questions answered.
     pub answered: u64,
     /// Sheets of news told, and voices heard that were new.
@@ -108,7 +110,7 @@
 
 #[derive(Serialize, Deserialize)]
 struct Envelope<'a> {
-    from: PeerId,
+    from: MemberId,
     counter: u64,
     sent_ms: u64,
     #[serde(borrow)]
@@ -119,12 +121,12 @@
 enum Body<'a> {
     Swim(&'a [u8]),
     Ask { question: u64 },
-    Facts { question: u64, part: u8, facts: Vec<Fact> },
-    News(Sheet),
+    Facts { question: u64, part: u8, facts: Vec<ServerReport> },
+    News(RumorBatch),
 }
 
 enum Due {
-    Swim(Timer<PeerId>),
+    Swim(Timer<MemberId>),
     Ask,
     Seek,
     News,
@@ -132,20 +134,20 @@
 
 /// One front's view of its peers.
 pub struct Peers {
-    swim: Foca<PeerId, PostcardCodec, StdRng, NoCustomBroadcast>,
+    swim: Foca<MemberId, PostcardCodec, StdRng, NoCustomBroadcast>,
     settings: Settings,
-    me: PeerId,
+    me: MemberId,
     rng: StdRng,
     now: Nanos,
     started_ns: Nanos,
     due: BTreeMap<(Nanos, u64), Due>,
     serial: u64,
     counter: u64,
-    board: Board,
-    heard: Heard<SocketAddr>,
+    board: RumorBoard,
+    heard: ReplayFilter<SocketAddr>,
     /// The question that is out, who answered it which parts, and the gap to the next.
     question: u64,
-    answers: BTreeMap<PeerId, BTreeSet<u8>>,
+    answers: BTreeMap<MemberId, BTreeSet<u8>>,
     ask_gap_ns: Nanos,
     /// The gap to the next word to seeds that are not seen.
     seek_gap_ns: Nanos,
@@ -160,14 +162,14 @@
 /// What SWIM wants done, gathered while it is in use.
 #[derive(Default)]
 struct Gathered {
-    send: Vec<(PeerId, Vec<u8>)>,
-    later: Vec<(Timer<PeerId>, Duration)>,
+    send: Vec<(MemberId, Vec<u8>)>,
+    later: Vec<(Timer<MemberId>, Duration)>,
     effects: Vec<Effect>,
-    me: Option<PeerId>,
+    me: Option<MemberId>,
 }
 
-impl Runtime<PeerId> for Gathered {
-    fn notify(&mut self, notification: Notification<'_, PeerId>) {
+impl Runtime<MemberId> for Gathered {
+    fn notify(&mut self, notification: Notification<'_, MemberId>) {
         match notification {
             Notification::MemberUp(peer) => self.effects.push(Effect::Joined(peer.clone())),
             Notification::MemberDown(peer) => self.effects.push(Effect::Left(peer.clone())),
@@ -176,11 +178,11 @@
         }
     }
 
-    fn send_to(&mut self, to: PeerId, data: &[u8]) {
+    fn send_to(&mut self, to: MemberId, data: &[u8]) {
         self.send.push((to, data.to_vec()));
     }
 
-    fn submit_after(&mut self, event: Timer<PeerId>, after: Duration) {
+    fn submit_after(&mut self, event: Timer<MemberId>, after: Duration) {
         self.later.push((event, after));
     }
 }
@@ -189,7 +191,7 @@
     /// A front that knows its settings. `now`: nanoseconds since 1970, which tell its lives apart.
     pub fn new(settings: Settings, now: Nanos, seed: u64) -> Self {
         let mut rng = StdRng::seed_from_u64(seed);
-        let me = PeerId { name: settings.name.clone(), address: settings.address, epoch: now };
+        let me = MemberId { name: settings.name.clone(), address: settings.address, epoch: now };
         let fronts = NonZeroU32::new(settings.fronts.max(2)).unwrap_or(NonZeroU32::MIN);
         let room = MAX_DATAGRAM_BYTES - OVERHEAD_BYTES - HEADER_BYTES;
         let lan = Config::new_lan(fronts);
@@ -212,8 +214,8 @@
             due: BTreeMap::new(),
             serial: 0,
             counter: 0,
-            board: Board::default(),
-            heard: Heard::default(),
+            board: RumorBoard::default(),
+            heard: ReplayFilter::default(),
             question: 0,
             answers: BTreeMap::new(),
             ask_gap_ns: ASK_GAP_NS,
@@ -234,7 +236,7 @@
     }
 
     /// Tells a few members, drawn anew, what this front has lately met at servers and what it heard of others.
-    pub fn tell(&mut self, now: Nanos, facts: &[Fact], effects: &mut Vec<Effect>) {
+    pub fn publish_reports(&mut self, now: Nanos, facts: &[ServerReport], effects: &mut Vec<Effect>) {
         self.now = self.now.max(now);
         let (now, own) = (self.now, self.me.origin());
         for fact in facts {
@@ -272,7 +274,7 @@
             self.seek_gap_ns = SEEK_GAP_NS;
         }
         for address in to {
-            let other = PeerId { name: String::new(), address, epoch: 0 };
+            let other = MemberId { name: String::new(), address, epoch: 0 };
             self.with_swim(effects, |swim, out| swim.announce(other, out));
         }
         let gap = self.seek_gap_ns / 2 + self.rng.random_range(0..=self.seek_gap_ns / 2);
@@ -281,26 +283,26 @@
     }
 
     /// Tells the others that it goes.
-    pub fn leave(&mut self, now: Nanos, effects: &mut Vec<Effect>) {
+    pub fn begin_leave(&mut self, now: Nanos, effects: &mut Vec<Effect>) {
         self.now = self.now.max(now);
         self.with_swim(effects, |swim, out| swim.leave_cluster(out));
         self.due.clear();
     }
 
     /// Puts other keys into force.
-    pub fn rekey(&mut self, keys: Keys) {
+    pub fn set_keys(&mut self, keys: Keys) {
         self.settings.keys = keys;
     }
 
     /// The peers that are there, in order.
-    pub fn members(&self) -> Vec<PeerId> {
-        let mut members: Vec<PeerId> = self.seen().cloned().collect();
+    pub fn members(&self) -> Vec<MemberId> {
+        let mut members: Vec<MemberId> = self.seen().cloned().collect();
         members.sort();
         members
     }
 
     /// The same, as they come.
-    pub fn seen(&self) -> impl Iterator<Item = &PeerId> {
+    pub fn seen(&self) -> impl Iterator<Item = &MemberId> {
         self.swim.iter_members().map(|m| m.id())
     }
 
@@ -315,7 +317,7 @@
     }
 
     /// Does what is due by now.
-    pub fn timeout(&mut self, now: Nanos, effects: &mut Vec<Effect>) {
+    pub fn handle_timeout(&mut self, now: Nanos, effects: &mut Vec<Effect>) {
         self.now = self.now.max(now);
         while let Some(entry) = self.due.first_entry().filter(|e| e.key().0 <= self.now) {
             match entry.remove() {
@@ -332,35 +334,40 @@
     }
 
     /// Takes a datagram, or says why not; a refusal is counted.
-    pub fn datagram(&mut self, now: Nanos, bytes: &[u8], effects: &mut Vec<Effect>) -> Result<(), Refused> {
+    pub fn handle_datagram(
+        &mut self,
+        now: Nanos,
+        bytes: &[u8],
+        effects: &mut Vec<Effect>,
+    ) -> Result<(), DatagramError> {
         self.now = self.now.max(now);
         let taken = self.take(bytes, effects);
         match taken {
-            Ok(()) => self.counters.taken += 1,
-            Err(refused) => *self.counters.refused.entry(refused).or_default() += 1,
+            Ok(()) => self.counters.accepted += 1,
+            Err(refused) => *self.counters.rejected.entry(refused).or_default() += 1,
         }
         taken
     }
 
-    fn take(&mut self, bytes: &[u8], effects: &mut Vec<Effect>) -> Result<(), Refused> {
+    fn take(&mut self, bytes: &[u8], effects: &mut Vec<Effect>) -> Result<(), DatagramError> {
         let plain = self.settings.keys.open(bytes)?;
         let envelope: Envelope =
-            postcard::from_bytes(&plain).map_err(|_| Refused::Malformed("not an envelope"))?;
+            postcard::from_bytes(&plain).map_err(|_| DatagramError::Malformed("not an envelope"))?;
         let from = envelope.from;
-        if !from.is_sound() {
-            return Err(Refused::Malformed("a front's name"));
+        if !from.is_valid() {
+            return Err(DatagramError::Malformed("a front's name"));
         }
         if from.address == self.me.address {
-            return Err(Refused::Own);
+            return Err(DatagramError::Own);
         }
         if envelope.sent_ms.abs_diff(self.now / MS) > MAX_SKEW_MS {
-            return Err(Refused::Clock);
+            return Err(DatagramError::Clock);
         }
-        self.heard.enter(&from.address, from.epoch, envelope.counter, self.now / MS)?;
+        self.heard.accept(&from.address, from.epoch, envelope.counter, self.now / MS)?;
         match envelope.body {
             Body::Swim(data) => {
                 if self.swim.num_members() >= MAX_MEMBERS && !self.is_member(from.address) {
-                    return Err(Refused::TooMany);
+                    return Err(DatagramError::TooMany);
                 }
                 let mut bad = false;
                 self.with_swim(effects, |swim, out| {
@@ -369,7 +376,7 @@
                     taken
                 });
                 if bad {
-                    Err(Refused::Malformed("membership"))
+                    Err(DatagramError::Malformed("membership"))
                 } else {
                     Ok(())
                 }
@@ -377,15 +384,15 @@
             Body::Ask { question } => {
                 self.refill();
                 if self.allowance < 1_000_000_000 {
-                    return Err(Refused::TooOften);
+                    return Err(DatagramError::TooOften);
                 }
                 self.allowance -= 1_000_000_000;
-                effects.push(Effect::Asked(Asker { peer: from, question }));
+                effects.push(Effect::ReportsRequested(Requester { peer: from, question }));
                 Ok(())
             }
             Body::News(sheet) => {
                 let (now, own) = (self.now, self.me.origin());
-                let heard = self.board.hear(now, own, sheet)?;
+                let heard = self.board.receive(now, own, sheet)?;
                 self.counters.news.1 += heard.len() as u64;
                 if !heard.is_empty() {
                     effects.push(Effect::Heard(heard));
@@ -398,33 +405,39 @@
 
     fn facts(
         &mut self,
-        from: PeerId,
+        from: MemberId,
         question: u64,
         part: u8,
-        facts: Vec<Fact>,
+        facts: Vec<ServerReport>,
         effects: &mut Vec<Effect>,
-    ) -> Result<(), Refused> {
+    ) -> Result<(), DatagramError> {
         // Each part once from each peer: one that talks much must not weigh more.
-        if question != self.question || usize::from(part) >= MAX_FACTS / FACTS_A_DATAGRAM {
-            return Err(Refused::Unasked);
+        if question != self.question || usize::from(part) >= MAX_REPORTS / REPORTS_PER_DATAGRAM {
+            return Err(DatagramError::Unsolicited);
         }
-        if facts.len() > FACTS_A_DATAGRAM {
-            return Err(Refused::Malformed("too many facts"));
+        if facts.len() > REPORTS_PER_DATAGRAM {
+            return Err(DatagramError::Malformed("too many facts"));
         }
-        facts.iter().try_for_each(Fact::check)?;
+        facts.iter().try_for_each(ServerReport::check)?;
         if !self.answers.entry(from.clone()).or_default().insert(part) {
-            return Err(Refused::Unasked);
+            return Err(DatagramError::Unsolicited);
         }
-        self.counters.asked.1 += 1;
-        effects.push(Effect::Told(from, facts));
+        self.counters.requests.1 += 1;
+        effects.push(Effect::ReportsReceived(from, facts));
         Ok(())
     }
 
     /// Answers a peer's question with what this front knows, the most telling first.
-    pub fn answer(&mut self, now: Nanos, asker: Asker, facts: Vec<Fact>, effects: &mut Vec<Effect>) {
+    pub fn answer_request(
+        &mut self,
+        now: Nanos,
+        asker: Requester,
+        facts: Vec<ServerReport>,
+        effects: &mut Vec<Effect>,
+    ) {
         self.now = self.now.max(now);
         self.counters.answered += 1;
-        for (part, facts) in facts[..facts.len().min(MAX_FACTS)].chunks(FACTS_A_DATAGRAM).enumerate() {
+        for (part, facts) in facts[..facts.len().min(MAX_REPORTS)].chunks(REPORTS_PER_DATAGRAM).enumerate() {
             let body = Body::Facts { question: asker.question, part: part as u8, facts: facts.to_vec() };
             self.send(asker.peer.address, body, effects);
         }
@@ -444,7 +457,7 @@
         from.retain(|address| !self.answers.keys().any(|peer| peer.address == *address));
         for _ in 0..ASKED_AT_ONCE.min(from.len()) {
             let to = from.swap_remove(self.rng.random_range(0..from.len()));
-            self.counters.asked.0 += 1;
+            self.counters.requests.0 += 1;
             self.send(to, Body::Ask { question: self.question }, effects);
         }
         // Half of the gap is drawn: fronts that start together must not ask in step.
@@ -477,7 +490,7 @@
         &mut self,
         effects: &mut Vec<Effect>,
         act: impl FnOnce(
-            &mut Foca<PeerId, PostcardCodec, StdRng, NoCustomBroadcast>,
+            &mut Foca<MemberId, PostcardCodec, StdRng, NoCustomBroadcast>,
             &mut Gathered,
         ) -> Result<(), foca::Error>,
     ) {
--- a/crates/lilacpitch-gossip/src/rumors.rs
+++ b/crates/lilacpitch-gossip/src/rumors.rs
@@ -6,19 +6,19 @@
 //! origin and ages on its way, the newest of an origin replaces what it said before, and no more than the newest few
 //! voices of a server are kept or passed on: what one datagram holds does not grow with the number of fronts.
 
-use crate::sealed_datagram::Refused;
-use crate::server_report::Fact;
+use crate::sealed_datagram::DatagramError;
+use crate::server_report::ServerReport;
 use lilacpitch::interface::Nanos;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
 const MS: Nanos = 1_000_000;
 /// Voices of one server that are kept and passed on, the newest.
-pub const VOICES: usize = 24;
+pub const MAX_RUMORS_PER_SERVER: usize = 24;
 /// Servers of which news is kept.
 pub const MAX_SERVERS: usize = 256;
 /// News older than this is none.
-pub const NEWS_NS: Nanos = 3_000 * MS;
+pub const RUMOR_LIFETIME_NS: Nanos = 3_000 * MS;
 /// A voice replaces one of its origin that is older by more than this: longer than its ways.
 const NEWER_NS: Nanos = 20 * MS;
 /// Rounds in which a front passes a voice on, each time to a few drawn anew: it reaches nearly all of them.
@@ -28,7 +28,7 @@
 
 /// What one front says of a server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Voice {
+pub struct Rumor {
     /// The front it comes from, by a number drawn from its address and life.
     pub origin: u64,
     /// How old its evidence is, in milliseconds.
@@ -36,56 +36,61 @@
     /// The wait it expects there, in milliseconds.
     pub wait_ms: u32,
     /// Its set-ups unanswered there.
-    pub out: u32,
+    pub in_flight: u32,
     /// Those that stood there within the window.
-    pub stood: u32,
+    pub succeeded: u32,
     /// It takes the server to be silent.
-    pub suspect: bool,
+    pub is_unresponsive: bool,
     /// Since when the server is cold, in milliseconds ago.
-    pub cold_ms: Option<u32>,
+    pub warming_up_for_ms: Option<u32>,
 }
 
 /// News as it crosses the wire: by server.
-pub type Sheet = Vec<(String, Vec<Voice>)>;
+pub type RumorBatch = Vec<(String, Vec<Rumor>)>;
 
 /// A voice on the board.
 #[derive(Debug)]
 struct Kept {
     as_of: Nanos,
-    voice: Voice,
+    voice: Rumor,
     /// The rounds in which it was passed on.
     rounds: u8,
 }
 
 /// One front's board of news.
 #[derive(Debug, Default)]
-pub struct Board {
+pub struct RumorBoard {
     /// By server and origin.
     voices: BTreeMap<String, BTreeMap<u64, Kept>>,
     /// The server at which the next sheet begins, so that all get their turn.
     next: String,
 }
 
-impl Board {
+impl RumorBoard {
     /// Takes a sheet that another front sent, and returns what is new in it. `own`: this front's origin, whose voice
     /// it does not hear from others.
-    pub fn hear(&mut self, now: Nanos, own: u64, sheet: Sheet) -> Result<Vec<(u64, Fact)>, Refused> {
-        if sheet.len() > MAX_SERVERS || sheet.iter().any(|(_, voices)| voices.len() > VOICES) {
-            return Err(Refused::Malformed("too much news"));
+    pub fn receive(
+        &mut self,
+        now: Nanos,
+        own: u64,
+        sheet: RumorBatch,
+    ) -> Result<Vec<(u64, ServerReport)>, DatagramError> {
+        if sheet.len() > MAX_SERVERS || sheet.iter().any(|(_, voices)| voices.len() > MAX_RUMORS_PER_SERVER) {
+            return Err(DatagramError::Malformed("too much news"));
         }
-        let facts: Vec<(u64, Fact)> = sheet
+        let facts: Vec<(u64, ServerReport)> = sheet
             .into_iter()
             .flat_map(|(server, voices)| voices.into_iter().map(move |v| (v.origin, v.fact(&server))))
             .collect();
         facts.iter().try_for_each(|(_, fact)| fact.check())?;
-        let fresh = |(origin, fact): &(u64, Fact)| *origin != own && self.enter(now, *origin, fact);
+        let fresh = |(origin, fact): &(u64, ServerReport)| *origin != own && self.enter(now, *origin, fact);
         Ok(facts.into_iter().filter(fresh).collect())
     }
 
     /// Enters what a front knows; whether it was news.
-    pub fn enter(&mut self, now: Nanos, origin: u64, fact: &Fact) -> bool {
+    pub fn enter(&mut self, now: Nanos, origin: u64, fact: &ServerReport) -> bool {
         let as_of = now.saturating_sub(Nanos::from(fact.age_ms) * MS);
-        if now - as_of > NEWS_NS {
+        if now - as_of > RUMOR_LIFETIME_NS {
             return false;
         }
         if !self.voices.contains_key(&fact.server) && self.voices.len() >= MAX_SERVERS {
@@ -96,10 +101,20 @@
         if of_server.get(&origin).is_some_and(|known| as_of <= known.as_of + NEWER_NS) {
             return false;
         }
-        let Fact { age_ms, wait_ms, out, stood, suspect, cold_ms, .. } = *fact;
-        let voice = Voice { origin, age_ms, wait_ms, out, stood, suspect, cold_ms };
+        let ServerReport {
+            age_ms, wait_ms, in_flight, succeeded, is_unresponsive, warming_up_for_ms, ..
+        } = *fact;
+        let voice = Rumor {
+            origin,
+            age_ms,
+            wait_ms,
+            in_flight: in_flight,
+            succeeded: succeeded,
+            is_unresponsive: is_unresponsive,
+            warming_up_for_ms: warming_up_for_ms,
+        };
         of_server.insert(origin, Kept { as_of, voice, rounds: 0 });
-        if of_server.len() > VOICES {
+        if of_server.len() > MAX_RUMORS_PER_SERVER {
             let oldest = of_server.iter().min_by_key(|(_, kept)| kept.as_of).map(|(origin, _)| *origin);
             oldest.map(|oldest| of_server.remove(&oldest));
             return oldest != Some(origin);
@@ -108,14 +123,14 @@
     }
 
     /// A sheet of at most so many bytes, from the server on whose turn it is.
-    pub fn sheet(&mut self, now: Nanos, room_bytes: usize) -> Sheet {
+    pub fn sheet(&mut self, now: Nanos, room_bytes: usize) -> RumorBatch {
         self.voices.retain(|_, voices| {
-            voices.retain(|_, kept| now.saturating_sub(kept.as_of) <= NEWS_NS);
+            voices.retain(|_, kept| now.saturating_sub(kept.as_of) <= RUMOR_LIFETIME_NS);
             !voices.is_empty()
         });
         let names: Vec<String> = self.voices.keys().cloned().collect();
         let from = names.iter().position(|name| *name >= self.next).unwrap_or(0);
-        let (mut sheet, mut left) = (Sheet::new(), room_bytes.saturating_sub(COUNT_BYTES));
+        let (mut sheet, mut left) = (RumorBatch::new(), room_bytes.saturating_sub(COUNT_BYTES));
         for name in names.iter().cycle().skip(from).take(names.len()) {
             let of_server = self.voices.get_mut(name).into_iter().flat_map(BTreeMap::values_mut);
             let voices: Vec<&mut Kept> = of_server.filter(|kept| kept.rounds < ROUNDS).collect();
@@ -138,17 +153,26 @@
 }
 
 impl Kept {
-    fn aged(&self, now: Nanos) -> Voice {
+    fn aged(&self, now: Nanos) -> Rumor {
         let age = now.saturating_sub(self.as_of).div_ceil(MS);
-        Voice { age_ms: u32::try_from(age).unwrap_or(u32::MAX), ..self.voice }
+        Rumor { age_ms: u32::try_from(age).unwrap_or(u32::MAX), ..self.voice }
     }
 }
 
-impl Voice {
-    fn fact(&self, server: &str) -> Fact {
-        let Voice { age_ms, wait_ms, out, stood, suspect, cold_ms, .. } = *self;
+impl Rumor {
+    fn fact(&self, server: &str) -> ServerReport {
+        let Rumor { age_ms, wait_ms, in_flight, succeeded, is_unresponsive, warming_up_for_ms, .. } = *self;
         let server = server.to_string();
-        Fact { server, age_ms, wait_ms, out, stood, suspect, cold_ms, drained: false }
+        ServerReport {
+            server,
+            age_ms,
+            wait_ms,
+            in_flight,
+            succeeded,
+            is_unresponsive,
+            warming_up_for_ms,
+            is_draining: false,
+        }
     }
 }
 
@@ -156,16 +180,16 @@
 mod tests {
     use super::*;
 
-    fn fact(server: &str, age_ms: u32, wait_ms: u32) -> Fact {
-        Fact {
+    fn fact(server: &str, age_ms: u32, wait_ms: u32) -> ServerReport {
+        ServerReport {
             server: server.into(),
             age_ms,
             wait_ms,
-            out: 0,
-            stood: 0,
-            suspect: false,
-            cold_ms: None,
-            drained: false,
+            in_flight: 0,
+            succeeded: 0,
+            is_unresponsive: false,
+            warming_up_for_ms: None,
+            is_draining: false,
         }
     }
 
@@ -173,14 +197,14 @@
 
     #[test]
     fn a_voice_is_news_once_however_often_it_comes_round() {
-        let (mut one, mut two) = (Board::default(), Board::default());
+        let (mut one, mut two) = (RumorBoard::default(), RumorBoard::default());
         assert!(one.enter(NOW, 1, &fact("r1", 10, 700)));
-        let heard = two.hear(NOW + 5 * MS, 2, one.sheet(NOW + 3 * MS, 1_000)).unwrap();
+        let heard = two.receive(NOW + 5 * MS, 2, one.sheet(NOW + 3 * MS, 1_000)).unwrap();
         assert_eq!(heard.len(), 1);
         assert_eq!((heard[0].0, heard[0].1.wait_ms), (1, 700));
         // Back at its origin, and to the other again: nobody hears it as new, and its age only grows.
-        assert_eq!(one.hear(NOW + 9 * MS, 1, two.sheet(NOW + 7 * MS, 1_000)).unwrap(), vec![]);
-        assert_eq!(two.hear(NOW + 900 * MS, 2, one.sheet(NOW + 890 * MS, 1_000)).unwrap(), vec![]);
+        assert_eq!(one.receive(NOW + 9 * MS, 1, two.sheet(NOW + 7 * MS, 1_000)).unwrap(), vec![]);
+        assert_eq!(two.receive(NOW + 900 * MS, 2, one.sheet(NOW + 890 * MS, 1_000)).unwrap(), vec![]);
         assert!(two.sheet(NOW + 900 * MS, 1_000)[0].1[0].age_ms >= 905);
         assert!(two.sheet(NOW + 901 * MS, 1_000).is_empty(), "passed on in two rounds, no more");
         assert!(one.enter(NOW + 3_000 * MS, 1, &fact("r1", 0, 700)));
@@ -189,29 +213,29 @@
 
     #[test]
     fn what_a_front_has_out_goes_with_its_voice() {
-        let (mut one, mut two) = (Board::default(), Board::default());
-        assert!(one.enter(NOW, 1, &Fact { out: 3, ..fact("r1", 0, 20) }));
-        let heard = two.hear(NOW + 5 * MS, 2, one.sheet(NOW + 3 * MS, 1_000)).unwrap();
-        assert_eq!(heard[0].1.out, 3);
+        let (mut one, mut two) = (RumorBoard::default(), RumorBoard::default());
+        assert!(one.enter(NOW, 1, &ServerReport { in_flight: 3, ..fact("r1", 0, 20) }));
+        let heard = two.receive(NOW + 5 * MS, 2, one.sheet(NOW + 3 * MS, 1_000)).unwrap();
+        assert_eq!(heard[0].1.in_flight, 3);
         // Answered 40 ms later: news again, though it is so soon.
         assert!(one.enter(NOW + 40 * MS, 1, &fact("r1", 0, 20)));
-        let heard = two.hear(NOW + 45 * MS, 2, one.sheet(NOW + 43 * MS, 1_000)).unwrap();
-        assert_eq!(heard.iter().map(|(_, fact)| fact.out).collect::<Vec<_>>(), [0]);
-        let many = Voice {
+        let heard = two.receive(NOW + 45 * MS, 2, one.sheet(NOW + 43 * MS, 1_000)).unwrap();
+        assert_eq!(heard.iter().map(|(_, fact)| fact.in_flight).collect::<Vec<_>>(), [0]);
+        let many = Rumor {
             origin: 9,
             age_ms: 0,
             wait_ms: 0,
-            out: u32::MAX,
-            stood: 0,
-            suspect: false,
-            cold_ms: None,
+            in_flight: u32::MAX,
+            succeeded: 0,
+            is_unresponsive: false,
+            warming_up_for_ms: None,
         };
-        assert!(two.hear(NOW, 2, vec![("r1".to_string(), vec![many])]).is_err(), "no front has so many");
+        assert!(two.receive(NOW, 2, vec![("r1".to_string(), vec![many])]).is_err(), "no front has so many");
     }
 
     #[test]
     fn only_the_newest_few_voices_are_kept_and_sheets_keep_to_their_room() {
-        let mut board = Board::default();
+        let mut board = RumorBoard::default();
         for origin in 0..50 {
             for server in 0..40 {
                 board.enter(NOW, origin, &fact(&format!("server-{server}"), 50 - origin as u32, 1));
@@ -236,15 +260,22 @@
 
     #[test]
     fn too_much_and_impossible_news_is_refused_whole() {
-        let voice =
-            Voice { origin: 9, age_ms: 0, wait_ms: 0, out: 0, stood: 0, suspect: false, cold_ms: None };
-        let mut board = Board::default();
-        let many = vec![("r1".to_string(), vec![voice; VOICES + 1])];
-        assert_eq!(board.hear(NOW, 1, many), Err(Refused::Malformed("too much news")));
+        let voice = Rumor {
+            origin: 9,
+            age_ms: 0,
+            wait_ms: 0,
+            in_flight: 0,
+            succeeded: 0,
+            is_unresponsive: false,
+            warming_up_for_ms: None,
+        };
+        let mut board = RumorBoard::default();
+        let many = vec![("r1".to_string(), vec![voice; MAX_RUMORS_PER_SERVER + 1])];
+        assert_eq!(board.receive(NOW, 1, many), Err(DatagramError::Malformed("too much news")));
         let bad = vec![("r1".to_string(), vec![voice]), ("a b".to_string(), vec![voice])];
-        assert_eq!(board.hear(NOW, 1, bad), Err(Refused::Malformed("a server's name")));
-        let long = Voice { wait_ms: u32::MAX, ..voice };
-        assert!(board.hear(NOW, 1, vec![("r1".to_string(), vec![long])]).is_err());
+        assert_eq!(board.receive(NOW, 1, bad), Err(DatagramError::Malformed("a server's name")));
+        let long = Rumor { wait_ms: u32::MAX, ..voice };
+        assert!(board.receive(NOW, 1, vec![("r1".to_string(), vec![long])]).is_err());
         assert!(board.sheet(NOW, 1_000).is_empty(), "nothing of it was taken");
     }
 }
--- a/crates/lilacpitch-gossip/src/sealed_datagram.rs
+++ b/crates/lilacpitch-gossip/src/sealed_datagram.rs
@@ -20,7 +20,7 @@
 
 /// Why a datagram was refused.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Error)]
-pub enum Refused {
+pub enum DatagramError {
     /// Longer than [`MAX_DATAGRAM_BYTES`].
     #[error("over {MAX_DATAGRAM_BYTES} bytes")]
     TooLong,
@@ -47,7 +47,7 @@
     Own,
     /// An answer to a question that was not asked, or answered already.
     #[error("not asked for")]
-    Unasked,
+    Unsolicited,
     /// More questions than are answered.
     #[error("asked too often")]
     TooOften,
@@ -118,26 +118,26 @@
     }
 
     /// Opens what was sealed for this purpose, with whichever key fits.
-    pub fn open_for(&self, purpose: &[u8], bytes: &[u8]) -> Result<Vec<u8>, Refused> {
-        let (nonce, sealed) = bytes.split_at_checked(NONCE_BYTES).ok_or(Refused::TooShort)?;
+    pub fn open_for(&self, purpose: &[u8], bytes: &[u8]) -> Result<Vec<u8>, DatagramError> {
+        let (nonce, sealed) = bytes.split_at_checked(NONCE_BYTES).ok_or(DatagramError::TooShort)?;
         let payload = |_| Payload { msg: sealed, aad: purpose };
         let mut open = self.0.iter().map(|key| key.decrypt(XNonce::from_slice(nonce), payload(())));
-        open.find_map(Result::ok).ok_or(Refused::Forged)
+        open.find_map(Result::ok).ok_or(DatagramError::Forged)
     }
 
     /// Opens with whichever key fits.
-    pub fn open(&self, bytes: &[u8]) -> Result<Vec<u8>, Refused> {
+    pub fn open(&self, bytes: &[u8]) -> Result<Vec<u8>, DatagramError> {
         if bytes.len() > MAX_DATAGRAM_BYTES {
-            return Err(Refused::TooLong);
+            return Err(DatagramError::TooLong);
         }
         // The version first: what follows may mean something else in another.
         match bytes.first() {
-            None => return Err(Refused::TooShort),
+            None => return Err(DatagramError::TooShort),
             Some(&VERSION) => {}
-            Some(version) => return Err(Refused::Version(*version)),
+            Some(version) => return Err(DatagramError::Version(*version)),
         }
         if bytes.len() < OVERHEAD_BYTES {
-            return Err(Refused::TooShort);
+            return Err(DatagramError::TooShort);
         }
         self.open_for(&[VERSION], &bytes[1..])
     }
@@ -156,7 +156,7 @@
 
 /// What has been heard of each sender: its latest life, which of its counters, and when last.
 #[derive(Debug)]
-pub struct Heard<S: Ord>(BTreeMap<S, Sender>);
+pub struct ReplayFilter<S: Ord>(BTreeMap<S, Sender>);
 
 #[derive(Debug)]
 struct Sender {
@@ -167,15 +167,15 @@
     last_ms: u64,
 }
 
-impl<S: Ord> Default for Heard<S> {
+impl<S: Ord> Default for ReplayFilter<S> {
     fn default() -> Self {
-        Heard(BTreeMap::new())
+        ReplayFilter(BTreeMap::new())
     }
 }
 
-impl<S: Ord + Clone> Heard<S> {
+impl<S: Ord + Clone> ReplayFilter<S> {
     /// Enters a counter of a sender's life; an error if it was heard before or is too old to tell.
-    pub fn enter(&mut self, sender: &S, epoch: u64, counter: u64, now_ms: u64) -> Result<(), Refused> {
+    pub fn accept(&mut self, sender: &S, epoch: u64, counter: u64, now_ms: u64) -> Result<(), DatagramError> {
         let first = Sender { epoch, highest: counter, seen: 1, last_ms: now_ms };
         let Some(known) = self.0.get_mut(sender) else {
             if self.0.len() >= MAX_SENDERS {
@@ -183,7 +183,7 @@
                 self.0.retain(|_, s| now_ms.saturating_sub(s.last_ms) <= 2 * MAX_SKEW_MS);
             }
             if self.0.len() >= MAX_SENDERS {
-                return Err(Refused::TooMany);
+                return Err(DatagramError::TooMany);
             }
             self.0.insert(sender.clone(), first);
             return Ok(());
@@ -194,7 +194,7 @@
             return Ok(());
         }
         if epoch < known.epoch {
-            return Err(Refused::Replayed);
+            return Err(DatagramError::Replayed);
         }
         if counter > known.highest {
             let ahead = counter - known.highest;
@@ -204,7 +204,7 @@
         }
         let behind = known.highest - counter;
         if behind >= 128 || known.seen & (1 << behind) != 0 {
-            return Err(Refused::Replayed);
+            return Err(DatagramError::Replayed);
         }
         known.seen |= 1 << behind;
         Ok(())
--- a/crates/lilacpitch-gossip/tests/network.rs
+++ b/crates/lilacpitch-gossip/tests/network.rs
@@ -2,7 +2,7 @@
 //! seeded. Plus everything that must be refused.
 
 use lilacpitch_gossip::sealed_datagram::VERSION;
-use lilacpitch_gossip::{Asker, Effect, Fact, Keys, PeerId, Peers, Refused, Settings};
+use lilacpitch_gossip::{DatagramError, Effect, Keys, MemberId, Peers, Requester, ServerReport, Settings};
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
 use std::collections::BTreeMap;
@@ -31,16 +31,16 @@
     }
 }
 
-fn fact(server: &str) -> Fact {
-    Fact {
+fn fact(server: &str) -> ServerReport {
+    ServerReport {
         server: server.into(),
         age_ms: 40,
         wait_ms: 900,
-        out: 2,
-        stood: 1,
-        suspect: false,
-        cold_ms: None,
-        drained: false,
+        in_flight: 2,
+        succeeded: 1,
+        is_unresponsive: false,
+        warming_up_for_ms: None,
+        is_draining: false,
     }
 }
 
@@ -101,10 +101,10 @@
                         self.flying.insert((at, self.serial), (to, bytes));
                     }
                 }
-                Effect::Asked(asker) => {
+                Effect::ReportsRequested(asker) => {
                     let mut answer = Vec::new();
                     let facts = vec![fact("r1"), fact("r2")];
-                    self.fronts[from].as_mut().unwrap().answer(self.now, asker, facts, &mut answer);
+                    self.fronts[from].as_mut().unwrap().answer_request(self.now, asker, facts, &mut answer);
                     self.carry_out(from, answer);
                 }
                 other => self.effects.push((self.now, from, other)),
@@ -132,11 +132,11 @@
             if flight == Some(next) {
                 let Some((_, (to, bytes))) = self.flying.pop_first() else { return };
                 if let Some(front) = &mut self.fronts[to] {
-                    front.datagram(self.now, &bytes, &mut out).unwrap_or(());
+                    front.handle_datagram(self.now, &bytes, &mut out).unwrap_or(());
                 }
                 self.carry_out(to, out);
             } else if let Some((_, index)) = timer {
-                self.fronts[index].as_mut().unwrap().timeout(self.now, &mut out);
+                self.fronts[index].as_mut().unwrap().handle_timeout(self.now, &mut out);
                 self.carry_out(index, out);
             }
         }
@@ -146,9 +146,9 @@
         self.fronts[index].as_ref().map_or(0, |f| f.members().len())
     }
 
-    fn told(&self, index: usize) -> Vec<&PeerId> {
+    fn told(&self, index: usize) -> Vec<&MemberId> {
         let told = self.effects.iter().filter_map(|(_, at, effect)| match effect {
-            Effect::Told(from, _) if *at == index => Some(from),
+            Effect::ReportsReceived(from, _) if *at == index => Some(from),
             _ => None,
         });
         told.collect()
@@ -169,7 +169,7 @@
     for front in net.fronts.iter().flatten() {
         let counters = front.counters();
         assert!(counters.answered <= 8 * 20 + 20, "{counters:?}");
-        assert!(counters.asked.0 <= 18, "{counters:?}");
+        assert!(counters.requests.0 <= 18, "{counters:?}");
     }
 }
 
@@ -210,7 +210,7 @@
     net.start(4);
     net.run(3 * S);
     let after = net.fronts[1].as_ref().unwrap().members();
-    let epoch = |members: &[PeerId]| members.iter().find(|m| m.name == "edge-4").map(|m| m.epoch);
+    let epoch = |members: &[MemberId]| members.iter().find(|m| m.name == "edge-4").map(|m| m.epoch);
     assert!(epoch(&after) > epoch(&before), "{after:?}");
     assert_eq!(after.len(), 5, "once only");
     assert_eq!(net.sees(4), 5);
@@ -241,7 +241,7 @@
     let mut net = Net::new(4, 100);
     net.run(60 * S);
     assert!((0..4).all(|i| net.sees(i) == 0 && net.told(i).is_empty()));
-    assert!(net.fronts.iter().flatten().all(|f| f.counters().asked.0 <= 24));
+    assert!(net.fronts.iter().flatten().all(|f| f.counters().requests.0 <= 24));
 }
 
 /// A front, and a datagram with a question sealed for it by another.
@@ -258,47 +258,52 @@
 fn what_must_be_refused_is_refused_by_name_and_counted() {
     let (mut front, good) = asked();
     let mut out = Vec::new();
-    let mut refused = |front: &mut Peers, now, bytes: &[u8]| front.datagram(now, bytes, &mut out).err();
+    let mut refused =
+        |front: &mut Peers, now, bytes: &[u8]| front.handle_datagram(now, bytes, &mut out).err();
     let mut changed = good.clone();
     *changed.last_mut().unwrap() ^= 1;
-    assert_eq!(refused(&mut front, START, &changed), Some(Refused::Forged));
-    assert_eq!(refused(&mut front, START, &good[..good.len() - 1]), Some(Refused::Forged));
-    assert_eq!(refused(&mut front, START, &good[..20]), Some(Refused::TooShort));
-    assert_eq!(refused(&mut front, START, &[]), Some(Refused::TooShort));
-    assert_eq!(refused(&mut front, START, &[&good[..], &[0; 2000][..]].concat()), Some(Refused::TooLong));
+    assert_eq!(refused(&mut front, START, &changed), Some(DatagramError::Forged));
+    assert_eq!(refused(&mut front, START, &good[..good.len() - 1]), Some(DatagramError::Forged));
+    assert_eq!(refused(&mut front, START, &good[..20]), Some(DatagramError::TooShort));
+    assert_eq!(refused(&mut front, START, &[]), Some(DatagramError::TooShort));
+    assert_eq!(
+        refused(&mut front, START, &[&good[..], &[0; 2000][..]].concat()),
+        Some(DatagramError::TooLong)
+    );
     for version in [0, VERSION - 1, VERSION + 1, 255] {
         let other = [&[version], &good[1..]].concat();
         assert_eq!(
             refused(&mut front, START, &other),
-            Some(Refused::Version(version)),
+            Some(DatagramError::Version(version)),
             "older and newer fronts"
         );
     }
-    assert_eq!(refused(&mut front, START + 61 * S, &good), Some(Refused::Clock));
+    assert_eq!(refused(&mut front, START + 61 * S, &good), Some(DatagramError::Clock));
     let (mut front, good) = asked();
-    let mut refused = |front: &mut Peers, now, bytes: &[u8]| front.datagram(now, bytes, &mut out).err();
+    let mut refused =
+        |front: &mut Peers, now, bytes: &[u8]| front.handle_datagram(now, bytes, &mut out).err();
     assert_eq!(refused(&mut front, START, &good), None);
-    assert_eq!(refused(&mut front, START, &good), Some(Refused::Replayed));
+    assert_eq!(refused(&mut front, START, &good), Some(DatagramError::Replayed));
     let mut stranger = Peers::new(Settings { keys: keys(8), ..settings(2, 3) }, START, 5);
     let mut sent = Vec::new();
     stranger.start(START, &mut sent);
     let Some(Effect::Send(_, foreign)) = sent.first() else { panic!("it announces itself") };
-    assert_eq!(refused(&mut front, START, foreign), Some(Refused::Forged));
-    assert_eq!(front.counters().refused.values().sum::<u64>(), 2);
+    assert_eq!(refused(&mut front, START, foreign), Some(DatagramError::Forged));
+    assert_eq!(front.counters().rejected.values().sum::<u64>(), 2);
     // A front hears itself where a seed list names it under another address: its own name is no peer.
     let mut own = Peers::new(settings(1, 3), START + 1, 9);
-    assert_eq!(refused(&mut own, START + 1, &good), Some(Refused::Own));
+    assert_eq!(refused(&mut own, START + 1, &good), Some(DatagramError::Own));
 }
 
 #[test]
 fn answers_count_once_and_only_when_asked_for() {
     let (mut teller, question) = asked();
     let mut out = Vec::new();
-    teller.datagram(START, &question, &mut out).unwrap();
-    let Some(Effect::Asked(asker)) = out.pop() else { panic!("{out:?}") };
-    let answer = |teller: &mut Peers, asker: Asker, facts: Vec<Fact>| {
+    teller.handle_datagram(START, &question, &mut out).unwrap();
+    let Some(Effect::ReportsRequested(asker)) = out.pop() else { panic!("{out:?}") };
+    let answer = |teller: &mut Peers, asker: Requester, facts: Vec<ServerReport>| {
         let mut out = Vec::new();
-        teller.answer(START, asker, facts, &mut out);
+        teller.answer_request(START, asker, facts, &mut out);
         let bytes = out.into_iter().map(|e| match e {
             Effect::Send(_, bytes) => bytes,
             other => panic!("{other:?}"),
@@ -311,28 +316,35 @@
     let first = answer(&mut teller, asker.clone(), vec![fact("r1")]);
     let second = answer(&mut teller, asker.clone(), vec![fact("r1")]);
     out.clear();
-    assert_eq!(front.datagram(START, &first[0], &mut out), Ok(()));
-    assert!(matches!(&out[..], [Effect::Told(from, facts)] if from.name == "edge-0" && facts.len() == 1));
-    assert_eq!(front.datagram(START, &second[0], &mut out), Err(Refused::Unasked), "once from each");
+    assert_eq!(front.handle_datagram(START, &first[0], &mut out), Ok(()));
+    assert!(
+        matches!(&out[..], [Effect::ReportsReceived(from, facts)] if from.name == "edge-0" && facts.len() == 1)
+    );
+    assert_eq!(
+        front.handle_datagram(START, &second[0], &mut out),
+        Err(DatagramError::Unsolicited),
+        "once from each"
+    );
     let mut other = Peers::new(settings(2, 3), START, 3);
     other.start(START, &mut Vec::new());
     let third = answer(&mut teller, asker.clone(), vec![fact("r1")]);
-    assert_eq!(other.datagram(START, &third[0], &mut out), Err(Refused::Unasked));
+    assert_eq!(other.handle_datagram(START, &third[0], &mut out), Err(DatagramError::Unsolicited));
     // What can be no fact is refused whole; many are told in parts that each fit.
     let mut mad = fact("r1");
-    mad.out = u32::MAX;
+    mad.in_flight = u32::MAX;
     let bad = answer(&mut teller, asker.clone(), vec![mad]);
     let mut front = Peers::new(settings(1, 3), START, 1);
     front.start(START, &mut out);
     assert_eq!(
-        front.datagram(START, &bad[0], &mut out),
-        Err(Refused::Malformed("more set-ups than a front has"))
+        front.handle_datagram(START, &bad[0], &mut out),
+        Err(DatagramError::Malformed("more set-ups than a front has"))
     );
-    let many: Vec<Fact> = (0..90).map(|i| fact(&format!("server-with-a-long-name-of-its-own-{i}"))).collect();
+    let many: Vec<ServerReport> =
+        (0..90).map(|i| fact(&format!("server-with-a-long-name-of-its-own-{i}"))).collect();
     let parts = answer(&mut teller, asker, many);
     assert_eq!(parts.len(), 8, "64 facts at most");
     out.clear();
-    parts.iter().for_each(|part| front.datagram(START, part, &mut out).unwrap());
+    parts.iter().for_each(|part| front.handle_datagram(START, part, &mut out).unwrap());
     assert_eq!(out.len(), 8);
 }
 
@@ -347,9 +359,9 @@
         Peers::new(Settings { seeds, ..settings(3 + index, 3) }, START, index as u64).start(START, &mut out);
         let Some(Effect::Send(_, bytes)) = out.last() else { panic!() };
         let mut effects = Vec::new();
-        match front.datagram(START, bytes, &mut effects) {
+        match front.handle_datagram(START, bytes, &mut effects) {
             Ok(()) => asked += 1,
-            Err(Refused::TooOften) => too_often += 1,
+            Err(DatagramError::TooOften) => too_often += 1,
             Err(other) => panic!("{other}"),
         }
     }
@@ -372,7 +384,7 @@
     let both = Keys::from_text(&format!("{new}\n{old}")).unwrap();
     let sealed = Keys::from_text(&old).unwrap().seal(b"x", [1; 24]);
     assert_eq!(both.open(&sealed), Ok(b"x".to_vec()));
-    assert_eq!(Keys::from_text(&new).unwrap().open(&sealed), Err(Refused::Forged));
+    assert_eq!(Keys::from_text(&new).unwrap().open(&sealed), Err(DatagramError::Forged));
     assert_eq!(
         Keys::from_text(&new).unwrap().open(&both.seal(b"y", [2; 24])),
         Ok(b"y".to_vec()),
@@ -390,7 +402,7 @@
             let mut front = Peers::new(settings(0, 3), START, 0);
             let bytes = if sealed { keys(7).seal(&bytes, [9; 24]) } else { bytes };
             let mut out = Vec::new();
-            let _ = front.datagram(START, &bytes, &mut out);
+            let _ = front.handle_datagram(START, &bytes, &mut out);
             Ok(())
         })
         .unwrap();
--- a/crates/lilacpitch-location/src/error.rs
+++ b/crates/lilacpitch-location/src/error.rs
@@ -5,7 +5,7 @@
 
 /// Why a row, a question or a summary was refused. Nothing else is lost with it.
 #[derive(Debug, Clone, PartialEq, Eq, Error, Diagnostic)]
-pub enum RegisterError {
+pub enum LocationError {
     /// Not a number that can be dialled.
     #[error("number {0:?}: not 1 to 32 of 0-9 * #, a + before them at most")]
     #[diagnostic(
--- a/crates/lilacpitch-location/src/lib.rs
+++ b/crates/lilacpitch-location/src/lib.rs
@@ -23,8 +23,8 @@
     pub use parking_lot::RwLock;
 }
 
-pub use error::RegisterError;
-pub use query::{Page, Query, What};
-pub use record::{Holder, Key, Kind, Number, Row};
-pub use store::Register;
-pub use summary::{ShardNews, ShardSummary};
+pub use error::LocationError;
+pub use query::{Page, Query, QueryTarget};
+pub use record::{Key, Kind, LocationRecord, Number, Owner};
+pub use store::LocationStore;
+pub use summary::{ShardSummary, ShardUpdate};
--- a/crates/lilacpitch-location/src/query.rs
+++ b/crates/lilacpitch-location/src/query.rs
@@ -1,11 +1,11 @@
 //! Questions over rows.
 
-use crate::record::{Key, Kind, Number, Row};
+use crate::record::{Key, Kind, LocationRecord, Number};
 use serde::{Deserialize, Serialize};
 
 /// Which numbers are asked for.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub enum What {
+pub enum QueryTarget {
     /// One.
     Number(Number),
     /// All that begin so.
@@ -16,7 +16,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Query {
     /// Which numbers.
-    pub what: What,
+    pub target: QueryTarget,
     /// What their rows say.
     pub kind: Option<Kind>,
     /// Of this class.
@@ -31,8 +31,8 @@
     /// Where one number is reached.
     pub fn reached(number: Number) -> Self {
         Query {
-            what: What::Number(number),
-            kind: Some(Kind::Reached),
+            target: QueryTarget::Number(number),
+            kind: Some(Kind::Binding),
             class: None,
             trunk_group: None,
             since_ms: None,
@@ -40,10 +40,10 @@
     }
 
     /// Whether a row is asked for.
-    pub fn matches(&self, row: &Row) -> bool {
-        let number = match &self.what {
-            What::Number(number) => *number == row.key.number,
-            What::Prefix(prefix) => row.key.number.as_str().starts_with(prefix.as_str()),
+    pub fn matches(&self, row: &LocationRecord) -> bool {
+        let number = match &self.target {
+            QueryTarget::Number(number) => *number == row.key.number,
+            QueryTarget::Prefix(prefix) => row.key.number.as_str().starts_with(prefix.as_str()),
         };
         number
             && self.kind.is_none_or(|kind| kind == row.key.kind)
@@ -57,7 +57,7 @@
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Page {
     /// The rows.
-    pub rows: Vec<Row>,
+    pub records: Vec<LocationRecord>,
     /// Where to go on: there may be more after this key.
     pub cursor: Option<Key>,
 }
--- a/crates/lilacpitch-location/src/record.rs
+++ b/crates/lilacpitch-location/src/record.rs
@@ -1,6 +1,6 @@
 //! Rows: a number, where it is reached or which call stands, and since when.
 
-use crate::error::RegisterError;
+use crate::error::LocationError;
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
@@ -16,11 +16,11 @@
 
 impl Number {
     /// Reads a number.
-    pub fn new(text: &str) -> Result<Self, RegisterError> {
+    pub fn new(text: &str) -> Result<Self, LocationError> {
         let digits = text.strip_prefix('+').unwrap_or(text);
         let sound = |b: u8| b.is_ascii_digit() || b == b'*' || b == b'#';
         if digits.is_empty() || digits.len() > MAX_DIGITS || !digits.bytes().all(sound) {
-            return Err(RegisterError::Number(text.chars().take(40).collect()));
+            return Err(LocationError::Number(text.chars().take(40).collect()));
         }
         Ok(Number(text.into()))
     }
@@ -43,9 +43,9 @@
 }
 
 impl TryFrom<String> for Number {
-    type Error = RegisterError;
+    type Error = LocationError;
 
-    fn try_from(text: String) -> Result<Self, RegisterError> {
+    fn try_from(text: String) -> Result<Self, LocationError> {
         Number::new(&text)
     }
 }
@@ -60,30 +60,30 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Kind {
     /// A handset, console or driver is reached here.
-    Reached,
+    Binding,
     /// A call to it stands here.
-    Standing,
+    ActiveCall,
 }
 
 impl Kind {
     /// As it is written on pages.
     pub fn as_str(self) -> &'static str {
         match self {
-            Kind::Reached => "reached",
-            Kind::Standing => "standing",
+            Kind::Binding => "reached",
+            Kind::ActiveCall => "standing",
         }
     }
 }
 
 /// Who holds a row: a front for a number that is reached, a server for a call that stands.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct Holder {
+pub struct Owner {
     /// The front's or the server's name.
     pub name: String,
     /// The front that wrote the row: whoever it belonged to goes with that front's life.
     pub front: String,
     /// That life of the front, in nanoseconds since 1970.
-    pub life: u64,
+    pub incarnation: u64,
     /// Tells rows of one holder for one number apart: the front's number of the connection or call.
     pub serial: u64,
 }
@@ -96,20 +96,20 @@
     /// What the row says.
     pub kind: Kind,
     /// Who holds it.
-    pub holder: Holder,
+    pub owner: Owner,
 }
 
 impl Key {
     /// Not after any key whose number begins so: where a range of them starts.
     pub fn first_of(digits: &str) -> Self {
-        let holder = Holder { name: String::new(), front: String::new(), life: 0, serial: 0 };
-        Key { number: Number(digits.into()), kind: Kind::Reached, holder }
+        let holder = Owner { name: String::new(), front: String::new(), incarnation: 0, serial: 0 };
+        Key { number: Number(digits.into()), kind: Kind::Binding, owner: holder }
     }
 }
 
 /// One row.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Row {
+pub struct LocationRecord {
     /// Its key.
     pub key: Key,
     /// The class of the call, or of calls to it; may be empty.
@@ -120,19 +120,19 @@
     pub since_ms: u64,
 }
 
-impl Row {
+impl LocationRecord {
     /// Whether its names can be some; its number was checked when it was read.
-    pub fn check(&self) -> Result<(), RegisterError> {
+    pub fn check(&self) -> Result<(), LocationError> {
         let names = [
             ("class", &self.class),
             ("trunk group", &self.trunk_group),
-            ("holder", &self.key.holder.name),
-            ("front", &self.key.holder.front),
+            ("holder", &self.key.owner.name),
+            ("front", &self.key.owner.front),
         ];
         for (field, name) in names {
             if name.len() > MAX_NAME_BYTES || !name.bytes().all(|b| b.is_ascii_graphic()) {
                 let found = name.chars().take(40).collect();
-                return Err(RegisterError::Name { field, found });
+                return Err(LocationError::Name { field, found });
             }
         }
         Ok(())
--- a/crates/lilacpitch-location/src/store.rs
+++ b/crates/lilacpitch-location/src/store.rs
@@ -1,22 +1,22 @@
 //! Rows in shards, each shard under its own lock.
 
-use crate::error::RegisterError;
-use crate::query::{Page, Query, What};
-use crate::record::{Key, Number, Row};
-use crate::summary::{fingerprint, shard_of, Changes, ShardNews};
+use crate::error::LocationError;
+use crate::query::{Page, Query, QueryTarget};
+use crate::record::{Key, LocationRecord, Number};
+use crate::summary::{fingerprint, shard_of, Changes, ShardUpdate};
 use crate::sync::RwLock;
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
 /// Rows of one shard, in the order of their keys. Shared with a snapshot until the next write.
-pub type Rows = Arc<BTreeMap<Key, Row>>;
+pub type Records = Arc<BTreeMap<Key, LocationRecord>>;
 
 /// Most shards of a register.
 pub const MAX_SHARDS: usize = 1 << 16;
 
 #[derive(Debug, Default)]
 struct Shard {
-    rows: Rows,
+    rows: Records,
     changes: Changes,
 }
 
@@ -26,7 +26,7 @@
     }
 
     /// Rows from the first on whose number begins so.
-    fn from(&self, digits: &str) -> impl Iterator<Item = (&Key, &Row)> {
+    fn from(&self, digits: &str) -> impl Iterator<Item = (&Key, &LocationRecord)> {
         self.rows.range(Key::first_of(digits)..)
     }
 
@@ -40,17 +40,17 @@
 
 /// The register of a site. All methods take `&self`: threads share it.
 #[derive(Debug)]
-pub struct Register {
+pub struct LocationStore {
     shards: Box<[RwLock<Shard>]>,
 }
 
-impl Register {
+impl LocationStore {
     /// An empty register of so many shards.
-    pub fn new(shards: usize) -> Result<Self, RegisterError> {
+    pub fn new(shards: usize) -> Result<Self, LocationError> {
         if !(1..=MAX_SHARDS).contains(&shards) {
-            return Err(RegisterError::Shards(shards));
+            return Err(LocationError::Shards(shards));
         }
-        Ok(Register { shards: (0..shards).map(|_| RwLock::default()).collect() })
+        Ok(LocationStore { shards: (0..shards).map(|_| RwLock::default()).collect() })
     }
 
     /// How many shards there are.
@@ -63,7 +63,7 @@
     }
 
     /// Enters a row, in place of one with its key; what stood there.
-    pub fn put(&self, row: Row) -> Option<Row> {
+    pub fn put(&self, row: LocationRecord) -> Option<LocationRecord> {
         let mut shard = self.shard(&row.key.number).write();
         // Known already: whoever could not rule it out before can't now, and the version needs no step.
         if !shard.has(&row.key.number) {
@@ -73,20 +73,20 @@
     }
 
     /// The row of a key.
-    pub fn row(&self, key: &Key) -> Option<Row> {
+    pub fn get(&self, key: &Key) -> Option<LocationRecord> {
         self.shard(&key.number).read().rows.get(key).cloned()
     }
 
     /// Takes a row out; the row.
-    pub fn withdraw(&self, key: &Key) -> Option<Row> {
+    pub fn withdraw(&self, key: &Key) -> Option<LocationRecord> {
         Arc::make_mut(&mut self.shard(&key.number).write().rows).remove(key)
     }
 
     /// Takes out all rows that a front wrote in lives before this one; their keys. A shard at a time.
-    pub fn withdraw_front(&self, front: &str, before_life: u64) -> Vec<Key> {
+    pub fn remove_older_incarnations(&self, front: &str, before_life: u64) -> Vec<Key> {
         let mut gone = Vec::new();
         for shard in &self.shards {
-            let old = |key: &Key| key.holder.front == front && key.holder.life < before_life;
+            let old = |key: &Key| key.owner.front == front && key.owner.incarnation < before_life;
             let keys: Vec<Key> = shard.read().rows.keys().filter(|key| old(key)).cloned().collect();
             if !keys.is_empty() {
                 let mut shard = shard.write();
@@ -99,13 +99,13 @@
 
     /// Up to `limit` rows that a question asks for, in the order of keys, from behind a cursor on.
     pub fn find(&self, query: &Query, after: Option<&Key>, limit: usize) -> Page {
-        match &query.what {
-            What::Number(number) => {
+        match &query.target {
+            QueryTarget::Number(number) => {
                 let shard = self.shard(number).read();
                 let of_it = shard.from(number.as_str()).take_while(|(key, _)| key.number == *number);
                 page(of_it, query, after, limit)
             }
-            What::Prefix(prefix) => self.find_prefix(prefix, query, after, limit),
+            QueryTarget::Prefix(prefix) => self.find_prefix(prefix, query, after, limit),
         }
     }
 
@@ -120,12 +120,12 @@
             let part = page(of_it, query, after, limit);
             drop(shard);
             all.cursor = all.cursor.or(part.cursor);
-            all.rows.extend(part.rows);
+            all.records.extend(part.records);
         }
-        all.rows.sort_unstable_by(|a, b| a.key.cmp(&b.key));
-        let cut = all.rows.len() > limit;
-        all.rows.truncate(limit);
-        all.cursor = all.rows.last().map(|row| row.key.clone()).filter(|_| cut || all.cursor.is_some());
+        all.records.sort_unstable_by(|a, b| a.key.cmp(&b.key));
+        let cut = all.records.len() > limit;
+        all.records.truncate(limit);
+        all.cursor = all.records.last().map(|row| row.key.clone()).filter(|_| cut || all.cursor.is_some());
         all
     }
 
@@ -141,13 +141,13 @@
 
     /// The rows of all shards, taken one after the other without waiting for writers: a write that comes after a
     /// shard was taken copies that shard and goes on. Whoever needs one moment for all holds its writers back.
-    pub fn snapshot(&self) -> Vec<Rows> {
+    pub fn snapshot(&self) -> Vec<Records> {
         self.shards.iter().map(|shard| shard.read().rows.clone()).collect()
     }
 
     /// Puts a snapshot's rows in place of all there are.
-    pub fn restore(&self, rows: impl IntoIterator<Item = Row>) -> Result<(), RegisterError> {
-        let mut parts: Vec<BTreeMap<Key, Row>> = vec![BTreeMap::new(); self.shards.len()];
+    pub fn restore(&self, rows: impl IntoIterator<Item = LocationRecord>) -> Result<(), LocationError> {
+        let mut parts: Vec<BTreeMap<Key, LocationRecord>> = vec![BTreeMap::new(); self.shards.len()];
         for row in rows {
             row.check()?;
             let at = shard_of(row.key.number.hash64(), self.shards.len());
@@ -167,7 +167,7 @@
     }
 
     /// What a router lacks of a shard's summary that has the version `known` of it.
-    pub fn summary(&self, shard: usize, known: Option<u64>) -> Option<ShardNews> {
+    pub fn summary(&self, shard: usize, known: Option<u64>) -> Option<ShardUpdate> {
         let at = self.shards.get(shard)?;
         {
             let held = at.read();
@@ -184,15 +184,15 @@
 }
 
 fn page<'a>(
-    rows: impl Iterator<Item = (&'a Key, &'a Row)>,
+    rows: impl Iterator<Item = (&'a Key, &'a LocationRecord)>,
     query: &Query,
     after: Option<&Key>,
     limit: usize,
 ) -> Page {
     let past = |key: &&Key| after.is_none_or(|after| *key > after);
     let mut found = rows.filter(|(key, row)| past(key) && query.matches(row)).map(|(_, row)| row);
-    let rows: Vec<Row> = found.by_ref().take(limit).cloned().collect();
+    let rows: Vec<LocationRecord> = found.by_ref().take(limit).cloned().collect();
     let more = found.next().is_some();
     let cursor = rows.last().map(|row| row.key.clone()).filter(|_| more);
-    Page { rows, cursor }
+    Page { records: rows, cursor }
 }
--- a/crates/lilacpitch-location/src/summary.rs
+++ b/crates/lilacpitch-location/src/summary.rs
@@ -1,6 +1,6 @@
 //! What a site says of a shard, and how a router keeps it.
 
-use crate::error::RegisterError;
+use crate::error::LocationError;
 use crate::golomb_coded_set;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeSet;
@@ -53,7 +53,7 @@
     }
 
     /// What a router lacks that has this version; `None` is a router that has nothing of this life.
-    pub fn since(&self, shard: u32, known: Option<u64>) -> Option<ShardNews> {
+    pub fn since(&self, shard: u32, known: Option<u64>) -> Option<ShardUpdate> {
         let version = self.version;
         match known {
             // Who knows as much, or more from elsewhere, has nothing to hear: never back to what was before.
@@ -61,11 +61,11 @@
             Some(known) if known >= self.base_version => {
                 let lacks = (version - known) as usize;
                 let added = self.added[self.added.len() - lacks..].to_vec();
-                Some(ShardNews { shard, version, base: None, added })
+                Some(ShardUpdate { shard, version, base: None, added })
             }
             _ => {
                 let base = Some((self.base_count as u32, self.base.clone()));
-                Some(ShardNews { shard, version, base, added: self.added.clone() })
+                Some(ShardUpdate { shard, version, base, added: self.added.clone() })
             }
         }
     }
@@ -73,7 +73,7 @@
 
 /// News of a shard's summary.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct ShardNews {
+pub struct ShardUpdate {
     /// The shard.
     pub shard: u32,
     /// The version that a router has once it has taken this.
@@ -100,15 +100,15 @@
     }
 
     /// What another router lacks, as [`Changes::since`].
-    pub fn since(&self, shard: u32, known: Option<u64>) -> Option<ShardNews> {
+    pub fn since(&self, shard: u32, known: Option<u64>) -> Option<ShardUpdate> {
         self.heard.since(shard, known)
     }
 
     /// Takes news that was asked for with a version that this one had. What is known by now from elsewhere is passed
     /// over, so that a summary never goes back; and so are changes that do not follow on what is known, where another
     /// life was heard between question and answer: the versions then tell that something is missing.
-    pub fn take(&mut self, news: &ShardNews) -> Result<(), RegisterError> {
-        let wrong = |what| RegisterError::Summary { shard: news.shard, what };
+    pub fn take(&mut self, news: &ShardUpdate) -> Result<(), LocationError> {
+        let wrong = |what| LocationError::Summary { shard: news.shard, what };
         let first = news.version.checked_sub(news.added.len() as u64);
         let first = first.ok_or(wrong("more changes than versions"))?;
         if news.version <= self.version() {
@@ -135,7 +135,7 @@
     }
 
     /// Whether a number of this fingerprint could have a row. Never false for one that had one at its moment.
-    pub fn could(&self, fingerprint: u32) -> bool {
+    pub fn may_contain(&self, fingerprint: u32) -> bool {
         let value = golomb_coded_set::scaled(fingerprint, self.base.len());
         self.late.contains(&fingerprint) || self.base.binary_search(&value).is_ok()
     }
--- a/crates/lilacpitch-location/tests/orders.rs
+++ b/crates/lilacpitch-location/tests/orders.rs
@@ -23,11 +23,11 @@
 #[allow(dead_code, missing_docs)]
 mod store;
 
-use record::{Holder, Key, Kind, Number, Row};
+use record::{Key, Kind, LocationRecord, Number, Owner};
 use shuttle::sync::atomic::{AtomicU64, Ordering};
 use shuttle::sync::Arc;
 use shuttle::thread;
-use store::Register;
+use store::LocationStore;
 use summary::{fingerprint, shard_of, ShardSummary};
 
 /// More than a summary takes beside its base: new bases come between.
@@ -38,15 +38,15 @@
     Number::new(&format!("1555{n:04}")).unwrap()
 }
 
-fn row(n: u64) -> Row {
-    let holder = Holder { name: "edge-1".into(), front: "edge-1".into(), life: 1, serial: n };
-    let key = Key { number: number(n), kind: Kind::Reached, holder };
-    Row { key, class: String::new(), trunk_group: "p".into(), since_ms: n }
+fn row(n: u64) -> LocationRecord {
+    let holder = Owner { name: "edge-1".into(), front: "edge-1".into(), incarnation: 1, serial: n };
+    let key = Key { number: number(n), kind: Kind::Binding, owner: holder };
+    LocationRecord { key, class: String::new(), trunk_group: "p".into(), since_ms: n }
 }
 
 /// A router that looks how many rows there are before it asks for summaries, or, wrongly, after it.
 fn play(looks_first: bool) {
-    let register = Arc::new(Register::new(SHARDS).unwrap());
+    let register = Arc::new(LocationStore::new(SHARDS).unwrap());
     let entered = Arc::new(AtomicU64::new(0));
     let writer = {
         let (register, entered) = (register.clone(), entered.clone());
@@ -78,7 +78,7 @@
             for n in 0..there {
                 let hash = number(n).hash64();
                 let summary = &known[shard_of(hash, SHARDS)];
-                assert!(summary.could(fingerprint(hash)), "row {n} of {there} ruled out");
+                assert!(summary.may_contain(fingerprint(hash)), "row {n} of {there} ruled out");
             }
         }
     });
--- a/crates/lilacpitch-location/tests/register.rs
+++ b/crates/lilacpitch-location/tests/register.rs
@@ -7,14 +7,20 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-fn row(number: u32, serial: u64, since_ms: u64) -> Row {
-    let holder = Holder { name: "edge-1".into(), front: "edge-1".into(), life: 7, serial };
-    let key = Key { number: Number::new(&number.to_string()).unwrap(), kind: Kind::Reached, holder };
-    Row { key, class: "voice".into(), trunk_group: format!("t{}", number % 3), since_ms }
+fn row(number: u32, serial: u64, since_ms: u64) -> LocationRecord {
+    let holder = Owner { name: "edge-1".into(), front: "edge-1".into(), incarnation: 7, serial };
+    let key = Key { number: Number::new(&number.to_string()).unwrap(), kind: Kind::Binding, owner: holder };
+    LocationRecord { key, class: "voice".into(), trunk_group: format!("t{}", number % 3), since_ms }
 }
 
 fn prefix(digits: &str) -> Query {
-    Query { what: What::Prefix(digits.into()), kind: None, class: None, trunk_group: None, since_ms: None }
+    Query {
+        target: QueryTarget::Prefix(digits.into()),
+        kind: None,
+        class: None,
+        trunk_group: None,
+        since_ms: None,
+    }
 }
 
 proptest! {
@@ -23,7 +29,7 @@
         steps in prop::collection::vec((0u32..300, 0u64..3, any::<bool>()), 0..400),
         digits in "[0-9]{0,2}", limit in 1usize..9,
     ) {
-        let (register, mut plain) = (Register::new(8).unwrap(), BTreeMap::new());
+        let (register, mut plain) = (LocationStore::new(8).unwrap(), BTreeMap::new());
         for (at, (number, serial, put)) in steps.into_iter().enumerate() {
             let row = row(number, serial, at as u64);
             if put {
@@ -33,12 +39,12 @@
             }
         }
         let query = prefix(&digits);
-        let wanted: Vec<Row> = plain.values().filter(|row| query.matches(row)).cloned().collect();
+        let wanted: Vec<LocationRecord> = plain.values().filter(|row| query.matches(row)).cloned().collect();
         let (mut found, mut after) = (Vec::new(), None);
         loop {
             let page = register.find(&query, after.as_ref(), limit);
-            prop_assert!(page.rows.len() <= limit);
-            found.extend(page.rows);
+            prop_assert!(page.records.len() <= limit);
+            found.extend(page.records);
             after = page.cursor;
             if after.is_none() { break }
         }
@@ -50,7 +56,7 @@
     fn a_summary_never_rules_out_what_is_there(
         steps in prop::collection::vec((0u32..2_000, any::<bool>()), 1..600), look_every in 1usize..40,
     ) {
-        let (register, mut plain) = (Register::new(4).unwrap(), BTreeSet::new());
+        let (register, mut plain) = (LocationStore::new(4).unwrap(), BTreeSet::new());
         let mut kept = vec![ShardSummary::default(); 4];
         let mut known = [None; 4];
         for (at, (number, put)) in steps.into_iter().enumerate() {
@@ -65,7 +71,7 @@
                 }
                 for number in &plain {
                     let hash = Number::new(&number.to_string()).unwrap().hash64();
-                    prop_assert!(kept[shard_of(hash, 4)].could(fingerprint(hash)));
+                    prop_assert!(kept[shard_of(hash, 4)].may_contain(fingerprint(hash)));
                 }
             }
         }
@@ -76,7 +82,7 @@
     fn a_router_with_two_sources_never_goes_back(
         steps in prop::collection::vec((0u32..3_000, 0usize..4), 1..500),
     ) {
-        let register = Register::new(1).unwrap();
+        let register = LocationStore::new(1).unwrap();
         let (mut relay, mut router) = (ShardSummary::default(), ShardSummary::default());
         let mut in_router = BTreeSet::new();
         let mut put = BTreeSet::new();
@@ -93,7 +99,7 @@
                 }
             }
             prop_assert!(router.version() >= before);
-            prop_assert!(in_router.iter().all(|n| router.could(fingerprint(Number::new(&n.to_string()).unwrap().hash64()))));
+            prop_assert!(in_router.iter().all(|n| router.may_contain(fingerprint(Number::new(&n.to_string()).unwrap().hash64()))));
         }
     }
 
@@ -124,7 +130,7 @@
 
 #[test]
 fn threads_write_and_a_snapshot_is_taken_meanwhile() {
-    let register = Arc::new(Register::new(16).unwrap());
+    let register = Arc::new(LocationStore::new(16).unwrap());
     let writers: Vec<_> = (0..4u32)
         .map(|thread| {
             let register = register.clone();
@@ -138,7 +144,7 @@
     writers.into_iter().for_each(|writer| writer.join().unwrap());
     assert_eq!(before.iter().map(|rows| rows.len()).sum::<usize>(), held, "a snapshot does not change");
     assert_eq!(register.len(), 20_000);
-    let copy = Register::new(32).unwrap();
+    let copy = LocationStore::new(32).unwrap();
     copy.restore(register.snapshot().iter().flat_map(|rows| rows.values().cloned()).collect::<Vec<_>>())
         .unwrap();
     assert_eq!(copy.find(&prefix(""), None, 30_000), register.find(&prefix(""), None, 30_000));
@@ -146,11 +152,11 @@
 
 #[test]
 fn the_rows_of_a_fronts_former_lives_go_and_later_ones_stay() {
-    let register = Register::new(4).unwrap();
+    let register = LocationStore::new(4).unwrap();
     (0..100).for_each(|n| drop(register.put(row(n, 0, 0))));
     let mut later = row(1_000, 0, 0);
-    later.key.holder.life = 8;
+    later.key.owner.incarnation = 8;
     register.put(later.clone());
-    assert_eq!(register.withdraw_front("edge-1", 8).len(), 100);
-    assert_eq!(register.find(&prefix(""), None, 10).rows, vec![later]);
+    assert_eq!(register.remove_older_incarnations("edge-1", 8).len(), 100);
+    assert_eq!(register.find(&prefix(""), None, 10).records, vec![later]);
 }
--- a/crates/lilacpitch-rpc/src/dial.rs
+++ b/crates/lilacpitch-rpc/src/dial.rs
@@ -1,6 +1,6 @@
 //! A connection to one process that is made when it is wanted, and again when it was lost.
 
-use crate::link::{connect, Link, LinkError, Me, Serve};
+use crate::link::{connect, LocalIdentity, RequestHandler, RpcConnection, RpcError};
 use lilacpitch_fleet::message::{Request, Response};
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -11,21 +11,26 @@
 pub struct Dialer {
     /// Where it listens.
     pub address: SocketAddr,
-    me: Me,
-    serve: Arc<dyn Serve>,
+    me: LocalIdentity,
+    serve: Arc<dyn RequestHandler>,
     patience: Duration,
     /// Held while connecting, so that one connection is made however many want it.
-    slot: Mutex<Option<Arc<Link>>>,
+    slot: Mutex<Option<Arc<RpcConnection>>>,
 }
 
 impl Dialer {
     /// Connects when it is first asked for; what is connected may ask `serve`.
-    pub fn new(address: SocketAddr, me: Me, serve: Arc<dyn Serve>, patience: Duration) -> Self {
+    pub fn new(
+        address: SocketAddr,
+        me: LocalIdentity,
+        serve: Arc<dyn RequestHandler>,
+        patience: Duration,
+    ) -> Self {
         Dialer { address, me, serve, patience, slot: Mutex::new(None) }
     }
 
     /// The connection.
-    pub async fn link(&self) -> Result<Arc<Link>, LinkError> {
+    pub async fn connection(&self) -> Result<Arc<RpcConnection>, RpcError> {
         let mut slot = self.slot.lock().await;
         if let Some(link) = slot.as_ref().filter(|link| !link.is_closed()) {
             return Ok(link.clone());
@@ -36,15 +41,15 @@
     }
 
     /// Asks over it; the whole takes no longer than `patience`. A connection that brings no answer is left.
-    pub async fn ask(&self, request: Request, patience: Duration) -> Result<Response, LinkError> {
+    pub async fn request(&self, request: Request, patience: Duration) -> Result<Response, RpcError> {
         let asking = async {
-            let link = self.link().await?;
-            let said = link.ask(request, patience).await;
-            if matches!(said, Err(LinkError::Late)) && patience >= self.patience {
+            let link = self.connection().await?;
+            let said = link.request(request, patience).await;
+            if matches!(said, Err(RpcError::TimedOut)) && patience >= self.patience {
                 link.close();
             }
             said
         };
-        tokio::time::timeout(patience, asking).await.unwrap_or(Err(LinkError::Late))
+        tokio::time::timeout(patience, asking).await.unwrap_or(Err(RpcError::TimedOut))
     }
 }
--- a/crates/lilacpitch-rpc/src/lib.rs
+++ b/crates/lilacpitch-rpc/src/lib.rs
@@ -12,5 +12,5 @@
 mod steady;
 
 pub use dial::Dialer;
-pub use link::{accept, connect, Link, LinkError, Me, Serve, Served};
+pub use link::{accept, connect, LocalIdentity, RequestHandler, ResponseFuture, RpcConnection, RpcError};
 pub use steady::steady_ns;
--- a/crates/lilacpitch-rpc/src/link.rs
+++ b/crates/lilacpitch-rpc/src/link.rs
@@ -31,7 +31,7 @@
 
 /// Who speaks from here.
 #[derive(Debug, Clone)]
-pub struct Me {
+pub struct LocalIdentity {
     /// The process's name.
     pub name: String,
     /// This life.
@@ -43,17 +43,17 @@
 }
 
 /// The answer to a question, in the making.
-pub type Served = Pin<Box<dyn Future<Output = Response> + Send>>;
+pub type ResponseFuture = Pin<Box<dyn Future<Output = Response> + Send>>;
 
 /// What answers the other end's questions.
-pub trait Serve: Send + Sync {
+pub trait RequestHandler: Send + Sync {
     /// Answers one. Dropped where the connection ends meanwhile.
-    fn serve(self: Arc<Self>, from: Arc<Link>, ask: Request) -> Served;
+    fn serve(self: Arc<Self>, from: Arc<RpcConnection>, ask: Request) -> ResponseFuture;
 }
 
 /// Why a connection or a question over it failed.
 #[derive(Debug, Error, Diagnostic)]
-pub enum LinkError {
+pub enum RpcError {
     /// No connection.
     #[error("connecting to {0}: {1}")]
     #[diagnostic(code(link::unreached), help("start that process, or correct its address in the settings"))]
@@ -79,7 +79,7 @@
         code(link::late),
         help("look at the other process: it stands still, or the way to it is cut")
     )]
-    Late,
+    TimedOut,
     /// More waits to be written than may.
     #[error("the other end does not read")]
     #[diagnostic(code(link::backlog), help("look at the other process: it has no processor time"))]
@@ -88,7 +88,7 @@
 
 /// One connection.
 #[derive(Debug)]
-pub struct Link {
+pub struct RpcConnection {
     /// The other end, as it says itself.
     pub peer: Hello,
     out: mpsc::Sender<Body>,
@@ -98,14 +98,14 @@
     closed: watch::Sender<bool>,
 }
 
-impl Link {
+impl RpcConnection {
     /// Asks the other end. An answer that comes later is dropped.
-    pub async fn ask(&self, request: Request, patience: Duration) -> Result<Response, LinkError> {
+    pub async fn request(&self, request: Request, patience: Duration) -> Result<Response, RpcError> {
         let id = self.next.fetch_add(1, Ordering::Relaxed);
         let (give, take) = oneshot::channel();
         match self.asked.lock().as_mut() {
             Some(asked) => drop(asked.insert(id, give)),
-            None => return Err(LinkError::Closed),
+            None => return Err(RpcError::Closed),
         }
         let forget = |error| {
             self.asked.lock().as_mut().and_then(|asked| asked.remove(&id));
@@ -113,13 +113,13 @@
         };
         match self.out.try_send(Body::Ask(id, request)) {
             Ok(()) => {}
-            Err(mpsc::error::TrySendError::Full(_)) => return Err(forget(LinkError::Backlog)),
-            Err(mpsc::error::TrySendError::Closed(_)) => return Err(forget(LinkError::Closed)),
+            Err(mpsc::error::TrySendError::Full(_)) => return Err(forget(RpcError::Backlog)),
+            Err(mpsc::error::TrySendError::Closed(_)) => return Err(forget(RpcError::Closed)),
         }
         match tokio::time::timeout(patience, take).await {
             Ok(Ok(response)) => Ok(response),
-            Ok(Err(_)) => Err(LinkError::Closed),
-            Err(_) => Err(forget(LinkError::Late)),
+            Ok(Err(_)) => Err(RpcError::Closed),
+            Err(_) => Err(forget(RpcError::TimedOut)),
         }
     }
 
@@ -145,15 +145,15 @@
 /// Connects and greets.
 pub async fn connect(
     address: SocketAddr,
-    me: &Me,
-    serve: Arc<dyn Serve>,
+    me: &LocalIdentity,
+    serve: Arc<dyn RequestHandler>,
     patience: Duration,
-) -> Result<Arc<Link>, LinkError> {
+) -> Result<Arc<RpcConnection>, RpcError> {
     let late = || std::io::Error::from(std::io::ErrorKind::TimedOut);
     let stream = match tokio::time::timeout(patience, TcpStream::connect(address)).await {
         Ok(Ok(stream)) => stream,
-        Ok(Err(error)) => return Err(LinkError::Unreached(address, error)),
-        Err(_) => return Err(LinkError::Unreached(address, late())),
+        Ok(Err(error)) => return Err(RpcError::Unreached(address, error)),
+        Err(_) => return Err(RpcError::Unreached(address, late())),
     };
     accept(stream, me, serve, patience).await
 }
@@ -161,11 +161,11 @@
 /// Greets whoever connected: both ends do the same.
 pub async fn accept(
     stream: TcpStream,
-    me: &Me,
-    serve: Arc<dyn Serve>,
+    me: &LocalIdentity,
+    serve: Arc<dyn RequestHandler>,
     patience: Duration,
-) -> Result<Arc<Link>, LinkError> {
-    let wrong = |what: &str| LinkError::Greeting(what.into());
+) -> Result<Arc<RpcConnection>, RpcError> {
+    let wrong = |what: &str| RpcError::Greeting(what.into());
     let _ = stream.set_nodelay(true);
     let codec = LengthDelimitedCodec::builder().max_frame_length(MAX_FRAME_BYTES).new_codec();
     let (read, write) = stream.into_split();
@@ -180,7 +180,7 @@
     let greeting = async {
         write.send(Bytes::from(first)).await.map_err(|e| wrong(&e.to_string()))?;
         match read.next().await {
-            Some(Ok(bytes)) => reader.open(&bytes).map_err(LinkError::from),
+            Some(Ok(bytes)) => reader.open(&bytes).map_err(RpcError::from),
             Some(Err(error)) => Err(wrong(&error.to_string())),
             None => Err(wrong("closed")),
         }
@@ -194,8 +194,13 @@
     writer.met(&peer);
     let (out, mut queue) = mpsc::channel(QUEUE);
     let asked = Mutex::new(Some(HashMap::new()));
-    let link =
-        Arc::new(Link { peer, out, asked, next: AtomicU64::new(1), closed: watch::Sender::new(false) });
+    let link = Arc::new(RpcConnection {
+        peer,
+        out,
+        asked,
+        next: AtomicU64::new(1),
+        closed: watch::Sender::new(false),
+    });
     let of = link.clone();
     tokio::spawn(async move {
         let written = async {
@@ -246,7 +251,7 @@
     Ok(link)
 }
 
-fn heard(link: &Arc<Link>, body: Body, serve: &Arc<dyn Serve>, at_once: &Arc<Semaphore>) {
+fn heard(link: &Arc<RpcConnection>, body: Body, serve: &Arc<dyn RequestHandler>, at_once: &Arc<Semaphore>) {
     match body {
         Body::Hello(_) => {}
         Body::Answer(id, response) => {
--- a/crates/lilacpitch-rpc/tests/links.rs
+++ b/crates/lilacpitch-rpc/tests/links.rs
@@ -14,12 +14,12 @@
 
 struct Echo;
 
-impl Serve for Echo {
-    fn serve(self: Arc<Self>, from: Arc<Link>, ask: Request) -> Served {
+impl RequestHandler for Echo {
+    fn serve(self: Arc<Self>, from: Arc<RpcConnection>, ask: Request) -> ResponseFuture {
         Box::pin(async move {
             match ask {
                 // Asks back over the same link before it answers.
-                Request::Progress => from.ask(Request::ReadIndex, SOON).await.unwrap(),
+                Request::Progress => from.request(Request::ReadIndex, SOON).await.unwrap(),
                 Request::ReadIndex => Response::ReadIndex(from.peer.life),
                 Request::Leave => std::future::pending().await,
                 _ => Response::Refused(Refusal::Unwanted),
@@ -28,11 +28,11 @@
     }
 }
 
-fn me(name: &str, life: u64, key: u8) -> Me {
-    Me { name: name.into(), life, role: Role::Front, keys: Keys::from_bytes([key; 32]) }
+fn me(name: &str, life: u64, key: u8) -> LocalIdentity {
+    LocalIdentity { name: name.into(), life, role: Role::Front, keys: Keys::from_bytes([key; 32]) }
 }
 
-async fn pair(key: u8) -> (Result<Arc<Link>, LinkError>, Result<Arc<Link>, LinkError>) {
+async fn pair(key: u8) -> (Result<Arc<RpcConnection>, RpcError>, Result<Arc<RpcConnection>, RpcError>) {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
     let (there, here) = (me("b", 2, key), me("a", 1, 1));
@@ -45,26 +45,26 @@
     let (a, b) = pair(1).await;
     let (a, b) = (a.unwrap(), b.unwrap());
     assert_eq!((a.peer.name.as_str(), b.peer.name.as_str()), ("b", "a"));
-    assert_eq!(a.ask(Request::Progress, SOON).await.unwrap(), Response::ReadIndex(2));
-    assert_eq!(b.ask(Request::ReadIndex, SOON).await.unwrap(), Response::ReadIndex(2));
+    assert_eq!(a.request(Request::Progress, SOON).await.unwrap(), Response::ReadIndex(2));
+    assert_eq!(b.request(Request::ReadIndex, SOON).await.unwrap(), Response::ReadIndex(2));
 }
 
 #[tokio::test]
 async fn a_stranger_is_refused_and_an_end_ends_what_waits() {
     let (a, b) = pair(9).await;
-    assert!(matches!(a, Err(LinkError::Frame(_) | LinkError::Greeting(_))));
-    assert!(matches!(b, Err(LinkError::Frame(_) | LinkError::Greeting(_))));
+    assert!(matches!(a, Err(RpcError::Frame(_) | RpcError::Greeting(_))));
+    assert!(matches!(b, Err(RpcError::Frame(_) | RpcError::Greeting(_))));
     let (a, b) = pair(1).await;
     let (a, b) = (a.unwrap(), b.unwrap());
-    let asking = a.ask(Request::Leave, SOON);
+    let asking = a.request(Request::Leave, SOON);
     let ending = async {
         tokio::time::sleep(Duration::from_millis(50)).await;
         b.close();
     };
     let (asked, ()) = tokio::join!(asking, ending);
-    assert!(matches!(asked, Err(LinkError::Closed)));
-    let late = pair(1).await.0.unwrap().ask(Request::Leave, Duration::from_millis(50)).await;
-    assert!(matches!(late, Err(LinkError::Late)));
+    assert!(matches!(asked, Err(RpcError::Closed)));
+    let late = pair(1).await.0.unwrap().request(Request::Leave, Duration::from_millis(50)).await;
+    assert!(matches!(late, Err(RpcError::TimedOut)));
 }
 
 /// Two builds side by side: the other's first frame is opened, and its version refused by name.
@@ -86,9 +86,9 @@
     let there = me("b", 2, 1);
     let accepted = async { accept(listener.accept().await.unwrap().0, &there, Arc::new(Echo), SOON).await };
     let ((), refused) = tokio::join!(later, accepted);
-    let version = matches!(&refused, Err(LinkError::Frame(FrameError::Version(v))) if *v == VERSION + 1);
+    let version = matches!(&refused, Err(RpcError::Frame(FrameError::Version(v))) if *v == VERSION + 1);
     assert!(version, "{:?}", refused.err());
-    assert!(pair(1).await.0.unwrap().ask(Request::ReadIndex, SOON).await.is_ok(), "others go on");
+    assert!(pair(1).await.0.unwrap().request(Request::ReadIndex, SOON).await.is_ok(), "others go on");
 }
 
 #[tokio::test]
@@ -126,11 +126,11 @@
             async { accept(listener.accept().await.unwrap().0, &there, Arc::new(Echo), SOON).await };
         let (a, b) = tokio::join!(connect(via, &here, Arc::new(Echo), SOON), accepted);
         let (a, b) = (a.unwrap(), b.unwrap());
-        let _ = a.ask(Request::ReadIndex, Duration::from_millis(500)).await;
+        let _ = a.request(Request::ReadIndex, Duration::from_millis(500)).await;
         tokio::time::timeout(SOON, b.ended())
             .await
             .expect("the end that was told twice, or rubbish, ends it");
         let (c, _d) = pair(1).await;
-        assert!(c.unwrap().ask(Request::ReadIndex, SOON).await.is_ok(), "others go on");
+        assert!(c.unwrap().request(Request::ReadIndex, SOON).await.is_ok(), "others go on");
     }
 }
--- a/crates/lilacpitch-site/src/lease_client.rs
+++ b/crates/lilacpitch-site/src/lease_client.rs
@@ -6,7 +6,7 @@
 use lilacpitch_fleet::lease_holder::Taken;
 use lilacpitch_fleet::log_tail::Window;
 use lilacpitch_fleet::message::{Order, Position, Request, Response};
-use lilacpitch_rpc::{Dialer, Link};
+use lilacpitch_rpc::{Dialer, RpcConnection};
 use std::sync::atomic::Ordering::Relaxed;
 use std::sync::Arc;
 use std::time::Duration;
@@ -46,7 +46,7 @@
         let again = match above(&process) {
             Above::Origin => confirm(&process, asked_ns).await,
             Above::Leader(leader) => {
-                let said = leader.ask(Request::Renew(Some(position)), process.patience()).await;
+                let said = leader.request(Request::Renew(Some(position)), process.patience()).await;
                 if let Ok(Response::Granted { for_ns, position, .. }) = said {
                     process.relay.lock().may_grant(asked_ns + for_ns, position);
                 }
@@ -54,7 +54,7 @@
             }
             Above::Parent(parent) => {
                 let applied = process.holder.lock().position();
-                match parent.ask(Request::Renew(applied), process.patience()).await {
+                match parent.request(Request::Renew(applied), process.patience()).await {
                     Ok(Response::Refused(why)) => {
                         process.above.lock().failed();
                         tracing::debug!(%why, to = %parent.address, "no lease from above");
@@ -181,7 +181,7 @@
     }
 
     /// A child has a lease: orders go to it over this link from now on.
-    pub(crate) fn child_is_here(self: &Arc<Self>, who: ChildId, link: &Arc<Link>) {
+    pub(crate) fn child_is_here(self: &Arc<Self>, who: ChildId, link: &Arc<RpcConnection>) {
         let mut children = self.children.lock();
         if children.get(&who).is_some_and(|known| Arc::ptr_eq(known, link)) {
             return;
@@ -195,7 +195,7 @@
 }
 
 /// Sends a child what it lacks, as it comes.
-async fn pump(process: Arc<Process>, who: ChildId, link: Arc<Link>) {
+async fn pump(process: Arc<Process>, who: ChildId, link: Arc<RpcConnection>) {
     let mut ordered = process.ordered.subscribe();
     loop {
         ordered.borrow_and_update();
@@ -211,7 +211,7 @@
             }
             continue;
         }
-        match link.ask(Request::Orders { log, orders }, process.patience()).await {
+        match link.request(Request::Orders { log, orders }, process.patience()).await {
             Ok(Response::Applied(upto)) => {
                 process.relay.lock().applied(&who, upto);
                 process.acked.send_modify(|count| *count += 1);
@@ -282,7 +282,7 @@
         if let Some(way) = to.filter(|_| news || said.is_none_or(|(.., at)| at != round)) {
             let (upto, missing_count) = (sum.upto, sum.missing_count);
             let say = Request::Sum { upto, missing: sum.missing, missing_count };
-            match way.ask(say, process.patience()).await {
+            match way.request(say, process.patience()).await {
                 Ok(_) => said = Some((upto, missing_count, round)),
                 Err(_) => tokio::time::sleep(LOOK).await,
             }
--- a/crates/lilacpitch-site/src/log/machine.rs
+++ b/crates/lilacpitch-site/src/log/machine.rs
@@ -5,8 +5,8 @@
 use super::state::{Beside, State};
 use super::store::{io, Store};
 use super::{Applied, Types};
-use lilacpitch_location::store::Rows;
-use lilacpitch_location::Row;
+use lilacpitch_location::store::Records;
+use lilacpitch_location::LocationRecord;
 use openraft::storage::{RaftStateMachine, Snapshot};
 use openraft::{
     Entry, EntryPayload, LogId, OptionalSend, RaftSnapshotBuilder, SnapshotMeta, StorageError,
@@ -32,7 +32,7 @@
 
 /// A moment of a machine, to be written out.
 pub struct Builder {
-    rows: Vec<Rows>,
+    rows: Vec<Records>,
     beside: Beside,
     meta: Meta,
     store: Store,
@@ -44,10 +44,10 @@
     meta: &'a Meta,
     beside: &'a Beside,
     #[serde(serialize_with = "each")]
-    rows: &'a [Rows],
+    rows: &'a [Records],
 }
 
-fn each<S: Serializer>(all: &&[Rows], serializer: S) -> Result<S::Ok, S::Error> {
+fn each<S: Serializer>(all: &&[Records], serializer: S) -> Result<S::Ok, S::Error> {
     let mut out = serializer.serialize_seq(Some(all.iter().map(|rows| rows.len()).sum()))?;
     for row in all.iter().flat_map(|rows| rows.values()) {
         out.serialize_element(row)?;
@@ -59,7 +59,7 @@
 struct In {
     meta: Meta,
     beside: Beside,
-    rows: Vec<Row>,
+    rows: Vec<LocationRecord>,
 }
 
 impl Machine {
--- a/crates/lilacpitch-site/src/log/network.rs
+++ b/crates/lilacpitch-site/src/log/network.rs
@@ -43,7 +43,7 @@
     ) -> Result<A, Failed<E>> {
         let malformed = |e: postcard::Error| Failed::<E>::Network(NetworkError::new(&e));
         let bytes = postcard::to_allocvec(&rpc).map_err(malformed)?;
-        match self.1.ask(Request::Log(wrap(bytes)), patience).await {
+        match self.1.request(Request::Log(wrap(bytes)), patience).await {
             Ok(Response::Log(Ok(bytes))) => postcard::from_bytes(&bytes).map_err(malformed),
             Ok(Response::Log(Err(bytes))) => {
                 let error: RaftError<u64, E> = postcard::from_bytes(&bytes).map_err(malformed)?;
--- a/crates/lilacpitch-site/src/log/state.rs
+++ b/crates/lilacpitch-site/src/log/state.rs
@@ -5,7 +5,7 @@
 use lilacpitch_fleet::audit::Ledger;
 use lilacpitch_fleet::log_tail::Window;
 use lilacpitch_fleet::message::{Pending, Position, RowChange, What, MAX_SCOPES};
-use lilacpitch_location::{Key, Kind, Number, Register, RegisterError, Row};
+use lilacpitch_location::{Key, Kind, LocationError, LocationRecord, LocationStore, Number};
 use parking_lot::Mutex;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
@@ -42,14 +42,14 @@
 #[derive(Debug)]
 pub struct State {
     /// The rows.
-    pub register: Register,
+    pub register: LocationStore,
     beside: Mutex<Beside>,
 }
 
 impl State {
     /// An empty one.
-    pub fn new(shards: usize) -> Result<Self, RegisterError> {
-        Ok(State { register: Register::new(shards)?, beside: Mutex::default() })
+    pub fn new(shards: usize) -> Result<Self, LocationError> {
+        Ok(State { register: LocationStore::new(shards)?, beside: Mutex::default() })
     }
 
     /// Looks at what is beside the rows.
@@ -65,7 +65,7 @@
                 Applied::Done
             }
             Command::WithdrawFront(front, before) => {
-                let gone = self.register.withdraw_front(&front, before);
+                let gone = self.register.remove_older_incarnations(&front, before);
                 let mut beside = self.beside.lock();
                 if !gone.is_empty() {
                     *beside.sweeps.entry(front).or_default() += 1;
@@ -150,8 +150,8 @@
         }
     }
 
-    fn has(&self, row: &Row) -> bool {
-        self.register.row(&row.key).is_some_and(|held| held == *row)
+    fn has(&self, row: &LocationRecord) -> bool {
+        self.register.get(&row.key).is_some_and(|held| held == *row)
     }
 
     /// For summaries: what changed and is not ordered.
@@ -178,7 +178,7 @@
     }
 
     /// Puts what a snapshot held in place of everything.
-    pub fn restore(&self, rows: Vec<Row>, beside: Beside) -> Result<(), RegisterError> {
+    pub fn restore(&self, rows: Vec<LocationRecord>, beside: Beside) -> Result<(), LocationError> {
         self.register.restore(rows)?;
         *self.beside.lock() = beside;
         Ok(())
@@ -188,7 +188,7 @@
 /// The number that a change of a row has purged. What is cached is where numbers are reached: calls that begin and end
 /// change none of it.
 fn purged(key: Key) -> Option<Number> {
-    (key.kind == Kind::Reached).then_some(key.number)
+    (key.kind == Kind::Binding).then_some(key.number)
 }
 
 impl Beside {
--- a/crates/lilacpitch-site/src/process.rs
+++ b/crates/lilacpitch-site/src/process.rs
@@ -17,7 +17,9 @@
 use lilacpitch_fleet::upstream_selection::Upward;
 use lilacpitch_fleet::Guards;
 use lilacpitch_gossip::Keys;
-use lilacpitch_rpc::{accept, steady_ns, Dialer, Link, Me, Serve, Served};
+use lilacpitch_rpc::{
+    accept, steady_ns, Dialer, LocalIdentity, RequestHandler, ResponseFuture, RpcConnection,
+};
 use miette::Diagnostic;
 use parking_lot::{Mutex, RwLock};
 use std::collections::BTreeMap;
@@ -47,7 +49,7 @@
     /// The register can't be made.
     #[error(transparent)]
     #[diagnostic(transparent)]
-    Register(#[from] lilacpitch_location::RegisterError),
+    Register(#[from] lilacpitch_location::LocationError),
     /// The log or its disk.
     #[error(transparent)]
     #[diagnostic(transparent)]
@@ -91,7 +93,7 @@
 /// One process.
 pub struct Process {
     pub(crate) settings: Site,
-    pub(crate) me: Me,
+    pub(crate) me: LocalIdentity,
     pub(crate) guards: Guards,
     pub(crate) state: Arc<State>,
     pub(crate) raft: OnceLock<Raft>,
@@ -109,7 +111,7 @@
     pub(crate) relay: Mutex<Relay>,
     pub(crate) holder: Mutex<Holder>,
     pub(crate) catalogue: RwLock<Catalogue>,
-    pub(crate) children: Mutex<BTreeMap<ChildId, Arc<Link>>>,
+    pub(crate) children: Mutex<BTreeMap<ChildId, Arc<RpcConnection>>>,
     /// Grows with each order here, and with each thing that a sum may rest on.
     pub(crate) ordered: watch::Sender<u64>,
     pub(crate) acked: watch::Sender<u64>,
@@ -129,8 +131,8 @@
 #[derive(Default)]
 struct Door(OnceLock<Weak<Process>>);
 
-impl Serve for Door {
-    fn serve(self: Arc<Self>, from: Arc<Link>, ask: Request) -> Served {
+impl RequestHandler for Door {
+    fn serve(self: Arc<Self>, from: Arc<RpcConnection>, ask: Request) -> ResponseFuture {
         match self.0.get().and_then(Weak::upgrade) {
             Some(process) => process.serve(from, ask),
             None => Box::pin(std::future::pending()),
@@ -190,7 +192,7 @@
     let store = Store::open(Path::new(&settings.data), &owner)?;
     let wall_ns = SystemTime::now().duration_since(UNIX_EPOCH).map_or(1, |since| since.as_nanos() as u64);
     let life = store.begin_life(wall_ns)?;
-    let me = Me { name: settings.name.clone(), life, role, keys };
+    let me = LocalIdentity { name: settings.name.clone(), life, role, keys };
     let state = Arc::new(State::new(settings.shards)?);
     let damaged = |what| LogError::Damaged { path: settings.data.clone(), what };
     let joined = AtomicBool::new(store.joined().map_err(damaged)?);
@@ -198,7 +200,7 @@
 
     let door = Arc::new(Door::default());
     let dial = |address: &SocketAddr| {
-        Arc::new(Dialer::new(*address, me.clone(), door.clone() as Arc<dyn Serve>, CONNECT))
+        Arc::new(Dialer::new(*address, me.clone(), door.clone() as Arc<dyn RequestHandler>, CONNECT))
     };
     let site = |name: &str| settings.sites.iter().find(|site| site.name == name);
     let ways = |name: &str| -> Vec<Arc<Dialer>> {
--- a/crates/lilacpitch-site/src/request_handler.rs
+++ b/crates/lilacpitch-site/src/request_handler.rs
@@ -4,8 +4,8 @@
 use crate::process::{now, Process};
 use lilacpitch_fleet::ack_aggregator::{ChildId, Sum};
 use lilacpitch_fleet::message::{LogMessage, Refusal, Request, Response, Role, RowChange, MAX_ROWS};
-use lilacpitch_location::{Key, Query, What};
-use lilacpitch_rpc::{Link, Serve, Served};
+use lilacpitch_location::{Key, Query, QueryTarget};
+use lilacpitch_rpc::{RequestHandler, ResponseFuture, RpcConnection};
 use openraft::raft::{AppendEntriesRequest, InstallSnapshotRequest, VoteRequest};
 use serde::de::DeserializeOwned;
 use serde::Serialize;
@@ -16,8 +16,8 @@
 /// What one that is told 'full' is told to wait.
 const FULL_WAIT_MS: u32 = 20;
 
-impl Serve for Process {
-    fn serve(self: Arc<Self>, from: Arc<Link>, ask: Request) -> Served {
+impl RequestHandler for Process {
+    fn serve(self: Arc<Self>, from: Arc<RpcConnection>, ask: Request) -> ResponseFuture {
         Box::pin(async move { self.answer(from, ask).await })
     }
 }
@@ -42,7 +42,7 @@
 }
 
 impl Process {
-    async fn answer(self: Arc<Self>, from: Arc<Link>, ask: Request) -> Response {
+    async fn answer(self: Arc<Self>, from: Arc<RpcConnection>, ask: Request) -> Response {
         let who = ChildId { name: from.peer.name.clone(), life: from.peer.life };
         let is_sibling = matches!(&from.peer.role, Role::Process(site, _) if *site == self.settings.site);
         match ask {
@@ -94,10 +94,10 @@
             return refused(Refusal::Behind);
         }
         let limit = (limit as usize).clamp(1, MAX_ROWS);
-        let page = match &query.what {
-            What::Number(_) => self.state.register.find(&query, after.as_ref(), limit),
+        let page = match &query.target {
+            QueryTarget::Number(_) => self.state.register.find(&query, after.as_ref(), limit),
             // All shards are walked through: on a thread that nothing else waits for.
-            What::Prefix(_) => {
+            QueryTarget::Prefix(_) => {
                 let process = self.clone();
                 let walk = move || process.state.register.find(&query, after.as_ref(), limit);
                 match tokio::task::spawn_blocking(walk).await {
@@ -112,7 +112,7 @@
 
     fn renew(
         self: &Arc<Self>,
-        from: &Arc<Link>,
+        from: &Arc<RpcConnection>,
         who: ChildId,
         applied: Option<lilacpitch_fleet::message::Position>,
     ) -> Response {
@@ -150,13 +150,18 @@
             }
         }
         let parent = self.parent();
-        parent.ask(ask, self.patience() * 2).await.unwrap_or_else(|e| refused(Refusal::Failed(e.to_string())))
+        parent
+            .request(ask, self.patience() * 2)
+            .await
+            .unwrap_or_else(|e| refused(Refusal::Failed(e.to_string())))
     }
 
     /// Asks a sibling.
     pub(crate) async fn ask(&self, place: usize, request: Request) -> Response {
         let Some(way) = self.siblings.get(place) else { return refused(Refusal::NoLeader) };
-        way.ask(request, self.patience()).await.unwrap_or_else(|e| refused(Refusal::Failed(e.to_string())))
+        way.request(request, self.patience())
+            .await
+            .unwrap_or_else(|e| refused(Refusal::Failed(e.to_string())))
     }
 
     async fn at_root(self: &Arc<Self>, ask: Request) -> Response {
@@ -204,9 +209,9 @@
                 RowChange::Put(row) => (&row.key, row.check().err()),
                 RowChange::Withdraw(key) => (key, None),
             };
-            let foreign = key.holder.front != who.name || key.holder.life != who.life;
+            let foreign = key.owner.front != who.name || key.owner.incarnation != who.life;
             let what = wrong.map(|e| e.to_string());
-            if let Some(what) = what.or(foreign.then(|| format!("a row of {}", key.holder.front))) {
+            if let Some(what) = what.or(foreign.then(|| format!("a row of {}", key.owner.front))) {
                 return refused(Refusal::Malformed(what));
             }
         }
--- a/crates/lilacpitch-site/src/summaries.rs
+++ b/crates/lilacpitch-site/src/summaries.rs
@@ -3,7 +3,7 @@
 use crate::process::{now, Process};
 use lilacpitch_fleet::catalogue::{news_of, NEWS_BYTES};
 use lilacpitch_fleet::message::{Known, Refusal, Request, Response, Role, SiteNews};
-use lilacpitch_rpc::{Dialer, Link};
+use lilacpitch_rpc::{Dialer, RpcConnection};
 use std::sync::atomic::Ordering::Relaxed;
 use std::sync::Arc;
 use std::time::Duration;
@@ -56,7 +56,7 @@
 pub(crate) async fn poll(process: Arc<Process>) {
     let gap = Duration::from_nanos(process.settings.terms.poll_ns);
     loop {
-        let below: Vec<Arc<Link>> = process.children.lock().values().cloned().collect();
+        let below: Vec<Arc<RpcConnection>> = process.children.lock().values().cloned().collect();
         let processes = below.into_iter().filter(|link| matches!(link.peer.role, Role::Process(..)));
         let mut ways: Vec<Way> = processes.map(Way::Below).collect();
         if !process.is_root() {
@@ -78,7 +78,7 @@
 /// The way to a process that is asked.
 enum Way {
     Above(Arc<Dialer>),
-    Below(Arc<Link>),
+    Below(Arc<RpcConnection>),
 }
 
 /// Asks one process until it has nothing more to say.
@@ -88,8 +88,8 @@
         let (asked_ns, known) = (now(), process.catalogue.read().known());
         let (ask, patience) = (Request::Summaries(known), process.patience());
         let said = match &way {
-            Way::Above(dialer) => dialer.ask(ask, patience).await,
-            Way::Below(link) => link.ask(ask, patience).await,
+            Way::Above(dialer) => dialer.request(ask, patience).await,
+            Way::Below(link) => link.request(ask, patience).await,
         };
         let Ok(Response::Summaries(news)) = said else { return };
         let (more, wrong) = process.catalogue.write().take(asked_ns, news);
--- a/crates/lilacpitch-testbed/src/fleet/promises_checker.rs
+++ b/crates/lilacpitch-testbed/src/fleet/promises_checker.rs
@@ -195,9 +195,9 @@
 /// `row NUMBER KIND class C trunk-group T holder H front F life L serial N since MS`.
 fn shows(page: &str, key: &Key) -> bool {
     let pairs = [
-        ("front", key.holder.front.clone()),
-        ("life", key.holder.life.to_string()),
-        ("serial", key.holder.serial.to_string()),
+        ("front", key.owner.front.clone()),
+        ("life", key.owner.incarnation.to_string()),
+        ("serial", key.owner.serial.to_string()),
     ];
     lines(page, "row").any(|words| {
         let said =
@@ -227,13 +227,13 @@
             let done = written.map(|c| c.came_ns);
             for change in changes {
                 match change {
-                    RowChange::Put(row) if row.key.kind == Kind::Reached => {
-                        let site = self.front(&row.key.holder.front).map_or("", |(_, home)| home).to_string();
+                    RowChange::Put(row) if row.key.kind == Kind::Binding => {
+                        let site = self.front(&row.key.owner.front).map_or("", |(_, home)| home).to_string();
                         let life = rows.entry(row.key.clone()).or_default();
                         life.site = site;
                         life.acked_ns = earlier(life.acked_ns, done);
                     }
-                    RowChange::Withdraw(key) if key.kind == Kind::Reached => {
+                    RowChange::Withdraw(key) if key.kind == Kind::Binding => {
                         let life = rows.entry(key.clone()).or_default();
                         life.withdrawn_ns = earlier(life.withdrawn_ns, Some(ask.left_ns));
                         life.gone_ns = earlier(life.gone_ns, written.map(|c| c.left_ns));
@@ -255,8 +255,9 @@
                 _ => None,
             };
             if let Some((front, before)) = swept {
-                let of =
-                    rows.iter_mut().filter(|(key, _)| key.holder.front == front && key.holder.life < before);
+                let of = rows
+                    .iter_mut()
+                    .filter(|(key, _)| key.owner.front == front && key.owner.incarnation < before);
                 of.for_each(|(_, life)| life.withdrawn_ns = earlier(life.withdrawn_ns, Some(ask.left_ns)));
             }
         }
@@ -291,7 +292,7 @@
                     wrong.push(format!(
                         "{} of {} at {}, acknowledged {} ms before, not found at {}: {}",
                         key.number,
-                        key.holder.front,
+                        key.owner.front,
                         life.site,
                         (look.began_ns - acked_ns) / 1_000_000,
                         look.front,
@@ -330,7 +331,7 @@
         for words in said.iter().filter(|words| words.get(2) == Some(&"asked")) {
             let site = words.get(1).copied().unwrap_or("");
             let asked = self.asked.iter().any(|(ask, request, answer)| {
-                let of = matches!(request, Request::Find { query, .. } if query.what == lilacpitch_location::What::Number(look.number.clone()));
+                let of = matches!(request, Request::Find { query, .. } if query.target == lilacpitch_location::QueryTarget::Number(look.number.clone()));
                 of && ask.from == look.front
                     && ask.left_ns <= look.ended_ns
                     && self.town.processes.get(&ask.to).is_some_and(|of| of == site)
@@ -409,7 +410,7 @@
                             format!(
                                 "{} of {} served at {}, {} ms after order {position} was complete",
                                 key.number,
-                                key.holder.front,
+                                key.owner.front,
                                 look.front,
                                 (look.began_ns - complete.unwrap_or(0)) / 1_000_000
                             ),
@@ -423,7 +424,7 @@
                             4,
                             format!(
                                 "{} of {} served at {} after it had applied order {position}",
-                                key.number, key.holder.front, look.front
+                                key.number, key.owner.front, look.front
                             ),
                         ));
                     }
--- a/crates/lilacpitch-testbed/src/fleet/simulated_cluster.rs
+++ b/crates/lilacpitch-testbed/src/fleet/simulated_cluster.rs
@@ -14,7 +14,7 @@
 };
 use lilacpitch_fleet::upstream_selection::renew_gap_ns;
 use lilacpitch_fleet::{Guards, Nanos};
-use lilacpitch_location::{Holder as RowHolder, Key, Kind, Number, Query, Row};
+use lilacpitch_location::{Key, Kind, LocationRecord, Number, Owner as RowHolder, Query};
 use lilacpitch_site::log::state::State;
 use lilacpitch_site::log::{Command, Written};
 use rand::rngs::StdRng;
@@ -188,7 +188,7 @@
 struct FrontNode {
     cache: Cache,
     catalogue: Catalogue,
-    rows: BTreeMap<u32, Row>,
+    rows: BTreeMap<u32, LocationRecord>,
     waiting: Vec<RowChange>,
     done: u64,
     writing: bool,
@@ -460,7 +460,7 @@
                         // Its callers are gone with it.
                         self.handsets.retain(|_, at| *at != one);
                         for (_, truth) in
-                            self.truth.iter_mut().filter(|(key, _)| key.holder.front == self.nodes[one].name)
+                            self.truth.iter_mut().filter(|(key, _)| key.owner.front == self.nodes[one].name)
                         {
                             truth.withdrawn_ns.get_or_insert(self.now);
                         }
@@ -936,9 +936,10 @@
         let name = self.nodes[at].name.clone();
         let Kindly::Front(front) = &mut self.nodes[at].kind else { return };
         front.serial += 1;
-        let holder = RowHolder { name: name.clone(), front: name, life, serial: front.serial };
-        let key = Key { number, kind: Kind::Reached, holder };
-        let row = Row { key: key.clone(), class: String::new(), trunk_group: "p".into(), since_ms };
+        let holder = RowHolder { name: name.clone(), front: name, incarnation: life, serial: front.serial };
+        let key = Key { number, kind: Kind::Binding, owner: holder };
+        let row =
+            LocationRecord { key: key.clone(), class: String::new(), trunk_group: "p".into(), since_ms };
         front.rows.insert(n, row.clone());
         front.waiting.push(RowChange::Put(row));
         self.handsets.insert(n, at);
@@ -1113,7 +1114,7 @@
     // A process that starts again reads its rows from its disk: its summary has versions of its own.
     let state = State::new(8).unwrap_or_else(|_| empty());
     if let Some(disk) = disk {
-        let rows: Vec<Row> =
+        let rows: Vec<LocationRecord> =
             disk.register.snapshot().iter().flat_map(|rows| rows.values().cloned()).collect();
         let beside = disk.beside(Clone::clone);
         if state.restore(rows, beside).is_err() {
--- a/crates/lilacpitch-testbed/src/simulated_network.rs
+++ b/crates/lilacpitch-testbed/src/simulated_network.rs
@@ -173,7 +173,7 @@
     /// How many others a front sees that run; those of an earlier life are not counted.
     pub fn sees(&self, front: usize) -> usize {
         let Some(peers) = &self.rows[front].peers else { return 0 };
-        let lives = |peer: &lilacpitch_gossip::PeerId| {
+        let lives = |peer: &lilacpitch_gossip::MemberId| {
             index(peer.address, self.rows.len())
                 .is_some_and(|of| self.runs(of) && peer.epoch >= self.rows[of].life)
         };
@@ -205,13 +205,13 @@
                 let Some((_, (to, bytes))) = self.flying.pop_first() else { break };
                 if let Some(peers) = &mut self.rows[to].peers {
                     // A refusal is counted there, and is nothing to the network.
-                    let _ = peers.datagram(self.now, &bytes, &mut out);
+                    let _ = peers.handle_datagram(self.now, &bytes, &mut out);
                 }
                 to
             } else {
                 let Some((_, front)) = timer else { break };
                 if let Some(peers) = &mut self.rows[front].peers {
-                    peers.timeout(self.now, &mut out);
+                    peers.handle_timeout(self.now, &mut out);
                 }
                 front
             };
@@ -228,17 +228,17 @@
                     self.send(from, to, bytes);
                     continue;
                 }
-                Effect::Asked(asker) => {
+                Effect::ReportsRequested(asker) => {
                     let mut answer = Vec::new();
                     if let Some(peers) = &mut self.rows[from].peers {
-                        peers.answer(self.now, asker, Vec::new(), &mut answer);
+                        peers.answer_request(self.now, asker, Vec::new(), &mut answer);
                     }
                     self.said(from, answer, noticed);
                     continue;
                 }
                 Effect::Joined(peer) => (peer, true),
                 Effect::Left(peer) => (peer, false),
-                Effect::News | Effect::Told(..) | Effect::Heard(_) => continue,
+                Effect::News | Effect::ReportsReceived(..) | Effect::Heard(_) => continue,
             };
             let Some(of) = index(peer.address, self.rows.len()) else { continue };
             let (at_ns, runs) = (self.now, self.runs(of));
--- a/crates/lilacpitch-testbed/src/simulated_run.rs
+++ b/crates/lilacpitch-testbed/src/simulated_run.rs
@@ -15,7 +15,7 @@
 use lilacpitch::interface::Nanos;
 use lilacpitch_config::{ConfigError, Edge, Pools, ServerState};
 use lilacpitch_edge::core::{CallerId, Effect, Front, Guards, Input, LinkId};
-use lilacpitch_gossip::{Effect as Said, Fact, Keys, Peers, Settings as PeersSettings};
+use lilacpitch_gossip::{Effect as Said, Keys, Peers, ServerReport, Settings as PeersSettings};
 use lilacpitch_protocol::message::call::{Answer, FromCaller, ToCaller};
 use lilacpitch_protocol::message::signal::{FromServer, ToServer};
 use rand_core::{RngCore, SeedableRng};
@@ -299,13 +299,13 @@
             Happens::Datagram(front, bytes) => {
                 self.with_peers(front, |peers, now, out| {
                     // Its counters say what was refused.
-                    let _ = peers.datagram(now, &bytes, out);
+                    let _ = peers.handle_datagram(now, &bytes, out);
                 });
             }
             Happens::PeersWake(front) => {
                 if self.fronts[front].peers_wake_ns == Some(self.now) {
                     self.fronts[front].peers_wake_ns = None;
-                    self.with_peers(front, |peers, now, out| peers.timeout(now, out));
+                    self.with_peers(front, |peers, now, out| peers.handle_timeout(now, out));
                 }
             }
         }
@@ -668,27 +668,27 @@
                 }
                 Said::News => {
                     let facts = self.facts(front);
-                    self.with_peers(front, |peers, now, out| peers.tell(now, &facts, out));
+                    self.with_peers(front, |peers, now, out| peers.publish_reports(now, &facts, out));
                 }
                 Said::Heard(heard) => self.feed(front, Input::Heard(heard)),
-                Said::Asked(asker) => {
+                Said::ReportsRequested(asker) => {
                     let facts = self.facts(front);
-                    self.with_peers(front, |peers, now, out| peers.answer(now, asker, facts, out));
+                    self.with_peers(front, |peers, now, out| peers.answer_request(now, asker, facts, out));
                 }
-                Said::Told(peer, facts) => self.feed(front, Input::Told(peer.origin(), facts)),
+                Said::ReportsReceived(peer, facts) => self.feed(front, Input::Told(peer.origin(), facts)),
                 Said::Joined(_) | Said::Left(_) => {}
             }
         }
     }
 
     /// What a front says that it knows.
-    fn facts(&self, front: usize) -> Vec<Fact> {
+    fn facts(&self, front: usize) -> Vec<ServerReport> {
         let row = &self.fronts[front];
         let mut facts = row.front.facts();
         if row.confused {
             for fact in &mut facts {
-                (fact.suspect, fact.drained, fact.cold_ms) = (true, true, Some(0));
-                (fact.wait_ms, fact.out, fact.stood, fact.age_ms) = (60_000, 1_000, 0, 0);
+                (fact.is_unresponsive, fact.is_draining, fact.warming_up_for_ms) = (true, true, Some(0));
+                (fact.wait_ms, fact.in_flight, fact.succeeded, fact.age_ms) = (60_000, 1_000, 0, 0);
             }
         }
         facts
--- a/crates/lilacpitch-testbed/tests/fleet_measures.rs
+++ b/crates/lilacpitch-testbed/tests/fleet_measures.rs
@@ -4,8 +4,8 @@
 use lilacpitch_edge::net::fetch;
 use lilacpitch_fleet::message::{Request, Response, Role, RowChange};
 use lilacpitch_gossip::Keys;
-use lilacpitch_location::{Holder, Key, Kind, Number, Query, Register, Row, ShardSummary};
-use lilacpitch_rpc::{connect, Link, Me, Serve, Served};
+use lilacpitch_location::{Key, Kind, LocationRecord, LocationStore, Number, Owner, Query, ShardSummary};
+use lilacpitch_rpc::{connect, LocalIdentity, RequestHandler, ResponseFuture, RpcConnection};
 use lilacpitch_testbed::fleet::caller::Caller;
 use lilacpitch_testbed::fleet::cluster::{Plan, Town};
 use lilacpitch_testbed::fleet::day::TERMS;
@@ -16,10 +16,10 @@
 
 const SOON: Duration = Duration::from_secs(60);
 
-fn row(n: u64, front: &str, life: u64) -> Row {
-    let holder = Holder { name: front.into(), front: front.into(), life, serial: n };
-    let key = Key { number: Number::new(&format!("1{n:09}")).unwrap(), kind: Kind::Reached, holder };
-    Row { key, class: String::new(), trunk_group: "p".into(), since_ms: 1 }
+fn row(n: u64, front: &str, life: u64) -> LocationRecord {
+    let holder = Owner { name: front.into(), front: front.into(), incarnation: life, serial: n };
+    let key = Key { number: Number::new(&format!("1{n:09}")).unwrap(), kind: Kind::Binding, owner: holder };
+    LocationRecord { key, class: String::new(), trunk_group: "p".into(), since_ms: 1 }
 }
 
 /// Of the middle, and of 99 in 100, in milliseconds.
@@ -40,7 +40,7 @@
 fn register() {
     for shards in [1, 16, 64] {
         for threads in [1u64, 2, 4] {
-            let register = Arc::new(Register::new(shards).unwrap());
+            let register = Arc::new(LocationStore::new(shards).unwrap());
             let each = 200_000 / threads;
             let began = Instant::now();
             let all: Vec<_> = (0..threads)
@@ -58,7 +58,7 @@
             );
         }
     }
-    let register = Register::new(64).unwrap();
+    let register = LocationStore::new(64).unwrap();
     (0..1_000_000).for_each(|n| drop(register.put(row(n, "e", 1))));
     let began = Instant::now();
     let (mut bytes, mut kept) = (0, Vec::new());
@@ -77,7 +77,7 @@
     let strangers = (0..1_000_000u64).filter(|n| {
         let hash = Number::new(&format!("2{n:09}")).unwrap().hash64();
         kept[lilacpitch_location::summary::shard_of(hash, 64)]
-            .could(lilacpitch_location::summary::fingerprint(hash))
+            .may_contain(lilacpitch_location::summary::fingerprint(hash))
     });
     println!("false 'could': {:.4} % of 1,000,000 strangers", strangers.count() as f64 / 1e4);
     for per_s in [10u64, 100, 1_000] {
@@ -108,7 +108,7 @@
         let began = Instant::now();
         let found = register.find(&Query::reached(Number::new("1000000777").unwrap()), None, 1);
         reads.push(ms(began.elapsed()));
-        assert_eq!(found.rows.len(), 1);
+        assert_eq!(found.records.len(), 1);
     }
     let (p50, p99) = spread(reads);
     println!("reads while snapshots run and rows are written: p50 {p50:.4} ms, p99 {p99:.4} ms");
@@ -143,8 +143,8 @@
 
 struct Nobody;
 
-impl Serve for Nobody {
-    fn serve(self: Arc<Self>, _: Arc<Link>, ask: Request) -> Served {
+impl RequestHandler for Nobody {
+    fn serve(self: Arc<Self>, _: Arc<RpcConnection>, ask: Request) -> ResponseFuture {
         // A front that has no cache: whatever is ordered is applied.
         Box::pin(async move {
             match ask {
@@ -163,13 +163,18 @@
     let runtime = tokio::runtime::Builder::new_multi_thread().worker_threads(2).enable_all().build().unwrap();
     let front = format!("loader-{process}");
     runtime.block_on(async {
-        let me = Me { name: front.clone(), life: 1, role: Role::Front, keys: Keys::from_bytes([0x5a; 32]) };
+        let me = LocalIdentity {
+            name: front.clone(),
+            life: 1,
+            role: Role::Front,
+            keys: Keys::from_bytes([0x5a; 32]),
+        };
         let link = connect(address, &me, Arc::new(Nobody), SOON).await.unwrap();
         let mut position = None;
         let mut renewed = Instant::now() - SOON;
         for (nth, first) in (from..from + count).step_by(512).enumerate() {
             while renewed.elapsed() > Duration::from_millis(300) {
-                match link.ask(Request::Renew(position), SOON).await.unwrap() {
+                match link.request(Request::Renew(position), SOON).await.unwrap() {
                     Response::Fresh { position: at, .. } => position = Some(at),
                     Response::Granted { position: at, .. } => {
                         position = Some(at);
@@ -182,9 +187,9 @@
             }
             let rows = (first..(first + 512).min(from + count)).map(|n| RowChange::Put(row(n, &front, 1)));
             let write = Request::Write { first: nth as u64 * 512 + 1, changes: rows.collect() };
-            assert_eq!(link.ask(write, SOON).await.unwrap(), Response::Written);
+            assert_eq!(link.request(write, SOON).await.unwrap(), Response::Written);
         }
-        let _ = link.ask(Request::Leave, SOON).await;
+        let _ = link.request(Request::Leave, SOON).await;
     });
     let rows = |t: &Town| t.get(process, "/metrics").contains("changes_not_ordered 0\n");
     assert!(town.wait(Duration::from_secs(120), rows), "all ordered");
