--- a/crates/lilacpitch-edge/src/core/facts.rs
+++ b/crates/lilacpitch-edge/src/core/facts.rs
@@ -22,7 +22,10 @@
                 succeeded: fact.succeeded.min(MAX_SETUPS),
                 is_unresponsive: fact.is_unresponsive,
                 // Warm for long is of no use to anybody.
-                warming_up_for_ms: fact.cold_ns.filter(|ns| *ns < self.settings.rules.cold_span_ns).map(ms),
+                warming_up_for_ms: fact
+                    .warming_up_for_ns
+                    .filter(|ns| *ns < self.settings.rules.cold_span_ns)
+                    .map(ms),
                 is_draining: fact.is_draining,
             })
         };
@@ -54,7 +57,7 @@
                 in_flight: fact.in_flight,
                 succeeded: fact.succeeded,
                 is_unresponsive: fact.is_unresponsive,
-                cold_ns: fact.warming_up_for_ms.map(|ms| Nanos::from(ms) * MS),
+                warming_up_for_ns: fact.warming_up_for_ms.map(|ms| Nanos::from(ms) * MS),
                 is_draining: fact.is_draining,
             })
         };
--- a/crates/lilacpitch-edge/src/core/site.rs
+++ b/crates/lilacpitch-edge/src/core/site.rs
@@ -75,7 +75,7 @@
             max_retry_after_ns: edge.timing.come_back_longest_ns,
             must_subscribe: false,
             slow_start_floor: edge.rules.cold_from,
-            cold_ns: edge.rules.cold_span_ns,
+            slow_start_ns: edge.rules.cold_span_ns,
             overload_multiple: edge.rules.tip_multiple,
             tick_ns: edge.timing.tick_ns,
         }
--- a/crates/lilacpitch-fleet/src/ack_aggregator.rs
+++ b/crates/lilacpitch-fleet/src/ack_aggregator.rs
@@ -51,7 +51,7 @@
 
 /// The children of a process and what they have acknowledged.
 #[derive(Debug, Clone)]
-pub struct Relay {
+pub struct AckAggregator {
     terms: Terms,
     guards: Guards,
     window: Window,
@@ -68,7 +68,7 @@
 impl Relay {
     /// Without children, orders or a lease.
     pub fn new(terms: Terms, guards: Guards) -> Self {
-        Relay {
+        AckAggregator {
             terms,
             guards,
             window: Window::default(),
--- a/crates/lilacpitch-fleet/src/lease.rs
+++ b/crates/lilacpitch-fleet/src/lease.rs
@@ -9,13 +9,13 @@
 
 /// What is agreed on leases in a fleet.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Terms {
+pub struct LeaseTerms {
     /// A lease's length.
     pub lease_ns: Nanos,
     /// How much faster or slower than true time a clock may run, as a share.
     pub clock_allowance: f64,
     /// A holder that has not applied an order for this long gets no further lease.
-    pub straggler_ns: Nanos,
+    pub lagging_after_ns: Nanos,
 }
 
 impl Terms {
--- a/crates/lilacpitch-fleet/src/locate.rs
+++ b/crates/lilacpitch-fleet/src/locate.rs
@@ -11,7 +11,7 @@
 
 /// What became of a site in a locate.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Site {
+pub enum SiteOutcome {
     /// Its summary rules it out.
     RuledOut {
         /// The life of the process whose versions these are.
@@ -22,29 +22,29 @@
         as_of_ns: Nanos,
     },
     /// It was asked: this process answered with so many rows.
-    Asked {
+    Queried {
         /// The process.
         process: String,
         /// Its rows.
-        rows: usize,
+        records: usize,
     },
     /// It could not be asked.
-    NotReached(LocateError),
+    Unreachable(LocateError),
 }
 
 /// An answer: what was found, and what it rests on.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Answer {
+pub struct LocateAnswer {
     /// The rows: in the order of keys.
-    pub rows: Vec<LocationRecord>,
+    pub records: Vec<LocationRecord>,
     /// What became of each site.
     pub sites: BTreeMap<String, Site>,
     /// Every site was asked or ruled out.
-    pub complete: bool,
+    pub is_complete: bool,
     /// There is more after this key.
     pub cursor: Option<Key>,
     /// It came from the cache.
-    pub cached: bool,
+    pub is_cached: bool,
 }
 
 impl Answer {
@@ -143,6 +143,6 @@
         let over = rows.len() > self.limit;
         rows.truncate(self.limit);
         let cursor = rows.last().map(|row| row.key.clone()).filter(|_| over || cut.is_some());
-        Answer { rows, sites, complete, cursor, cached: false }
+        LocateAnswer { rows, sites, complete, cursor, cached: false }
     }
 }
--- a/crates/lilacpitch-fleet/src/message.rs
+++ b/crates/lilacpitch-fleet/src/message.rs
@@ -9,11 +9,11 @@
 /// The version of everything here.
 pub const VERSION: u16 = 1;
 /// Most orders in one message.
-pub const MAX_ORDERS: usize = 512;
+pub const MAX_COMMANDS: usize = 512;
 /// Most scopes of one order.
 pub const MAX_SCOPES: usize = 1_024;
 /// Most rows in one message.
-pub const MAX_ROWS: usize = 1_024;
+pub const MAX_RECORDS: usize = 1_024;
 /// Most names in a list of who is missing; the number of all stands beside.
 pub const MAX_NAMES: usize = 32;
 
@@ -34,7 +34,7 @@
     /// The process's name: one of a kind.
     pub name: String,
     /// When this life of it began, in nanoseconds since 1970.
-    pub life: u64,
+    pub incarnation: u64,
     /// What it is.
     pub role: Role,
     /// Drawn for this connection: what it is sent names it.
@@ -43,16 +43,16 @@
 
 /// A place in the log of orders.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Hash, Serialize, Deserialize)]
-pub struct Position {
+pub struct LogPosition {
     /// The log: another one begins when a root site has lost orders.
     pub log: u64,
     /// The number of the last order, from 1; 0: none yet.
-    pub order: u64,
+    pub index: u64,
 }
 
 impl Position {
     /// Whether everything up to `other` is known here. Never across logs.
-    pub fn reaches(self, other: Position) -> bool {
+    pub fn includes(self, other: Position) -> bool {
         self.log == other.log && self.order >= other.order
     }
 }
@@ -65,20 +65,20 @@
 
 /// What a purge withdraws.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Scope {
+pub enum PurgeScope {
     /// All answers about one number.
     Number(Number),
     /// About all that begin so.
     Prefix(String),
     /// That name this front or server.
-    Holder(String),
+    Owner(String),
     /// All.
     All,
 }
 
 /// What is ordered.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub enum What {
+pub enum CommandAction {
     /// Forget cached answers.
     Purge(Vec<Scope>),
     /// No longer act on this settings version.
@@ -89,7 +89,7 @@
 
 /// An order, by its place in the log.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Order {
+pub struct FleetCommand {
     /// Its number, without gaps.
     pub number: u64,
     /// What is ordered.
@@ -98,20 +98,20 @@
 
 /// A row entered or withdrawn.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub enum RowChange {
+pub enum RecordChange {
     /// Entered, or in place of one with its key.
-    Put(LocationRecord),
+    Upsert(LocationRecord),
     /// Withdrawn.
     Withdraw(Key),
 }
 
 /// What a router has of a site's summary.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Known {
+pub struct KnownSummary {
     /// The site.
     pub site: String,
     /// The life of the process whose versions these are.
-    pub life: u64,
+    pub incarnation: u64,
     /// The version of each shard; empty: only whether anything is newer than `total` is asked.
     pub shards: Vec<u64>,
     /// The sum of the versions of all shards.
@@ -120,7 +120,7 @@
 
 /// Numbers that changed at a site and whose purge is not ordered yet, by hash.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Pending {
+pub enum PendingPurges {
     /// These.
     Some(Vec<u64>),
     /// More than are named.
@@ -129,11 +129,11 @@
 
 /// News of a site's summary.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct SiteNews {
+pub struct SiteSummaryUpdate {
     /// The site.
     pub site: String,
     /// Whose versions these are.
-    pub life: u64,
+    pub incarnation: u64,
     /// How many shards it has.
     pub shards: u32,
     /// The sum of their versions once this is taken.
@@ -145,29 +145,29 @@
     /// The last order that came of its changes.
     pub ordered: Position,
     /// What is new, of the shards whose versions were named.
-    pub news: Vec<ShardUpdate>,
+    pub shard_updates: Vec<ShardUpdate>,
     /// There is more: ask again.
-    pub more: bool,
+    pub has_more: bool,
 }
 
 /// What one process asks of another.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum Request {
     /// A holder asks the process above for its lease, and says how far it has applied orders.
-    Renew(Option<Position>),
+    RenewLease(Option<Position>),
     /// A relay says up to which order all below it have acknowledged or are out, and who is not.
-    Sum {
+    ReportAcknowledged {
         /// Up to here.
-        upto: Position,
+        acknowledged: Position,
         /// Some of those that are missing.
         missing: Vec<String>,
         /// How many are.
         missing_count: u32,
     },
     /// A holder has dropped what it cached, and leaves.
-    Leave,
+    ReleaseLease,
     /// Orders, from above.
-    Orders {
+    Commands {
         /// Their log.
         log: u64,
         /// In their order, without gaps.
@@ -188,7 +188,7 @@
         changes: Vec<RowChange>,
     },
     /// Rows that match.
-    Find {
+    FindRecords {
         /// The question.
         query: Query,
         /// From behind this key on.
@@ -203,9 +203,9 @@
     /// Within a site: up to which entry of its log must be applied before a read.
     ReadIndex,
     /// Within a site, from a process whose disk is new: which vote does this one hold?
-    Standing,
+    HeldVote,
     /// Within a site: all rows go that a front wrote in lives before this one.
-    Sweep(String, u64),
+    RemoveOlderIncarnations(String, u64),
     /// Within a site: for its leader, on behalf of the front or process named, by name and life.
     Forwarded(String, u64, Box<Request>),
     /// Within a site: a message of its replicated log.
@@ -227,7 +227,7 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum Response {
     /// A lease from the moment of asking on.
-    Granted {
+    LeaseGranted {
         /// For so long, by the holder's steady clock.
         for_ns: u64,
         /// Once everything up to here is applied.
@@ -235,10 +235,10 @@
         /// Some of what is missing until then.
         orders: Vec<Order>,
         /// The register of this site: another one has none of the rows written before.
-        register: u64,
+        store_id: u64,
     },
     /// What is missing is no longer kept: drop all that is cached, take this position, ask again.
-    Fresh {
+    ResetRequired {
         /// The position to take.
         position: Position,
         /// Settings versions that are withdrawn there.
@@ -247,7 +247,7 @@
     /// The holder of orders has applied them up to here.
     Applied(Position),
     /// Ordered.
-    Ordered(Position),
+    Committed(Position),
     /// How far purges are.
     Progress {
         /// The last order.
@@ -273,20 +273,20 @@
     /// Up to this entry.
     ReadIndex(u64),
     /// The vote in the site's log that this process holds; `None`: its disk is new.
-    Standing(Option<LogVote>),
+    HeldVote(Option<LogVote>),
     /// An answer of the log library, or its error, in its own form.
     Log(Result<Vec<u8>, Vec<u8>>),
     /// Done.
     Done,
     /// Not done.
-    Refused(Refusal),
+    Rejected(Refusal),
 }
 
 /// Why a process did not do what it was asked for.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Refusal {
+pub enum RejectReason {
     /// Too much at once: stay away for so long.
-    Full {
+    Overloaded {
         /// In milliseconds.
         wait_ms: u32,
     },
@@ -299,13 +299,13 @@
     /// No lease of this site's: what is written is not taken.
     Fenced,
     /// Too far behind for a lease: the missing orders come by themselves.
-    Straggler,
+    Lagging,
     /// The holder knows later orders of this log than are here.
     Ahead,
     /// No process of the site leads.
     NoLeader,
     /// Not a thing to ask this process.
-    Unwanted,
+    Unsupported,
     /// Malformed: what of it.
     Malformed(String),
     /// The log or its disk failed.
@@ -336,7 +336,7 @@
     /// The first of each end.
     Hello(Hello),
     /// A question, by a number of the asker's.
-    Ask(u64, Request),
+    Request(u64, Request),
     /// The answer to the question of that number.
     Answer(u64, Response),
 }
--- a/crates/lilacpitch-fleet/src/query_dispatcher.rs
+++ b/crates/lilacpitch-fleet/src/query_dispatcher.rs
@@ -88,7 +88,7 @@
             max_retry_after_ns: 0,
             must_subscribe: false,
             slow_start_floor: 1.0,
-            cold_ns: 0,
+            slow_start_ns: 0,
             overload_multiple: 1e6,
             tick_ns: timing.tick_ns,
         };
--- a/crates/lilacpitch/benches/event_cost.rs
+++ b/crates/lilacpitch/benches/event_cost.rs
@@ -29,7 +29,7 @@
         max_retry_after_ns: 2 * S,
         must_subscribe: false,
         slow_start_floor: 0.3,
-        cold_ns: 10 * S,
+        slow_start_ns: 10 * S,
         overload_multiple: 3.0,
         tick_ns: 5_000_000,
     }
--- a/crates/lilacpitch/src/controller.rs
+++ b/crates/lilacpitch/src/controller.rs
@@ -608,7 +608,7 @@
 impl Server {
     /// The share of its capacity that it surely has at its age; `None` once it is warm.
     fn cold_share(&self, now: Nanos, settings: &Settings) -> Option<f64> {
-        let warmth = now.saturating_sub(self.cold_since_ns?) as f64 / settings.cold_ns.max(1) as f64;
+        let warmth = now.saturating_sub(self.cold_since_ns?) as f64 / settings.slow_start_ns.max(1) as f64;
         (warmth < 1.0).then_some(settings.slow_start_floor + (1.0 - settings.slow_start_floor) * warmth)
     }
 
--- a/crates/lilacpitch/src/controller/told.rs
+++ b/crates/lilacpitch/src/controller/told.rs
@@ -18,7 +18,7 @@
                 in_flight: server.out.len() as u32,
                 succeeded: server.stood.recent(self.period) as u32,
                 is_unresponsive: server.suspect.is_some_and(|s| !s.told),
-                cold_ns: server.cold_since_ns.map(|at| self.now.saturating_sub(at)),
+                warming_up_for_ns: server.cold_since_ns.map(|at| self.now.saturating_sub(at)),
                 is_draining: !server.in_service(),
             })
         };
@@ -32,14 +32,15 @@
             let id = fact.server;
             self.told.add(peer, now.saturating_sub(fact.age_ns), fact);
             self.hear(id);
-            let grave = fact.is_unresponsive || fact.is_draining || fact.cold_ns.is_some();
+            let grave = fact.is_unresponsive || fact.is_draining || fact.warming_up_for_ns.is_some();
             let unknown = self.servers.get(&id).is_some_and(|s| grave && s.stood.len() < FEW);
             let of = |yes: &dyn Fn(&ServerReport) -> f64| {
                 self.voices(id, FACT_KEPT_NS, yes).is_some_and(|v| v > 0.5)
             };
             let silent = unknown && of(&|f| f64::from(f.is_unresponsive || f.is_draining));
-            let cold = unknown && of(&|f| f64::from(f.cold_ns.is_some_and(|n| n < self.settings.cold_ns)));
-            let since = self.told.of(id).filter_map(|(_, f)| f.cold_ns).min();
+            let cold = unknown
+                && of(&|f| f64::from(f.warming_up_for_ns.is_some_and(|n| n < self.settings.slow_start_ns)));
+            let since = self.told.of(id).filter_map(|(_, f)| f.warming_up_for_ns).min();
             let since = since.filter(|_| cold).map(|age| now.saturating_sub(age));
             if silent {
                 self.suspect(id, true);
--- a/crates/lilacpitch/src/interface.rs
+++ b/crates/lilacpitch/src/interface.rs
@@ -72,7 +72,7 @@
     /// A server starts with at least this share of its capacity,
     pub slow_start_floor: f64,
     /// and is warm after this span.
-    pub cold_ns: Nanos,
+    pub slow_start_ns: Nanos,
     /// A cold server falls over when sent so many times what it can do at its age.
     pub overload_multiple: f64,
     /// Shortest span between two rounds of events.
@@ -198,7 +198,7 @@
     /// Taken to be silent.
     pub is_unresponsive: bool,
     /// Since when it is cold, as a span until now.
-    pub cold_ns: Option<Nanos>,
+    pub warming_up_for_ns: Option<Nanos>,
     /// Listed as draining or gone.
     pub is_draining: bool,
 }
--- a/crates/lilacpitch/src/peer_reports.rs
+++ b/crates/lilacpitch/src/peer_reports.rs
@@ -90,7 +90,7 @@
             wait_ns: 0,
             succeeded: 0,
             is_unresponsive: false,
-            cold_ns: None,
+            warming_up_for_ns: None,
             is_draining: false,
         }
     }
--- a/crates/lilacpitch/src/settings.rs
+++ b/crates/lilacpitch/src/settings.rs
@@ -99,7 +99,7 @@
             max_retry_after_ns: if retry_after { span("permissions.max_retry_after_ns", 0.0)? } else { 0 },
             must_subscribe: word(at("discovery")) == "on_request",
             slow_start_floor: number("rules.cold_from", 1.0)?.clamp(0.0, 1.0),
-            cold_ns: span("rules.cold_ns", 0.0)?,
+            slow_start_ns: span("rules.cold_ns", 0.0)?,
             overload_multiple: number("rules.tip_multiple", 1.0)?.max(1.0),
             tick_ns,
         };
--- a/crates/lilacpitch/tests/common/mod.rs
+++ b/crates/lilacpitch/tests/common/mod.rs
@@ -28,7 +28,7 @@
         max_retry_after_ns: 2 * S,
         must_subscribe: false,
         slow_start_floor: 0.3,
-        cold_ns: 12 * S,
+        slow_start_ns: 12 * S,
         overload_multiple: 3.0,
         tick_ns: 5 * MS,
     }
--- a/crates/lilacpitch/tests/mechanism.rs
+++ b/crates/lilacpitch/tests/mechanism.rs
@@ -642,7 +642,7 @@
         in_flight: 0,
         succeeded: 0,
         is_unresponsive: false,
-        cold_ns: None,
+        warming_up_for_ns: None,
         is_draining: false,
     }
 }
@@ -863,7 +863,7 @@
 
 #[test]
 fn a_server_that_most_call_cold_gets_its_cold_share() {
-    let cold = ServerReport { cold_ns: Some(S), ..calm(11) };
+    let cold = ServerReport { warming_up_for_ns: Some(S), ..calm(11) };
     let mut front = Front::new(settings(), &two());
     (0..3).for_each(|peer| drop(front.event(Event::PeerReported { peer, server_reports: vec![cold] })));
     let facts = |front: &mut Front| {
@@ -876,7 +876,7 @@
     // Own facts speak of what this front itself has seen, and of nothing it was told.
     let own = facts(&mut front);
     assert_eq!(own.len(), 1);
-    assert_eq!((own[0].server, own[0].is_unresponsive, own[0].cold_ns), (22, false, None));
+    assert_eq!((own[0].server, own[0].is_unresponsive, own[0].warming_up_for_ns), (22, false, None));
     // It answers at once; all the same it is used like a cold one, far below what is meant for it.
     let told = answered_there(&mut front, 12, 200 * MS, &[]);
     let untold = answered_there(&mut Front::new(settings(), &two()), 12, 200 * MS, &[]);
