--- a/crates/lilacpitch-edge/src/cli.rs
+++ b/crates/lilacpitch-edge/src/cli.rs
@@ -53,12 +53,12 @@
 
 /// Runs the program. Exit codes: 0 done, 1 could not run, 2 wrong arguments or settings.
 pub fn main(args: impl IntoIterator<Item = OsString>) -> ExitCode {
-    main_with(args, lilacpitch_fleet::Guards::default())
+    main_with(args, lilacpitch_fleet::Safeguards::default())
 }
 
 /// With guards of the fleet's promises switched off: for the laboratory.
 #[doc(hidden)]
-pub fn main_with(args: impl IntoIterator<Item = OsString>, promises: lilacpitch_fleet::Guards) -> ExitCode {
+pub fn main_with(args: impl IntoIterator<Item = OsString>, promises: lilacpitch_fleet::Safeguards) -> ExitCode {
     let args = match Args::try_parse_from(args) {
         Ok(args) => args,
         Err(error) => {
@@ -138,7 +138,7 @@
     Ok(format!("{}: {classes} classes, {servers} servers, no mistakes", config.display()))
 }
 
-fn run(config: &Path, promises: lilacpitch_fleet::Guards) -> ExitCode {
+fn run(config: &Path, promises: lilacpitch_fleet::Safeguards) -> ExitCode {
     let settings = match Edge::load(config) {
         Ok(loaded) => loaded.value,
         Err(error) => {
--- a/crates/lilacpitch-edge/src/fleet/admin_pages.rs
+++ b/crates/lilacpitch-edge/src/fleet/admin_pages.rs
@@ -1,7 +1,7 @@
 //! Pages of the agent, beside the front's metrics: `/fleet` and `/locate`.
 
 use super::Agent;
-use lilacpitch_fleet::locate::{Answer, Site, MAX_LIMIT};
+use lilacpitch_fleet::locate::{LocateAnswer, SiteOutcome, MAX_LIMIT};
 use lilacpitch_location::{Kind, Number, Query, QueryTarget};
 use lilacpitch_rpc::steady_ns;
 use std::fmt::Write;
@@ -36,7 +36,7 @@
             let patience = Duration::from_nanos(self.of.locate_longest_ns * 2);
             // As for a call: from the cache where that may be used, and judged as it would be there.
             let (answer, until_ns) = self.number(&number, patience).await.map_err(|e| e.to_string())?;
-            if steady_ns() >= until_ns && self.guards.leases {
+            if steady_ns() >= until_ns && self.guards.cache_leases {
                 return Err("the lease ran out meanwhile: ask again".into());
             }
             return Ok(written(&answer));
@@ -132,20 +132,20 @@
     Some(lilacpitch_location::Key { number, kind, owner: holder })
 }
 
-fn written(answer: &Answer) -> String {
-    let mut out = format!("complete {}\ncached {}\n", answer.complete, answer.cached);
+fn written(answer: &LocateAnswer) -> String {
+    let mut out = format!("complete {}\ncached {}\n", answer.is_complete, answer.is_cached);
     let now = steady_ns();
     for (site, said) in &answer.sites {
         let _ = match said {
-            Site::RuledOut { life, total, as_of_ns } => {
+            SiteOutcome::RuledOut { life, total, as_of_ns } => {
                 let age_ms = now.saturating_sub(*as_of_ns) / 1_000_000;
                 writeln!(out, "site {site} ruled-out version {life}/{total} age-ms {age_ms}")
             }
-            Site::Asked { process, rows } => writeln!(out, "site {site} asked {process} rows {rows}"),
-            Site::NotReached(why) => writeln!(out, "site {site} not-reached {why}"),
+            SiteOutcome::Queried { process, records } => writeln!(out, "site {site} asked {process} rows {records}"),
+            SiteOutcome::Unreachable(why) => writeln!(out, "site {site} not-reached {why}"),
         };
     }
-    for row in &answer.rows {
+    for row in &answer.records {
         let (key, kind) = (&row.key, row.key.kind.as_str());
         let _ = writeln!(
             out,
--- a/crates/lilacpitch-edge/src/fleet/lease_client.rs
+++ b/crates/lilacpitch-edge/src/fleet/lease_client.rs
@@ -1,8 +1,8 @@
 //! The lease from the home site, orders from it, and summaries.
 
 use super::{wall_ms, Agent, Counters, FromAgent};
-use lilacpitch_fleet::lease_holder::Taken;
-use lilacpitch_fleet::message::{Order, Request, Response};
+use lilacpitch_fleet::lease_holder::LeaseUpdate;
+use lilacpitch_fleet::message::{FleetCommand, Request, Response};
 use lilacpitch_rpc::{steady_ns, Dialer, RpcConnection};
 use std::sync::Arc;
 use std::time::Duration;
@@ -12,8 +12,8 @@
     loop {
         let (asked_ns, applied) = (steady_ns(), agent.holder.lock().position());
         let home = agent.above();
-        let again = match home.request(Request::Renew(applied), agent.patience()).await {
-            Ok(Response::Refused(why)) => {
+        let again = match home.request(Request::RenewLease(applied), agent.patience()).await {
+            Ok(Response::Rejected(why)) => {
                 tracing::debug!(%why, "no lease");
                 agent.above.lock().failed();
                 false
@@ -71,20 +71,20 @@
     }
 
     fn renewed(&self, asked_ns: u64, response: Response) -> bool {
-        if let Response::Granted { register, .. } = &response {
-            self.register_is(*register);
+        if let Response::LeaseGranted { store_id, .. } = &response {
+            self.register_is(*store_id);
         }
-        let granted = matches!(response, Response::Granted { .. });
+        let granted = matches!(response, Response::LeaseGranted { .. });
         // Held until what is ordered is applied: two answers must not apply one order twice.
         let mut holder = self.holder.lock();
         match holder.answered(asked_ns, response) {
-            Taken::Orders(orders) => self.apply(&mut holder, orders),
-            Taken::Dropped => {
+            LeaseUpdate::Orders(orders) => self.apply(&mut holder, orders),
+            LeaseUpdate::Dropped => {
                 self.cache.clear(steady_ns());
                 Counters::one(&self.counters.fresh_starts);
                 tracing::info!(position = ?holder.position(), "a fresh start: what was cached is dropped");
             }
-            Taken::Nothing => {}
+            LeaseUpdate::Nothing => {}
         }
         let again = !granted || holder.usable(steady_ns()).is_err();
         let in_force = !holder.is_withdrawn();
@@ -102,7 +102,7 @@
         }
     }
 
-    fn apply(&self, holder: &mut lilacpitch_fleet::lease_holder::Holder, orders: Vec<Order>) {
+    fn apply(&self, holder: &mut lilacpitch_fleet::lease_holder::LeaseHolder, orders: Vec<FleetCommand>) {
         let now = steady_ns();
         for order in orders {
             self.cache.apply(now, &order);
@@ -113,8 +113,8 @@
 
     /// What the home site asks of this front.
     pub(super) fn answer(&self, _from: &RpcConnection, ask: Request) -> Response {
-        let Request::Orders { log, orders } = ask else {
-            return Response::Refused(lilacpitch_fleet::message::Refusal::Unwanted);
+        let Request::Commands { log, orders } = ask else {
+            return Response::Rejected(lilacpitch_fleet::message::RejectReason::Unsupported);
         };
         let mut holder = self.holder.lock();
         match holder.orders(log, orders) {
@@ -141,6 +141,6 @@
     /// The front stops: what is cached is dropped, and the home site need not wait for the lease.
     pub(super) async fn leave(&self) {
         self.cache.clear(steady_ns());
-        let _ = self.above().request(Request::Leave, self.patience()).await;
+        let _ = self.above().request(Request::ReleaseLease, self.patience()).await;
     }
 }
--- a/crates/lilacpitch-edge/src/fleet/locate.rs
+++ b/crates/lilacpitch-edge/src/fleet/locate.rs
@@ -2,7 +2,7 @@
 
 use super::{Agent, Counters, FromAgent};
 use lilacpitch_fleet::error::LocateError;
-use lilacpitch_fleet::locate::{Answer, Locate, Site};
+use lilacpitch_fleet::locate::{LocateAnswer, Locate, SiteOutcome};
 use lilacpitch_fleet::message::Request;
 use lilacpitch_location::summary::shard_of;
 use lilacpitch_location::{Key, Number, Query};
@@ -19,7 +19,7 @@
 #[derive(Clone)]
 struct Flight {
     read_from_ns: u64,
-    answer: watch::Receiver<Option<Arc<Answer>>>,
+    answer: watch::Receiver<Option<Arc<LocateAnswer>>>,
 }
 
 /// Questions that are out, by number.
@@ -73,7 +73,7 @@
         self: &Arc<Self>,
         number: &Number,
         patience: Duration,
-    ) -> Result<(Arc<Answer>, u64), LocateError> {
+    ) -> Result<(Arc<LocateAnswer>, u64), LocateError> {
         if let Some((answer, until_ns)) = self.cached(number, true) {
             Counters::one(&self.counters.from_cache);
             return Ok((Arc::new(answer), until_ns));
@@ -85,7 +85,7 @@
             _ => None,
         };
         match heard {
-            Some(answer) if answer.complete || !answer.rows.is_empty() => Ok((answer, u64::MAX)),
+            Some(answer) if answer.is_complete || !answer.records.is_empty() => Ok((answer, u64::MAX)),
             // Some sites are not reached, or none in time: what is cached is better than nothing while the lease runs,
             // and the answer says of each site what became of it.
             heard => match self.cached(number, false) {
@@ -97,11 +97,11 @@
                     match heard {
                         Some(answer) => cached.sites = answer.sites.clone(),
                         None => {
-                            let late = |site: &mut Site| *site = Site::NotReached(LocateError::Late);
+                            let late = |site: &mut SiteOutcome| *site = SiteOutcome::Unreachable(LocateError::Late);
                             cached.sites.values_mut().for_each(late);
                         }
                     }
-                    cached.complete = false;
+                    cached.is_complete = false;
                     Ok((Arc::new(cached), until_ns))
                 }
                 None => heard.map(|answer| (answer, u64::MAX)).ok_or(LocateError::Late),
@@ -110,7 +110,7 @@
     }
 
     /// What is cached of a number, if it may be used now: the lease is judged after the look.
-    fn cached(&self, number: &Number, borne_out: bool) -> Option<(Answer, u64)> {
+    fn cached(&self, number: &Number, borne_out: bool) -> Option<(LocateAnswer, u64)> {
         let answer = self.cache.get(number)?;
         let (until, position) = {
             let holder = self.holder.lock();
@@ -118,7 +118,7 @@
         };
         let until_ns = match until {
             Ok(until_ns) => until_ns,
-            Err(_) if !self.guards.leases => u64::MAX,
+            Err(_) if !self.guards.cache_leases => u64::MAX,
             Err(_) => return None,
         };
         let borne = !borne_out || self.catalogue.read().bears_out(steady_ns(), number.hash64(), position);
@@ -148,7 +148,7 @@
             let times = if agent.guards.calls_first { 1 } else { 100 };
             let budget = Duration::from_nanos(agent.of.locate_longest_ns * times);
             let answer = agent.ask_sites(locate, true, budget).await;
-            if answer.complete && !agent.cache.fill(read_from_ns, &number, &answer) {
+            if answer.is_complete && !agent.cache.fill(read_from_ns, &number, &answer) {
                 Counters::one(&agent.counters.not_filled);
             }
             {
@@ -163,7 +163,7 @@
     }
 
     /// Asks the open sites of a question at once, within a time.
-    async fn ask_sites(self: &Arc<Self>, mut locate: Locate, urgent: bool, budget: Duration) -> Answer {
+    async fn ask_sites(self: &Arc<Self>, mut locate: Locate, urgent: bool, budget: Duration) -> LocateAnswer {
         let _permit = self.questions.acquire().await;
         let open: Vec<String> = locate.open().map(String::from).collect();
         let mut asking = tokio::task::JoinSet::new();
@@ -171,7 +171,7 @@
             let Some(site) = self.sites.iter().position(|(site, _)| *site == name) else { continue };
             Counters::one(&self.counters.asked);
             let (query, after) = (locate.query.clone(), locate.after.clone());
-            let request = Request::Find { query, after, limit: locate.limit() as u32, urgent };
+            let request = Request::FindRecords { query, after, limit: locate.limit() as u32, urgent };
             let agent = self.clone();
             asking.spawn(async move { (name, agent.asks.ask(site, urgent, budget, request).await) });
         }
@@ -184,7 +184,7 @@
         };
         let _ = tokio::time::timeout(budget, answers).await;
         let answer = locate.answer();
-        if !answer.complete {
+        if !answer.is_complete {
             Counters::one(&self.counters.incomplete);
         }
         answer
@@ -197,14 +197,14 @@
         after: Option<Key>,
         limit: usize,
         budget: Duration,
-    ) -> Answer {
+    ) -> LocateAnswer {
         let locate = Locate::begin(steady_ns(), query, after, limit, &self.catalogue.read(), self.guards);
         self.ask_sites(locate, false, budget).await
     }
 }
 
 /// Whether a site whose rows are cached was reached by a later answer.
-fn holder_answers(cached: &Answer, now: &Answer) -> bool {
-    let held = cached.sites.iter().filter(|(_, said)| matches!(said, Site::Asked { rows, .. } if *rows > 0));
-    held.into_iter().any(|(site, _)| !matches!(now.sites.get(site), Some(Site::NotReached(_))))
+fn holder_answers(cached: &LocateAnswer, now: &LocateAnswer) -> bool {
+    let held = cached.sites.iter().filter(|(_, said)| matches!(said, SiteOutcome::Queried { records, .. } if *records > 0));
+    held.into_iter().any(|(site, _)| !matches!(now.sites.get(site), Some(SiteOutcome::Unreachable(_))))
 }
--- a/crates/lilacpitch-edge/src/fleet/locate_dispatcher.rs
+++ b/crates/lilacpitch-edge/src/fleet/locate_dispatcher.rs
@@ -3,8 +3,8 @@
 use super::{Agent, CONNECT};
 use lilacpitch::interface::Outcome;
 use lilacpitch_fleet::error::LocateError;
-use lilacpitch_fleet::message::{Refusal, Request, Response};
-use lilacpitch_fleet::query_dispatcher::{look_after_ns, Asker, Do, Timing};
+use lilacpitch_fleet::message::{RejectReason, Request, Response};
+use lilacpitch_fleet::query_dispatcher::{poll_delay_ns, QueryDispatcher, DispatchAction, Timing};
 use lilacpitch_location::Page;
 use lilacpitch_rpc::{steady_ns, RpcError};
 use parking_lot::Mutex;
@@ -29,7 +29,7 @@
 enum News {
     Ask(Box<Ask>),
     /// An attempt has ended: how, and what came with it.
-    Ended(Do, Outcome, Option<(Page, String)>),
+    Ended(DispatchAction, Outcome, Option<(Page, String)>),
     /// A process that did not answer does so again.
     Back(usize, usize),
 }
@@ -38,7 +38,7 @@
 pub(super) struct Asks(mpsc::Sender<News>);
 
 pub(super) struct Asking {
-    asker: Mutex<Asker>,
+    asker: Mutex<QueryDispatcher>,
     news: mpsc::Sender<News>,
     take: mpsc::Receiver<News>,
 }
@@ -46,7 +46,7 @@
 impl Asks {
     pub fn new(sites: &[usize], timing: Timing, seed: u64) -> (Self, Asking) {
         let (news, take) = mpsc::channel(QUEUE);
-        let asker = Mutex::new(Asker::new(sites, timing, steady_ns(), seed));
+        let asker = Mutex::new(QueryDispatcher::new(sites, timing, steady_ns(), seed));
         (Asks(news.clone()), Asking { asker, news, take })
     }
 
@@ -78,7 +78,7 @@
     let Asking { asker, news, mut take } = asking;
     let mut asker = asker.into_inner();
     let news_again = news.clone();
-    let (mut open, mut todo): (HashMap<u64, Open>, Vec<Do>) = Default::default();
+    let (mut open, mut todo): (HashMap<u64, Open>, Vec<DispatchAction>) = Default::default();
     let (mut wake_ns, mut round) = (None::<u64>, Vec::new());
     // Processes that left a question unanswered and are looked after until they answer.
     let mut away: HashSet<(usize, usize)> = HashSet::new();
@@ -119,7 +119,7 @@
                     asker.back(now, site, process, &mut todo);
                 }
                 News::Ended(done, outcome, answer) => {
-                    if let Do::Ask { question, site, process, .. } = done {
+                    if let DispatchAction::Ask { question, site, process, .. } = done {
                         let gone = matches!(outcome, Outcome::TimedOut | Outcome::Unreachable | Outcome::Cut);
                         if gone && away.insert((site, process)) {
                             tokio::spawn(look_after(agent.clone(), site, process, news_again.clone()));
@@ -138,7 +138,7 @@
         }
         while let Some(what) = todo.pop() {
             match what {
-                Do::Ask { question, site, process, timeout_ns, .. } => {
+                DispatchAction::Ask { question, site, process, timeout_ns, .. } => {
                     let Some(open) = open.get(&question) else {
                         // Its asker has gone: nothing is sent, and the module told so.
                         asker.ended(steady_ns(), what, Outcome::NotSent, &mut todo);
@@ -151,12 +151,12 @@
                         let _ = news.send(News::Ended(what, outcome, answer)).await;
                     });
                 }
-                Do::Refuse(question) | Do::Fail(question) => {
+                DispatchAction::Reject(question) | DispatchAction::Fail(question) => {
                     if let Some(open) = open.remove(&question) {
                         let _ = open.give.send(Err(open.last));
                     }
                 }
-                Do::WakeAt(at) => wake_ns = Some(wake_ns.map_or(at, |set| set.min(at))),
+                DispatchAction::SetTimer(at) => wake_ns = Some(wake_ns.map_or(at, |set| set.min(at))),
             }
         }
     }
@@ -165,7 +165,7 @@
 /// Asks a process that did not answer for nothing, at growing gaps, until it answers.
 async fn look_after(agent: Arc<Agent>, site: usize, process: usize, news: mpsc::Sender<News>) {
     for nth in 0.. {
-        tokio::time::sleep(Duration::from_nanos(look_after_ns(nth))).await;
+        tokio::time::sleep(Duration::from_nanos(poll_delay_ns(nth))).await;
         let way = &agent.sites[site].1[process];
         if way.request(Request::Summaries(Vec::new()), CONNECT).await.is_ok() {
             let _ = news.send(News::Back(site, process)).await;
@@ -178,10 +178,10 @@
     match outcome {
         Outcome::Overloaded(wait) => {
             let wait_ms = wait.map_or(0, |ns| (ns / 1_000_000) as u32);
-            LocateError::Refused(Refusal::Full { wait_ms })
+            LocateError::Refused(RejectReason::Overloaded { wait_ms })
         }
         Outcome::Unreachable => LocateError::Unreached,
-        Outcome::NoCircuit => LocateError::Refused(Refusal::Behind),
+        Outcome::NoCircuit => LocateError::Refused(RejectReason::Behind),
         _ => LocateError::Late,
     }
 }
@@ -190,11 +190,11 @@
 fn outcome(said: Result<Response, RpcError>) -> (Outcome, Option<(Page, String)>) {
     match said {
         Ok(Response::Found { page, process }) => (Outcome::Completed, Some((page, process))),
-        Ok(Response::Refused(Refusal::Full { wait_ms })) => {
+        Ok(Response::Rejected(RejectReason::Overloaded { wait_ms })) => {
             (Outcome::Overloaded(Some(u64::from(wait_ms) * 1_000_000)), None)
         }
         // It runs and has nothing to give: as a server without a free circuit.
-        Ok(Response::Refused(_)) => (Outcome::NoCircuit, None),
+        Ok(Response::Rejected(_)) => (Outcome::NoCircuit, None),
         Ok(_) => (Outcome::Fault, None),
         Err(RpcError::TimedOut) => (Outcome::TimedOut, None),
         Err(RpcError::Unreached(..) | RpcError::Greeting(_) | RpcError::Backlog) => {
--- a/crates/lilacpitch-edge/src/fleet/mod.rs
+++ b/crates/lilacpitch-edge/src/fleet/mod.rs
@@ -13,16 +13,16 @@
 
 use crate::core::RowNews;
 use lilacpitch_config::{Edge, FleetOf, Pools};
-use lilacpitch_fleet::audit::{Recorder, Version};
+use lilacpitch_fleet::audit::{AuditRecorder, Version};
 use lilacpitch_fleet::cache::Cache;
 use lilacpitch_fleet::catalogue::Catalogue;
-use lilacpitch_fleet::lease::Terms;
-use lilacpitch_fleet::lease_holder::Holder;
+use lilacpitch_fleet::lease::LeaseTerms;
+use lilacpitch_fleet::lease_holder::LeaseHolder;
 use lilacpitch_fleet::message::Role;
 use lilacpitch_fleet::query_dispatcher::Timing;
-use lilacpitch_fleet::upstream_selection::Upward;
-use lilacpitch_fleet::write_batcher::Gather;
-use lilacpitch_fleet::{Guards, Nanos};
+use lilacpitch_fleet::upstream_selection::UpstreamSelection;
+use lilacpitch_fleet::write_batcher::WriteBatcher;
+use lilacpitch_fleet::{Safeguards, Nanos};
 use lilacpitch_gossip::Keys;
 use lilacpitch_location::Kind;
 use lilacpitch_rpc::{steady_ns, Dialer, LocalIdentity, RequestHandler};
@@ -88,21 +88,21 @@
 pub(crate) struct Agent {
     of: FleetOf,
     me: LocalIdentity,
-    guards: Guards,
+    guards: Safeguards,
     settings: u64,
     list: AtomicU64,
     home: Vec<Arc<Dialer>>,
     /// All sites, in the settings' order, and the ways to their processes.
     sites: Vec<(String, Vec<Arc<Dialer>>)>,
     /// Which process of the home site is followed now.
-    above: Mutex<Upward>,
+    above: Mutex<UpstreamSelection>,
     /// What the front's loop was told last of its settings; it begins with them in force.
     in_force_said: Mutex<bool>,
-    terms: Terms,
-    holder: Mutex<Holder>,
+    terms: LeaseTerms,
+    holder: Mutex<LeaseHolder>,
     cache: Cache,
     catalogue: RwLock<Catalogue>,
-    recorder: Mutex<Recorder>,
+    recorder: Mutex<AuditRecorder>,
     record_publisher: Mutex<record_publisher::Rows>,
     rows_changed: watch::Sender<u64>,
     flights: locate::Flights,
@@ -134,7 +134,7 @@
     say: mpsc::Sender<ToAgent>,
     /// Rows were lost for want of room: they are all said again once there is some.
     rows_lost: bool,
-    held: Gather<RowNews>,
+    held: WriteBatcher<RowNews>,
 }
 
 impl Handle {
@@ -201,7 +201,7 @@
 pub(crate) fn start(
     edge: &Edge,
     of: &FleetOf,
-    guards: Guards,
+    guards: Safeguards,
     seed: u64,
 ) -> Result<(Handle, mpsc::Receiver<FromAgent>), String> {
     let text = std::fs::read_to_string(&of.key_file).map_err(|e| format!("{}: {e}", of.key_file))?;
@@ -226,11 +226,11 @@
     let settings = settings_digest(edge);
     let names = of.sites.iter().map(|site| site.name.as_str());
     let counts: Vec<usize> = sites.iter().map(|(_, ways)| ways.len()).collect();
-    let timing = Timing { aim_ns: of.terms.ask_ns, tick_ns: edge.timing.tick_ns };
-    let terms = Terms {
+    let timing = Timing { latency_objective_ns: of.terms.ask_ns, tick_ns: edge.timing.tick_ns };
+    let terms = LeaseTerms {
         lease_ns: of.terms.lease_ns,
         clock_allowance: of.terms.clock_allowance,
-        straggler_ns: of.terms.straggler_ns,
+        lagging_after_ns: of.terms.straggler_ns,
     };
     let (asks, asking) = locate_dispatcher::Asks::new(&counts, timing, seed);
     let agent = Arc::new(Agent {
@@ -239,13 +239,13 @@
         list: AtomicU64::new(0),
         home,
         sites,
-        above: Mutex::new(Upward::new(seed as usize)),
+        above: Mutex::new(UpstreamSelection::new(seed as usize)),
         in_force_said: Mutex::new(true),
         terms,
-        holder: Mutex::new(Holder::new(settings)),
+        holder: Mutex::new(LeaseHolder::new(settings)),
         cache: Cache::new(of.cache, guards),
         catalogue: RwLock::new(Catalogue::new(names, of.terms.settle_ns, terms, guards)),
-        recorder: Mutex::new(Recorder::new(&edge.name, life)),
+        recorder: Mutex::new(AuditRecorder::new(&edge.name, life)),
         record_publisher: Mutex::new(record_publisher::Rows::default()),
         rows_changed: watch::Sender::new(0),
         flights: locate::Flights::default(),
@@ -269,7 +269,7 @@
             });
         })
         .map_err(|e| format!("no thread for the fleet: {e}"))?;
-    Ok((Handle { say: to_agent, rows_lost: false, held: Gather::default() }, hear))
+    Ok((Handle { say: to_agent, rows_lost: false, held: WriteBatcher::default() }, hear))
 }
 
 /// Takes what the front says, until it is gone.
@@ -308,12 +308,12 @@
         };
         let version = Version {
             settings: self.settings,
-            list: self.list.load(Ordering::Relaxed),
+            endpoint_list: self.list.load(Ordering::Relaxed),
             build: env!("CARGO_PKG_VERSION").into(),
             caches: usable,
             takes_calls: in_force,
         };
-        if self.guards.records || self.recorder.lock().last().is_none() {
+        if self.guards.audit_records || self.recorder.lock().last().is_none() {
             self.recorder.lock().note(wall_ms(), version, position);
         }
     }
--- a/crates/lilacpitch-edge/src/fleet/record_publisher.rs
+++ b/crates/lilacpitch-edge/src/fleet/record_publisher.rs
@@ -3,7 +3,7 @@
 
 use super::{Agent, Counters, FromAgent};
 use crate::core::RowNews;
-use lilacpitch_fleet::message::{Refusal, Request, Response, RowChange};
+use lilacpitch_fleet::message::{RejectReason, Request, Response, RecordChange};
 use lilacpitch_location::{Key, LocationRecord, Number, Owner};
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -18,7 +18,7 @@
 
 #[derive(Default)]
 pub(super) struct Rows {
-    waiting: VecDeque<RowChange>,
+    waiting: VecDeque<RecordChange>,
     /// Changes that no longer wait: those that do are numbered from here on.
     done: u64,
     register: Option<u64>,
@@ -59,17 +59,17 @@
         self.rows_changed.send_modify(|count| *count += 1);
     }
 
-    fn change(&self, news: RowNews) -> Option<RowChange> {
+    fn change(&self, news: RowNews) -> Option<RecordChange> {
         // The front checked it: what is not a number never was one of a call.
         let number = Number::new(&news.number).ok()?;
         let (front, life) = (self.me.name.clone(), self.me.life);
         let holder = Owner { name: news.holder, front, incarnation: life, serial: news.serial };
         let key = Key { number, kind: news.kind, owner: holder };
         if !news.there {
-            return Some(RowChange::Withdraw(key));
+            return Some(RecordChange::Withdraw(key));
         }
         let (class, trunk_group, since_ms) = (news.class, news.trunk_group, news.since_ms);
-        Some(RowChange::Put(LocationRecord { key, class, trunk_group, since_ms }))
+        Some(RecordChange::Upsert(LocationRecord { key, class, trunk_group, since_ms }))
     }
 
     /// Rows were lost on the way from the front: all that it has follow, and what went meanwhile the site sweeps out
@@ -99,7 +99,7 @@
     let mut changed = agent.rows_changed.subscribe();
     loop {
         changed.borrow_and_update();
-        let (first, batch): (u64, Vec<RowChange>) = {
+        let (first, batch): (u64, Vec<RecordChange>) = {
             let rows = agent.record_publisher.lock();
             (rows.done + 1, rows.waiting.iter().take(BATCH).cloned().collect())
         };
@@ -116,7 +116,7 @@
                 Counters::one(&agent.counters.written);
                 agent.record_publisher.lock().written(first, count);
             }
-            Ok(Response::Refused(Refusal::Malformed(why))) => {
+            Ok(Response::Rejected(RejectReason::Malformed(why))) => {
                 // It would be refused for ever: one by one, so that only what is wrong is lost.
                 tracing::error!(why, "a row refused");
                 agent.record_publisher.lock().written(first, 1);
--- a/crates/lilacpitch-edge/src/net/driver.rs
+++ b/crates/lilacpitch-edge/src/net/driver.rs
@@ -64,7 +64,7 @@
     ready: impl FnOnce(Ready),
     stop: impl std::future::Future<Output = ()>,
 ) -> Result<(), RunError> {
-    run_with(settings, guards, lilacpitch_fleet::Guards::default(), ready, stop).await
+    run_with(settings, guards, lilacpitch_fleet::Safeguards::default(), ready, stop).await
 }
 
 /// With guards of the fleet's promises switched off too: for the laboratory.
@@ -72,7 +72,7 @@
 pub async fn run_with(
     settings: Edge,
     guards: Guards,
-    promises: lilacpitch_fleet::Guards,
+    promises: lilacpitch_fleet::Safeguards,
     ready: impl FnOnce(Ready),
     stop: impl std::future::Future<Output = ()>,
 ) -> Result<(), RunError> {
--- a/crates/lilacpitch-fleet/src/ack_aggregator.rs
+++ b/crates/lilacpitch-fleet/src/ack_aggregator.rs
@@ -4,10 +4,12 @@
 //! a holder of the one above and grants no longer than its own lease runs. What a child acknowledged counts for that
 //! life of it; a life is out once its lease has surely run out, be it dead, cut off, or superseded by a later one.
 
-use crate::lease::Terms;
-use crate::log_tail::Window;
-use crate::message::{Order, Position, Refusal, Response, What, MAX_NAMES, MAX_ORDERS};
-use crate::{Guards, Nanos};
+use crate::lease::LeaseTerms;
+use crate::log_tail::LogTail;
+use crate::message::{
+    CommandAction, FleetCommand, LogPosition, RejectReason, Response, MAX_COMMANDS, MAX_NAMES,
+};
+use crate::{Nanos, Safeguards};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 /// Children whose lives are over are forgotten this long after their leases.
@@ -19,15 +21,15 @@
     /// Its name.
     pub name: String,
     /// That life, in nanoseconds since 1970.
-    pub life: u64,
+    pub incarnation: u64,
 }
 
 #[derive(Debug, Clone)]
 struct Child {
     /// A front answers for itself, a process for all below it.
     is_front: bool,
-    applied: Position,
-    sum: Position,
+    applied: LogPosition,
+    sum: LogPosition,
     /// Its lease has surely run out from then on.
     in_until_ns: Nanos,
     /// When it last asked for one.
@@ -40,9 +42,9 @@
 
 /// How far purges are below a process.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Sum {
+pub struct AggregatedAck {
     /// All below have acknowledged up to here, or are out.
-    pub upto: Position,
+    pub acknowledged: LogPosition,
     /// Some who have not acknowledged all there is.
     pub missing: Vec<String>,
     /// How many have not.
@@ -52,37 +54,37 @@
 /// The children of a process and what they have acknowledged.
 #[derive(Debug, Clone)]
 pub struct AckAggregator {
-    terms: Terms,
-    guards: Guards,
-    window: Window,
+    terms: LeaseTerms,
+    guards: Safeguards,
+    window: LogTail,
     /// When orders came here, newest last: those of the last straggler span.
     came: VecDeque<(u64, Nanos)>,
     children: BTreeMap<ChildId, Child>,
     own_until_ns: Nanos,
-    own_needs: Position,
+    own_needs: LogPosition,
     /// Until then holders of a former origin may be unknown here.
     quiet_until_ns: Nanos,
     complete: u64,
 }
 
-impl Relay {
+impl AckAggregator {
     /// Without children, orders or a lease.
-    pub fn new(terms: Terms, guards: Guards) -> Self {
+    pub fn new(terms: LeaseTerms, guards: Safeguards) -> Self {
         AckAggregator {
             terms,
             guards,
-            window: Window::default(),
+            window: LogTail::default(),
             came: VecDeque::new(),
             children: BTreeMap::new(),
             own_until_ns: 0,
-            own_needs: Position::default(),
+            own_needs: LogPosition::default(),
             quiet_until_ns: 0,
             complete: 0,
         }
     }
 
     /// The last order here.
-    pub fn position(&self) -> Position {
+    pub fn position(&self) -> LogPosition {
         self.window.position()
     }
 
@@ -92,7 +94,7 @@
     }
 
     /// This process may grant until then, once it has applied everything up to a position.
-    pub fn may_grant(&mut self, until_ns: Nanos, needs: Position) {
+    pub fn may_grant(&mut self, until_ns: Nanos, needs: LogPosition) {
         (self.own_until_ns, self.own_needs) = (until_ns, needs);
     }
 
@@ -104,7 +106,7 @@
     }
 
     /// All orders up to there are taken from elsewhere at once.
-    pub fn reset(&mut self, window: Window) {
+    pub fn reset(&mut self, window: LogTail) {
         if window.position().log != self.window.position().log {
             self.complete = 0;
         }
@@ -113,10 +115,10 @@
     }
 
     /// The next order is there.
-    pub fn ordered(&mut self, now: Nanos, what: What) -> Position {
+    pub fn ordered(&mut self, now: Nanos, what: CommandAction) -> LogPosition {
         let position = self.window.append(what);
-        self.came.push_back((position.order, now));
-        while self.came.front().is_some_and(|(_, at)| now.saturating_sub(*at) > 2 * self.terms.straggler_ns) {
+        self.came.push_back((position.index, now));
+        while self.came.front().is_some_and(|(_, at)| now.saturating_sub(*at) > 2 * self.terms.lagging_after_ns) {
             self.came.pop_front();
         }
         position
@@ -124,13 +126,13 @@
 
     /// The last order that is old enough for everybody to have applied it.
     fn due(&self, now: Nanos) -> u64 {
-        let young = self.came.iter().find(|(_, at)| now.saturating_sub(*at) <= self.terms.straggler_ns);
-        young.map_or(self.position().order, |(order, _)| order - 1)
+        let young = self.came.iter().find(|(_, at)| now.saturating_sub(*at) <= self.terms.lagging_after_ns);
+        young.map_or(self.position().index, |(order, _)| order - 1)
     }
 
     /// Whether this process may grant at all now.
     fn has_lease(&self, now: Nanos) -> bool {
-        now < self.own_until_ns && self.position().reaches(self.own_needs)
+        now < self.own_until_ns && self.position().includes(self.own_needs)
     }
 
     /// A child asks for its lease.
@@ -139,33 +141,34 @@
         now: Nanos,
         who: &ChildId,
         is_front: bool,
-        applied: Option<Position>,
+        applied: Option<LogPosition>,
         register: u64,
     ) -> Response {
         if self.is_superseded(who) {
-            return Response::Refused(Refusal::Superseded);
+            return Response::Rejected(RejectReason::Superseded);
         }
         let position = self.position();
         if let Some(child) = self.children.get_mut(who) {
             child.heard_ns = now;
         }
         if !self.has_lease(now) {
-            return Response::Refused(Refusal::NoLease);
+            return Response::Rejected(RejectReason::NoLease);
         }
-        let fresh = Response::Fresh { position, withdrawn: self.withdrawn().iter().copied().collect() };
+        let fresh =
+            Response::ResetRequired { position, withdrawn: self.withdrawn().iter().copied().collect() };
         let Some(applied) = applied.filter(|applied| applied.log == position.log) else { return fresh };
-        if applied.order > position.order {
-            return Response::Refused(Refusal::Ahead);
+        if applied.index > position.index {
+            return Response::Rejected(RejectReason::Ahead);
         }
-        let Some(orders) = self.window.after(applied.order, MAX_ORDERS) else { return fresh };
-        let straggles = self.guards.stragglers && applied.order < self.due(now);
+        let Some(orders) = self.window.after(applied.index, MAX_COMMANDS) else { return fresh };
+        let straggles = self.guards.lagging_holders && applied.index < self.due(now);
         let for_ns =
             if straggles { 0 } else { self.terms.lease_ns.min(self.own_until_ns.saturating_sub(now)) };
         let in_until_ns = now + self.terms.outlasts(for_ns);
         let child = self.children.entry(who.clone()).or_insert_with(|| Child {
             is_front,
             applied,
-            sum: Position::default(),
+            sum: LogPosition::default(),
             in_until_ns: 0,
             heard_ns: now,
             straggles,
@@ -178,25 +181,25 @@
         if for_ns > 0 {
             child.in_until_ns = child.in_until_ns.max(in_until_ns);
         }
-        Response::Granted { for_ns, position, orders, register }
+        Response::LeaseGranted { for_ns, position, orders, store_id: register }
     }
 
     fn is_superseded(&self, who: &ChildId) -> bool {
-        let after = ChildId { name: who.name.clone(), life: who.life.saturating_add(1) };
+        let after = ChildId { name: who.name.clone(), incarnation: who.incarnation.saturating_add(1) };
         self.children.range(after..).next().is_some_and(|(id, _)| id.name == who.name)
     }
 
     /// A child has applied orders up to there.
-    pub fn applied(&mut self, who: &ChildId, upto: Position) {
+    pub fn applied(&mut self, who: &ChildId, upto: LogPosition) {
         if let Some(child) = self.children.get_mut(who).filter(|_| upto.log == self.window.position().log) {
             child.applied = upto;
         }
     }
 
     /// A relay below says how far all below it are.
-    pub fn summed(&mut self, who: &ChildId, sum: Sum) {
+    pub fn summed(&mut self, who: &ChildId, sum: AggregatedAck) {
         if let Some(child) = self.children.get_mut(who) {
-            child.sum = sum.upto;
+            child.sum = sum.acknowledged;
             child.missing = sum.missing;
             child.missing_count = sum.missing_count;
         }
@@ -212,11 +215,11 @@
     pub fn takes_from(&self, now: Nanos, who: &ChildId) -> bool {
         let span_ns = self.terms.outlasts(self.terms.lease_ns);
         let heard = |child: &Child| now < child.heard_ns + span_ns && !child.straggles;
-        (self.children.get(who).is_some_and(heard) && !self.is_superseded(who)) || !self.guards.fences
+        (self.children.get(who).is_some_and(heard) && !self.is_superseded(who)) || !self.guards.write_fencing
     }
 
     /// Children that may still have a lease, with what each has applied.
-    pub fn children(&self, now: Nanos) -> impl Iterator<Item = (&ChildId, Position)> {
+    pub fn children(&self, now: Nanos) -> impl Iterator<Item = (&ChildId, LogPosition)> {
         self.children.iter().filter(move |(_, child)| now < child.in_until_ns).map(|(id, c)| (id, c.applied))
     }
 
@@ -227,29 +230,29 @@
     }
 
     /// What a child has applied, and some of what it lacks; `None`: it is not known here.
-    pub fn lacks(&self, who: &ChildId) -> Option<(Position, Vec<Order>)> {
+    pub fn lacks(&self, who: &ChildId) -> Option<(LogPosition, Vec<FleetCommand>)> {
         let applied = self.children.get(who)?.applied;
         Some((applied, self.missing_orders(applied)))
     }
 
     /// Up to so many of the orders that a child lacks.
-    fn missing_orders(&self, applied: Position) -> Vec<Order> {
+    fn missing_orders(&self, applied: LogPosition) -> Vec<FleetCommand> {
         let same = applied.log == self.position().log;
-        self.window.after(applied.order, MAX_ORDERS).filter(|_| same).unwrap_or_default()
+        self.window.after(applied.index, MAX_COMMANDS).filter(|_| same).unwrap_or_default()
     }
 
     /// How far purges are below, now.
-    pub fn sum(&mut self, now: Nanos) -> Sum {
+    pub fn sum(&mut self, now: Nanos) -> AggregatedAck {
         let position = self.position();
         let over =
             |child: &Child| now.saturating_sub(child.in_until_ns) > FORGET_NS && now > child.in_until_ns;
         self.children.retain(|_, child| !over(child));
-        let (mut upto, mut missing, mut missing_count) = (position.order, Vec::new(), 0);
+        let (mut upto, mut missing, mut missing_count) = (position.index, Vec::new(), 0);
         let counted = self.children.iter().filter(|(_, child)| now < child.in_until_ns);
         for (id, child) in counted.filter(|_| self.guards.acknowledgements) {
             let acked = if child.is_front { child.applied } else { child.sum };
-            let acked = if acked.log == position.log { acked.order } else { 0 };
-            if acked < position.order {
+            let acked = if acked.log == position.log { acked.index } else { 0 };
+            if acked < position.index {
                 upto = upto.min(acked);
                 let below = child.missing_count > 0;
                 missing_count += if below { child.missing_count } else { 1 };
@@ -263,12 +266,12 @@
         missing.truncate(MAX_NAMES);
         if now < self.quiet_until_ns {
             upto = upto.min(self.complete);
-            if missing.is_empty() && self.complete < position.order {
+            if missing.is_empty() && self.complete < position.index {
                 (missing, missing_count) = (vec!["holders of a former leader".into()], 1);
             }
         }
         self.complete = self.complete.max(upto);
-        Sum { upto: Position { order: self.complete, ..position }, missing, missing_count }
+        AggregatedAck { acknowledged: LogPosition { index: self.complete, ..position }, missing, missing_count }
     }
 
     /// When a lease runs out next that a sum may wait for.
--- a/crates/lilacpitch-fleet/src/audit.rs
+++ b/crates/lilacpitch-fleet/src/audit.rs
@@ -1,7 +1,7 @@
 //! Who acted on which version, and when: recorded by each front for itself, kept at the site, bounded.
 
 use crate::error::AuditError;
-use crate::message::Position;
+use crate::message::LogPosition;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, VecDeque};
 
@@ -23,7 +23,7 @@
     /// Digest of its settings.
     pub settings: u64,
     /// Digest of the pool list that it follows.
-    pub list: u64,
+    pub endpoint_list: u64,
     /// Its build.
     pub build: String,
     /// Cached answers are used.
@@ -42,18 +42,18 @@
     /// The version.
     pub version: Version,
     /// The purge position at that moment,
-    pub position: Position,
+    pub position: LogPosition,
     /// and the one it had moved on to before the next change.
     pub moved_to: u64,
 }
 
 /// What a front says of itself.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Record {
+pub struct AuditRecord {
     /// The front.
     pub front: String,
     /// Its life, in nanoseconds since 1970.
-    pub life: u64,
+    pub incarnation: u64,
     /// Until when it lived at least, in milliseconds since 1970.
     pub seen_ms: u64,
     /// Changes, in their order.
@@ -62,9 +62,9 @@
 
 /// A front's own record.
 #[derive(Debug)]
-pub struct Recorder {
+pub struct AuditRecorder {
     front: String,
-    life: u64,
+    incarnation: u64,
     serial: u64,
     waiting: VecDeque<Change>,
     /// What is in force, also after it was taken above.
@@ -73,30 +73,30 @@
     joined: u64,
 }
 
-impl Recorder {
+impl AuditRecorder {
     /// Of a front's life.
     pub fn new(front: &str, life: u64) -> Self {
-        Recorder { front: front.into(), life, serial: 0, waiting: VecDeque::new(), last: None, joined: 0 }
+        AuditRecorder { front: front.into(), incarnation: life, serial: 0, waiting: VecDeque::new(), last: None, joined: 0 }
     }
 
     /// What it acts on now; nothing is noted where nothing has changed.
-    pub fn note(&mut self, at_ms: u64, version: Version, position: Position) {
+    pub fn note(&mut self, at_ms: u64, version: Version, position: LogPosition) {
         if let Some(last) = &mut self.last {
             if last.version == version && last.position.log == position.log {
-                if last.moved_to == position.order {
+                if last.moved_to == position.index {
                     return;
                 }
                 let close = at_ms.saturating_sub(last.at_ms) < JOINED_MS;
                 if let Some(open) = self.waiting.back_mut().filter(|open| close && open.serial == last.serial)
                 {
-                    open.moved_to = position.order;
-                    last.moved_to = position.order;
+                    open.moved_to = position.index;
+                    last.moved_to = position.index;
                     return;
                 }
             }
         }
         self.serial += 1;
-        let change = Change { serial: self.serial, at_ms, version, position, moved_to: position.order };
+        let change = Change { serial: self.serial, at_ms, version, position, moved_to: position.index };
         self.last = Some(change.clone());
         self.waiting.push_back(change);
         if self.waiting.len() > KEPT_HERE {
@@ -121,13 +121,13 @@
     }
 
     /// What is to be sent above. The last change stays open while its position may still move within it.
-    pub fn record(&self, now_ms: u64) -> Record {
+    pub fn record(&self, now_ms: u64) -> AuditRecord {
         let changes = self.waiting.iter().take(MAX_CHANGES).cloned().collect();
-        Record { front: self.front.clone(), life: self.life, seen_ms: now_ms, changes }
+        AuditRecord { front: self.front.clone(), incarnation: self.incarnation, seen_ms: now_ms, changes }
     }
 
     /// It was taken above, up to there.
-    pub fn taken(&mut self, record: &Record) {
+    pub fn taken(&mut self, record: &AuditRecord) {
         for sent in &record.changes {
             // One that moved on since it was sent is sent again.
             if self.waiting.front().is_some_and(|first| first == sent) {
@@ -157,7 +157,7 @@
     /// The version, by its place in the ledger.
     version: u32,
     /// The purge position at its begin,
-    pub position: Position,
+    pub position: LogPosition,
     /// and at its end.
     pub moved_to: u64,
 }
@@ -170,11 +170,11 @@
 
 /// What a front acted on at a moment.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Acted<'a> {
+pub struct ActiveVersion<'a> {
     /// The front.
     pub front: &'a str,
     /// Its life.
-    pub life: u64,
+    pub incarnation: u64,
     /// On this,
     pub version: &'a Version,
     /// in this span.
@@ -185,22 +185,22 @@
 
 /// The audit of a site: spans by front and life.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Ledger {
+pub struct AuditLog {
     lives: BTreeMap<(String, u64), Life>,
     /// Each once, in the order they were met.
     versions: Vec<Version>,
 }
 
-impl Ledger {
+impl AuditLog {
     /// Takes what a front says. What is known already is passed over; an error takes nothing.
-    pub fn take(&mut self, record: Record) -> Result<(), AuditError> {
+    pub fn take(&mut self, record: AuditRecord) -> Result<(), AuditError> {
         if record.changes.len() > MAX_CHANGES {
             return Err(AuditError::Long(record.changes.len()));
         }
         if let Some(pair) = record.changes.windows(2).find(|pair| pair[0].serial >= pair[1].serial) {
             return Err(AuditError::Order { found: pair[1].serial, known: pair[0].serial });
         }
-        let key = (record.front, record.life);
+        let key = (record.front, record.incarnation);
         if !self.lives.contains_key(&key) && self.lives.len() >= KEPT_LIVES {
             let oldest = self.lives.iter().min_by_key(|(_, life)| life.seen_ms).map(|(key, _)| key.clone());
             oldest.and_then(|oldest| self.lives.remove(&oldest));
@@ -245,13 +245,13 @@
         self.versions = kept;
     }
 
-    fn acted<'a>(&'a self, (front, life): &'a (String, u64), span: &'a Span, seen_ms: u64) -> Acted<'a> {
-        Acted { front, life: *life, version: &self.versions[span.version as usize], span, seen_ms }
+    fn acted<'a>(&'a self, (front, life): &'a (String, u64), span: &'a Span, seen_ms: u64) -> ActiveVersion<'a> {
+        ActiveVersion { front, incarnation: *life, version: &self.versions[span.version as usize], span, seen_ms }
     }
 
     /// What each front acted on at a moment, as far as it has said; a life that is not known to have lasted until
     /// then is left out.
-    pub fn at(&self, moment_ms: u64) -> impl Iterator<Item = Acted<'_>> {
+    pub fn at(&self, moment_ms: u64) -> impl Iterator<Item = ActiveVersion<'_>> {
         self.lives.iter().filter_map(move |(key, of)| {
             let after = of.spans.partition_point(|span| span.from_ms <= moment_ms);
             let span = after.checked_sub(1).and_then(|at| of.spans.get(at))?;
@@ -261,7 +261,7 @@
     }
 
     /// What each life acted on last.
-    pub fn last(&self) -> impl Iterator<Item = Acted<'_>> {
+    pub fn last(&self) -> impl Iterator<Item = ActiveVersion<'_>> {
         self.lives.iter().filter_map(|(key, of)| Some(self.acted(key, of.spans.back()?, of.seen_ms)))
     }
 }
--- a/crates/lilacpitch-fleet/src/cache.rs
+++ b/crates/lilacpitch-fleet/src/cache.rs
@@ -1,10 +1,10 @@
 //! Answers about numbers, in shards under their own locks. A purge takes out what it withdraws, and what was read
 //! before it never comes in after it.
 
-use crate::locate::Answer;
-use crate::message::{Order, Scope, What};
+use crate::locate::LocateAnswer;
+use crate::message::{CommandAction, FleetCommand, PurgeScope};
 use crate::sync::Mutex;
-use crate::{Guards, Nanos};
+use crate::{Nanos, Safeguards};
 use lilacpitch_location::summary::shard_of;
 use lilacpitch_location::Number;
 use std::collections::{HashMap, VecDeque};
@@ -15,36 +15,36 @@
 
 #[derive(Debug, Default)]
 struct Shard {
-    entries: HashMap<Number, Answer>,
+    entries: HashMap<Number, LocateAnswer>,
     /// Numbers in the order they came in: the oldest make room.
     order: VecDeque<Number>,
 }
 
 #[derive(Debug, Default)]
 struct Recent {
-    scopes: VecDeque<(Nanos, Scope)>,
+    scopes: VecDeque<(Nanos, PurgeScope)>,
     /// What was read before this may have been withdrawn by something that is no longer listed.
     known_from_ns: Nanos,
 }
 
 impl Recent {
-    fn withdrawn_since(&self, read_from_ns: Nanos, number: &Number, answer: &Answer) -> bool {
+    fn withdrawn_since(&self, read_from_ns: Nanos, number: &Number, answer: &LocateAnswer) -> bool {
         // A purge of the very moment of reading counts as after it.
-        let since = |(at, _): &&(Nanos, Scope)| *at >= read_from_ns;
+        let since = |(at, _): &&(Nanos, PurgeScope)| *at >= read_from_ns;
         read_from_ns < self.known_from_ns
             || self.scopes.iter().rev().take_while(since).any(|(_, scope)| withdraws(scope, number, answer))
     }
 }
 
 /// Whether a purge withdraws an answer.
-fn withdraws(scope: &Scope, number: &Number, answer: &Answer) -> bool {
+fn withdraws(scope: &PurgeScope, number: &Number, answer: &LocateAnswer) -> bool {
     match scope {
-        Scope::Number(one) => one == number,
-        Scope::Prefix(prefix) => number.as_str().starts_with(prefix.as_str()),
-        Scope::Holder(name) => {
-            answer.rows.iter().any(|r| r.key.owner.name == *name || r.key.owner.front == *name)
+        PurgeScope::Number(one) => one == number,
+        PurgeScope::Prefix(prefix) => number.as_str().starts_with(prefix.as_str()),
+        PurgeScope::Owner(name) => {
+            answer.records.iter().any(|r| r.key.owner.name == *name || r.key.owner.front == *name)
         }
-        Scope::All => true,
+        PurgeScope::All => true,
     }
 }
 
@@ -54,12 +54,12 @@
     shards: Box<[Mutex<Shard>]>,
     recent: Mutex<Recent>,
     most_a_shard: usize,
-    guards: Guards,
+    guards: Safeguards,
 }
 
 impl Cache {
     /// For up to about so many numbers.
-    pub fn new(most: usize, guards: Guards) -> Self {
+    pub fn new(most: usize, guards: Safeguards) -> Self {
         let shards = (0..SHARDS).map(|_| Mutex::default()).collect();
         Cache { shards, recent: Mutex::default(), most_a_shard: most.div_ceil(SHARDS).max(1), guards }
     }
@@ -69,19 +69,19 @@
     }
 
     /// What is cached of a number. Whoever uses it judges the lease after this and before it answers.
-    pub fn get(&self, number: &Number) -> Option<Answer> {
+    pub fn get(&self, number: &Number) -> Option<LocateAnswer> {
         self.shard(number).lock().entries.get(number).cloned()
     }
 
     /// Enters an answer that was read from `read_from_ns` on, unless something withdrew it since. Whether it did.
-    pub fn fill(&self, read_from_ns: Nanos, number: &Number, answer: &Answer) -> bool {
+    pub fn fill(&self, read_from_ns: Nanos, number: &Number, answer: &LocateAnswer) -> bool {
         let mut shard = self.shard(number).lock();
         // Under the shard's lock: an order that is listed after this look finds the entry in the shard.
         let withdrawn = self.recent.lock().withdrawn_since(read_from_ns, number, answer);
-        if withdrawn && self.guards.refills {
+        if withdrawn && self.guards.stale_fills {
             return false;
         }
-        let kept = Answer { cached: true, ..answer.clone() };
+        let kept = LocateAnswer { is_cached: true, ..answer.clone() };
         if shard.entries.insert(number.clone(), kept).is_none() {
             shard.order.push_back(number.clone());
         }
@@ -93,8 +93,8 @@
     }
 
     /// Applies an order: when this returns, nothing that it withdraws is served or filled.
-    pub fn apply(&self, now: Nanos, order: &Order) {
-        let What::Purge(scopes) = &order.what else { return };
+    pub fn apply(&self, now: Nanos, order: &FleetCommand) {
+        let CommandAction::Purge(scopes) = &order.what else { return };
         {
             let mut recent = self.recent.lock();
             recent.scopes.extend(scopes.iter().map(|scope| (now, scope.clone())));
@@ -103,16 +103,17 @@
             }
         }
         let numbers = scopes.iter().filter_map(|scope| match scope {
-            Scope::Number(number) => Some(number),
+            PurgeScope::Number(number) => Some(number),
             _ => None,
         });
         numbers.for_each(|number| drop(self.shard(number).lock().entries.remove(number)));
-        let wide: Vec<&Scope> = scopes.iter().filter(|scope| !matches!(scope, Scope::Number(_))).collect();
+        let wide: Vec<&PurgeScope> =
+            scopes.iter().filter(|scope| !matches!(scope, PurgeScope::Number(_))).collect();
         if wide.is_empty() {
             return;
         }
         for shard in &self.shards {
-            let out = |n: &Number, answer: &Answer| wide.iter().any(|scope| withdraws(scope, n, answer));
+            let out = |n: &Number, answer: &LocateAnswer| wide.iter().any(|scope| withdraws(scope, n, answer));
             shard.lock().entries.retain(|number, answer| !out(number, answer));
         }
     }
--- a/crates/lilacpitch-fleet/src/catalogue.rs
+++ b/crates/lilacpitch-fleet/src/catalogue.rs
@@ -1,20 +1,20 @@
 //! Summaries of sites as a process has them, and which sites could hold what is asked for.
 
-use crate::lease::Terms;
-use crate::message::{Known, Pending, Position, SiteNews};
-use crate::{Guards, Nanos};
+use crate::lease::LeaseTerms;
+use crate::message::{KnownSummary, LogPosition, PendingPurges, SiteSummaryUpdate};
+use crate::{Nanos, Safeguards};
 use lilacpitch_location::summary::{fingerprint, shard_of};
 use lilacpitch_location::{LocationError, Query, QueryTarget, ShardSummary, ShardUpdate};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Bytes of news in one answer; the rest is asked for again.
-pub const NEWS_BYTES: usize = 1 << 20;
+pub const MAX_UPDATE_BYTES: usize = 1 << 20;
 /// Most shards that a site may say it has.
 const MAX_SHARDS: u32 = 1 << 16;
 
 /// What a summary says of a question.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Verdict {
+pub enum SiteVerdict {
     /// Nothing there, by this version as of then.
     RuledOut {
         /// The life of the process whose versions these are.
@@ -39,7 +39,7 @@
     as_of_ns: Option<Nanos>,
     pending: BTreeSet<u64>,
     many_pending: bool,
-    ordered: Position,
+    ordered: LogPosition,
     lacks: bool,
 }
 
@@ -47,8 +47,8 @@
 #[derive(Debug)]
 pub struct Catalogue {
     settle_ns: Nanos,
-    terms: Terms,
-    guards: Guards,
+    terms: LeaseTerms,
+    guards: Safeguards,
     sites: BTreeMap<String, Summary>,
 }
 
@@ -57,20 +57,20 @@
     pub fn new<'a>(
         sites: impl IntoIterator<Item = &'a str>,
         settle_ns: Nanos,
-        terms: Terms,
-        guards: Guards,
+        terms: LeaseTerms,
+        guards: Safeguards,
     ) -> Self {
         let sites = sites.into_iter().map(|name| (name.to_string(), Summary::default())).collect();
         Catalogue { settle_ns, terms, guards, sites }
     }
 
     fn fresh(&self, summary: &Summary, now: Nanos) -> Option<Nanos> {
-        let young = |at: &Nanos| now.saturating_sub(*at) <= self.settle_ns || !self.guards.ages;
+        let young = |at: &Nanos| now.saturating_sub(*at) <= self.settle_ns || !self.guards.summary_age;
         summary.as_of_ns.filter(young)
     }
 
     /// What each site's summary says of a question.
-    pub fn judge<'a>(&'a self, now: Nanos, query: &'a Query) -> impl Iterator<Item = (&'a str, Verdict)> {
+    pub fn candidates<'a>(&'a self, now: Nanos, query: &'a Query) -> impl Iterator<Item = (&'a str, SiteVerdict)> {
         let hash = match &query.target {
             QueryTarget::Number(number) => Some(number.hash64()),
             // A summary knows whole numbers only.
@@ -80,14 +80,14 @@
             let verdict = match (self.fresh(summary, now), hash) {
                 (Some(as_of_ns), Some(hash)) => {
                     let shard = &summary.shards[shard_of(hash, summary.shards.len())];
-                    let out = Verdict::RuledOut { life: summary.life, total: summary.total, as_of_ns };
+                    let out = SiteVerdict::RuledOut { life: summary.life, total: summary.total, as_of_ns };
                     if shard.may_contain(fingerprint(hash)) {
-                        Verdict::Could
+                        SiteVerdict::Could
                     } else {
                         out
                     }
                 }
-                _ => Verdict::Unknown,
+                _ => SiteVerdict::Unknown,
             };
             (site.as_str(), verdict)
         })
@@ -95,9 +95,9 @@
 
     /// Whether what was cached of a number, by a holder that has applied orders up to `applied`, is still what the
     /// sites would say: every summary is fresh, and all that changed has been ordered and applied.
-    pub fn bears_out(&self, now: Nanos, hash: u64, applied: Position) -> bool {
+    pub fn bears_out(&self, now: Nanos, hash: u64, applied: LogPosition) -> bool {
         self.sites.values().all(|summary| {
-            let ordered = summary.ordered.order == 0 || applied.reaches(summary.ordered);
+            let ordered = summary.ordered.index == 0 || applied.includes(summary.ordered);
             let pending = summary.many_pending || summary.pending.contains(&hash);
             self.fresh(summary, now).is_some() && ordered && !pending
         })
@@ -110,10 +110,10 @@
     }
 
     /// What to ask for news with.
-    pub fn known(&self) -> Vec<Known> {
-        let known = |(site, summary): (&String, &Summary)| Known {
+    pub fn known(&self) -> Vec<KnownSummary> {
+        let known = |(site, summary): (&String, &Summary)| KnownSummary {
             site: site.clone(),
-            life: summary.life,
+            incarnation: summary.life,
             shards: match summary.lacks {
                 true => summary.shards.iter().map(ShardSummary::version).collect(),
                 false => Vec::new(),
@@ -125,13 +125,13 @@
 
     /// Takes an answer to a question that was asked at `asked_ns`; whether more is to be asked for at once. News that
     /// does not read costs that site its summary until the next, and nothing else.
-    pub fn take(&mut self, asked_ns: Nanos, all: Vec<SiteNews>) -> (bool, Vec<LocationError>) {
+    pub fn take(&mut self, asked_ns: Nanos, all: Vec<SiteSummaryUpdate>) -> (bool, Vec<LocationError>) {
         let (mut more, mut wrong) = (false, Vec::new());
         for news in all {
             let Some(summary) = self.sites.get_mut(&news.site) else { continue };
             // Each process of a site numbers its versions for itself: one is kept to while it is heard.
             let heard = |at: Nanos| asked_ns.saturating_sub(at) <= self.settle_ns / 2;
-            if summary.life != news.life && summary.as_of_ns.is_some_and(heard) {
+            if summary.life != news.incarnation && summary.as_of_ns.is_some_and(heard) {
                 continue;
             }
             // Its age was measured by a clock that may be slower than this one.
@@ -148,8 +148,13 @@
     }
 
     /// What another process lacks of these summaries, but for those that `skip` names.
-    pub fn news(&self, now: Nanos, known: &[Known], skip: impl Fn(&str) -> bool) -> Vec<SiteNews> {
-        let mut room = NEWS_BYTES;
+    pub fn news(
+        &self,
+        now: Nanos,
+        known: &[KnownSummary],
+        skip: impl Fn(&str) -> bool,
+    ) -> Vec<SiteSummaryUpdate> {
+        let mut room = MAX_UPDATE_BYTES;
         let mut all = Vec::new();
         for known in known.iter().filter(|known| !skip(&known.site)) {
             let Some(summary) = self.sites.get(&known.site) else { continue };
@@ -157,19 +162,19 @@
             let shard = |at: usize, version| summary.shards[at].since(at as u32, Some(version));
             let (life, total, shards) = (summary.life, summary.total, summary.shards.len());
             let (news, total, more) = news_of(known, life, total, shards, &mut room, shard);
-            all.push(SiteNews {
+            all.push(SiteSummaryUpdate {
                 site: known.site.clone(),
-                life: summary.life,
+                incarnation: summary.life,
                 shards: summary.shards.len() as u32,
                 total,
                 age_ns: now.saturating_sub(as_of_ns),
                 pending: match summary.many_pending {
-                    true => Pending::Many,
-                    false => Pending::Some(summary.pending.iter().copied().collect()),
+                    true => PendingPurges::Many,
+                    false => PendingPurges::Some(summary.pending.iter().copied().collect()),
                 },
                 ordered: summary.ordered,
-                news,
-                more,
+                shard_updates: news,
+                has_more: more,
             });
         }
         all
@@ -179,17 +184,17 @@
 /// What is new of a site's shards for one that knows so much, within the room that is left: the news, the sum of the
 /// versions that it has once it has taken them, and whether there is more.
 pub fn news_of(
-    known: &Known,
+    known: &KnownSummary,
     life: u64,
     total: u64,
     shards: usize,
     room: &mut usize,
     mut since: impl FnMut(usize, u64) -> Option<ShardUpdate>,
 ) -> (Vec<ShardUpdate>, u64, bool) {
-    if known.life == life && known.total == total {
+    if known.incarnation == life && known.total == total {
         return (Vec::new(), total, false);
     }
-    if known.life != life || known.shards.len() != shards {
+    if known.incarnation != life || known.shards.len() != shards {
         return (Vec::new(), total, true);
     }
     let (mut news, mut sum) = (Vec::new(), 0);
@@ -209,15 +214,15 @@
 }
 
 /// Takes one site's news; whether it lacks something.
-fn take(summary: &mut Summary, as_of_ns: Nanos, news: SiteNews) -> Result<bool, LocationError> {
+fn take(summary: &mut Summary, as_of_ns: Nanos, news: SiteSummaryUpdate) -> Result<bool, LocationError> {
     if news.shards == 0 || news.shards > MAX_SHARDS {
         return Err(LocationError::Shards(news.shards as usize));
     }
-    if summary.life != news.life || summary.shards.len() != news.shards as usize {
+    if summary.life != news.incarnation || summary.shards.len() != news.shards as usize {
         let shards = vec![ShardSummary::default(); news.shards as usize];
-        *summary = Summary { life: news.life, shards, ..Summary::default() };
+        *summary = Summary { life: news.incarnation, shards, ..Summary::default() };
     }
-    for one in &news.news {
+    for one in &news.shard_updates {
         let what = "a shard that the site does not have";
         let shard = summary.shards.get_mut(one.shard as usize);
         shard.ok_or(LocationError::Summary { shard: one.shard, what })?.take(one)?;
@@ -231,8 +236,8 @@
             summary.as_of_ns = Some(as_of_ns);
             summary.ordered = news.ordered;
             (summary.pending, summary.many_pending) = match news.pending {
-                Pending::Some(some) => (some.into_iter().collect(), false),
-                Pending::Many => (BTreeSet::new(), true),
+                PendingPurges::Some(some) => (some.into_iter().collect(), false),
+                PendingPurges::Many => (BTreeSet::new(), true),
             };
         }
     }
--- a/crates/lilacpitch-fleet/src/concurrency_limit.rs
+++ b/crates/lilacpitch-fleet/src/concurrency_limit.rs
@@ -5,20 +5,20 @@
 
 /// Places for questions. Whoever enters leaves again.
 #[derive(Debug)]
-pub struct Room {
+pub struct ConcurrencyLimit {
     most: usize,
     calls: usize,
     searches: usize,
 }
 
-impl Room {
+impl ConcurrencyLimit {
     /// For so many questions at once.
     pub fn new(most: usize) -> Self {
-        Room { most: most.max(1), calls: 0, searches: 0 }
+        ConcurrencyLimit { most: most.max(1), calls: 0, searches: 0 }
     }
 
     /// A question wants in; `false`: there is no room, and its asker is told 'full'.
-    pub fn enter(&mut self, urgent: bool) -> bool {
+    pub fn try_acquire(&mut self, urgent: bool) -> bool {
         let searches_full = self.searches >= (self.most / SEARCH_SHARE).max(1);
         if self.calls + self.searches >= self.most || (!urgent && searches_full) {
             return false;
@@ -28,7 +28,7 @@
     }
 
     /// A question that was let in is done with.
-    pub fn leave(&mut self, urgent: bool) {
+    pub fn release(&mut self, urgent: bool) {
         let places = self.places(urgent);
         *places = places.saturating_sub(1);
     }
@@ -48,12 +48,12 @@
 
     #[test]
     fn searches_leave_room_for_calls() {
-        let mut room = Room::new(8);
-        assert_eq!((0..8).filter(|_| room.enter(false)).count(), 2);
-        assert_eq!((0..8).filter(|_| room.enter(true)).count(), 6);
-        room.leave(false);
-        assert!(room.enter(true) && !room.enter(false));
-        room.leave(true);
-        assert!(room.enter(false));
+        let mut room = ConcurrencyLimit::new(8);
+        assert_eq!((0..8).filter(|_| room.try_acquire(false)).count(), 2);
+        assert_eq!((0..8).filter(|_| room.try_acquire(true)).count(), 6);
+        room.release(false);
+        assert!(room.try_acquire(true) && !room.try_acquire(false));
+        room.release(true);
+        assert!(room.try_acquire(false));
     }
 }
--- a/crates/lilacpitch-fleet/src/disk_loss_recovery.rs
+++ b/crates/lilacpitch-fleet/src/disk_loss_recovery.rs
@@ -32,17 +32,17 @@
 
 /// What a process with a new disk has heard.
 #[derive(Debug, Clone)]
-pub struct Rejoin {
+pub struct DiskLossRecovery {
     processes: usize,
     /// By place; `None`: its disk was new as well when it was first heard. That stays: whoever takes part since then
     /// began while this process was there.
     heard: BTreeMap<usize, Option<LogVote>>,
 }
 
-impl Rejoin {
+impl DiskLossRecovery {
     /// Of a site of so many processes.
     pub fn new(processes: usize) -> Self {
-        Rejoin { processes, heard: BTreeMap::new() }
+        DiskLossRecovery { processes, heard: BTreeMap::new() }
     }
 
     /// How many others have to be heard.
@@ -78,8 +78,8 @@
 
     #[test]
     fn one_alone_begins_and_three_begin_once_all_were_heard() {
-        assert_eq!(Rejoin::new(1).verdict(), Verdict::Form);
-        let mut of_three = Rejoin::new(3);
+        assert_eq!(DiskLossRecovery::new(1).verdict(), Verdict::Form);
+        let mut of_three = DiskLossRecovery::new(3);
         of_three.heard(1, None);
         assert_eq!(of_three.verdict(), Verdict::Wait);
         of_three.heard(2, None);
@@ -88,18 +88,18 @@
 
     #[test]
     fn a_lost_disk_is_followed_by_the_latest_vote_of_all_who_may_know() {
-        let mut rejoin = Rejoin::new(3);
+        let mut rejoin = DiskLossRecovery::new(3);
         rejoin.heard(0, vote(4));
         assert_eq!(rejoin.verdict(), Verdict::Wait, "the other may know of a later one");
         rejoin.heard(2, vote(5));
         assert_eq!(rejoin.verdict(), Verdict::Follow(vote(5).unwrap()));
         // Of five three: any two of the four may have made up most with this one.
-        assert_eq!([2, 3, 4, 5].map(|n| Rejoin::new(n).needed()), [1, 2, 2, 3]);
+        assert_eq!([2, 3, 4, 5].map(|n| DiskLossRecovery::new(n).needed()), [1, 2, 2, 3]);
     }
 
     #[test]
     fn who_was_new_and_takes_part_since_began_meanwhile() {
-        let mut rejoin = Rejoin::new(3);
+        let mut rejoin = DiskLossRecovery::new(3);
         rejoin.heard(1, None);
         rejoin.heard(1, vote(1));
         rejoin.heard(2, None);
--- a/crates/lilacpitch-fleet/src/error.rs
+++ b/crates/lilacpitch-fleet/src/error.rs
@@ -1,6 +1,6 @@
 //! What can go wrong in the fleet: a type for each concern, each variant with what an operator can do.
 
-use crate::message::Refusal;
+use crate::message::RejectReason;
 use miette::Diagnostic;
 use thiserror::Error;
 
@@ -112,7 +112,7 @@
         code(locate::refused),
         help("the site is loaded or behind: see its metrics; give it processes or shards")
     )]
-    Refused(Refusal),
+    Refused(RejectReason),
     /// No process of the site answered in time.
     #[error("no answer in time")]
     #[diagnostic(code(locate::late), help("look at the site's processes and at the links to them"))]
--- a/crates/lilacpitch-fleet/src/frame.rs
+++ b/crates/lilacpitch-fleet/src/frame.rs
@@ -81,7 +81,7 @@
         self.counter += 1;
         match (&envelope.body, first) {
             (Body::Hello(hello), true) if hello.version != VERSION => Err(FrameError::Version(hello.version)),
-            (Body::Hello(_), true) | (Body::Ask(..) | Body::Answer(..), false) => Ok(envelope.body),
+            (Body::Hello(_), true) | (Body::Request(..) | Body::Answer(..), false) => Ok(envelope.body),
             _ => Err(FrameError::Malformed("not what comes first, or first again".into())),
         }
     }
--- a/crates/lilacpitch-fleet/src/lease.rs
+++ b/crates/lilacpitch-fleet/src/lease.rs
@@ -4,7 +4,7 @@
 //! from the moment of granting, longer by the allowance for clocks that run at different speeds. A relay grants no
 //! longer than its own lease still runs, so that who granted the relay's may count all below it out with it.
 
-use crate::message::Position;
+use crate::message::LogPosition;
 use crate::Nanos;
 
 /// What is agreed on leases in a fleet.
@@ -18,7 +18,7 @@
     pub lagging_after_ns: Nanos,
 }
 
-impl Terms {
+impl LeaseTerms {
     /// After how long, by any clock of the fleet, a span that was granted has surely run out by any other.
     pub fn outlasts(&self, span_ns: Nanos) -> Nanos {
         let a = self.clock_allowance;
@@ -32,5 +32,5 @@
     /// Until when, by the holder's clock.
     pub until_ns: Nanos,
     /// Only with everything up to here applied.
-    pub position: Position,
+    pub position: LogPosition,
 }
--- a/crates/lilacpitch-fleet/src/lease_holder.rs
+++ b/crates/lilacpitch-fleet/src/lease_holder.rs
@@ -2,15 +2,15 @@
 
 use crate::error::{LeaseError, PurgeError};
 use crate::lease::Lease;
-use crate::message::{Order, Position, Response, What};
+use crate::message::{CommandAction, FleetCommand, LogPosition, Response};
 use crate::Nanos;
 use std::collections::BTreeSet;
 
 /// What an answer of the process above means to a holder.
 #[derive(Debug, PartialEq, Eq)]
-pub enum Taken {
+pub enum LeaseUpdate {
     /// These orders are next, to be applied in turn.
-    Orders(Vec<Order>),
+    Orders(Vec<FleetCommand>),
     /// Everything cached is to be dropped; then ask again.
     Dropped,
     /// No lease this time.
@@ -19,21 +19,21 @@
 
 /// A holder's position, lease, and what is withdrawn. Whoever owns it applies what it hands out before it goes on.
 #[derive(Debug, Clone, Default)]
-pub struct Holder {
-    position: Option<Position>,
+pub struct LeaseHolder {
+    position: Option<LogPosition>,
     lease: Option<Lease>,
     withdrawn: BTreeSet<u64>,
     settings: u64,
 }
 
-impl Holder {
+impl LeaseHolder {
     /// A holder that acts on this settings version and has applied nothing.
     pub fn new(settings: u64) -> Self {
-        Holder { settings, ..Holder::default() }
+        LeaseHolder { settings, ..LeaseHolder::default() }
     }
 
     /// What to ask for a lease with.
-    pub fn position(&self) -> Option<Position> {
+    pub fn position(&self) -> Option<LogPosition> {
         self.position
     }
 
@@ -54,18 +54,18 @@
         }
         let lease = self.lease.filter(|lease| now < lease.until_ns).ok_or(LeaseError::Out)?;
         match self.position {
-            Some(position) if position.reaches(lease.position) => Ok(lease.until_ns),
+            Some(position) if position.includes(lease.position) => Ok(lease.until_ns),
             other => {
-                let applied = other.map_or(0, |position| position.order);
-                Err(LeaseError::Behind { needed: lease.position.order, applied })
+                let applied = other.map_or(0, |position| position.index);
+                Err(LeaseError::Behind { needed: lease.position.index, applied })
             }
         }
     }
 
     /// Takes the answer to a question for a lease that was asked at `asked_ns`.
-    pub fn answered(&mut self, asked_ns: Nanos, response: Response) -> Taken {
+    pub fn answered(&mut self, asked_ns: Nanos, response: Response) -> LeaseUpdate {
         match response {
-            Response::Granted { for_ns, position, orders, .. } => {
+            Response::LeaseGranted { for_ns, position, orders, .. } => {
                 let until_ns = asked_ns.saturating_add(for_ns);
                 // An answer that is overtaken by a later one takes nothing back.
                 if self
@@ -74,26 +74,26 @@
                 {
                     self.lease = Some(Lease { until_ns, position });
                 }
-                self.orders(position.log, orders).map_or(Taken::Nothing, Taken::Orders)
+                self.orders(position.log, orders).map_or(LeaseUpdate::Nothing, LeaseUpdate::Orders)
             }
-            Response::Fresh { position, withdrawn } => {
+            Response::ResetRequired { position, withdrawn } => {
                 self.position = Some(position);
                 self.lease = None;
                 self.withdrawn = withdrawn.into_iter().collect();
-                Taken::Dropped
+                LeaseUpdate::Dropped
             }
-            _ => Taken::Nothing,
+            _ => LeaseUpdate::Nothing,
         }
     }
 
     /// Which of these orders are next: those applied already are passed over, a gap is refused.
-    pub fn orders(&mut self, log: u64, orders: Vec<Order>) -> Result<Vec<Order>, PurgeError> {
+    pub fn orders(&mut self, log: u64, orders: Vec<FleetCommand>) -> Result<Vec<FleetCommand>, PurgeError> {
         let Some(position) = self.position else { return Err(PurgeError::Gap { found: 0, applied: 0 }) };
         if position.log != log {
             return Err(PurgeError::Log { found: log, ours: position.log });
         }
         let mut next = Vec::new();
-        let mut applied = position.order;
+        let mut applied = position.index;
         for order in orders {
             if order.number <= applied {
                 continue;
@@ -108,15 +108,15 @@
     }
 
     /// An order was applied by whoever owns this: all that it withdrew is gone.
-    pub fn applied(&mut self, order: &Order) {
+    pub fn applied(&mut self, order: &FleetCommand) {
         match &order.what {
-            What::Purge(_) => {}
-            What::Withdraw(version) => drop(self.withdrawn.insert(*version)),
-            What::Reinstate(version) => drop(self.withdrawn.remove(version)),
+            CommandAction::Purge(_) => {}
+            CommandAction::Withdraw(version) => drop(self.withdrawn.insert(*version)),
+            CommandAction::Reinstate(version) => drop(self.withdrawn.remove(version)),
         }
         if let Some(position) = &mut self.position {
-            debug_assert_eq!(order.number, position.order + 1, "orders are applied without gaps");
-            position.order = order.number;
+            debug_assert_eq!(order.number, position.index + 1, "orders are applied without gaps");
+            position.index = order.number;
         }
     }
 }
--- a/crates/lilacpitch-fleet/src/lib.rs
+++ b/crates/lilacpitch-fleet/src/lib.rs
@@ -48,42 +48,42 @@
 /// Guards that a test may switch off to see that the judge of the promises notices. Never off in a program.
 #[doc(hidden)]
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Guards {
+pub struct Safeguards {
     /// Promise 1: a summary that is too old rules nothing out, and a process behind its site says so.
-    pub ages: bool,
+    pub summary_age: bool,
     /// Promise 1: a process with a new disk takes no part before it has heard what its former one may have promised.
-    pub disks: bool,
+    pub disk_loss: bool,
     /// Promise 2: who was not reached is named.
-    pub says: bool,
+    pub unreached_sites: bool,
     /// Promise 3: cached answers end with the lease.
-    pub leases: bool,
+    pub cache_leases: bool,
     /// Promise 4: what was read before a purge fills nothing after it.
-    pub refills: bool,
+    pub stale_fills: bool,
     /// Promise 5: acknowledgements are counted.
     pub acknowledgements: bool,
     /// Promise 6: stragglers get no lease.
-    pub stragglers: bool,
+    pub lagging_holders: bool,
     /// Promise 6: writes without a lease are refused.
-    pub fences: bool,
+    pub write_fencing: bool,
     /// Promise 7: changes of version are recorded when they happen.
-    pub records: bool,
+    pub audit_records: bool,
     /// Promise 8: calls wait no longer than their share.
     pub calls_first: bool,
 }
 
-impl Default for Guards {
+impl Default for Safeguards {
     fn default() -> Self {
         let on = true;
-        Guards {
-            ages: on,
-            disks: on,
-            says: on,
-            leases: on,
-            refills: on,
+        Safeguards {
+            summary_age: on,
+            disk_loss: on,
+            unreached_sites: on,
+            cache_leases: on,
+            stale_fills: on,
             acknowledgements: on,
-            stragglers: on,
-            fences: on,
-            records: on,
+            lagging_holders: on,
+            write_fencing: on,
+            audit_records: on,
             calls_first: on,
         }
     }
--- a/crates/lilacpitch-fleet/src/locate.rs
+++ b/crates/lilacpitch-fleet/src/locate.rs
@@ -1,8 +1,8 @@
 //! One question to the sites that could answer it.
 
-use crate::catalogue::{Catalogue, Verdict};
+use crate::catalogue::{Catalogue, SiteVerdict};
 use crate::error::LocateError;
-use crate::{Guards, Nanos};
+use crate::{Nanos, Safeguards};
 use lilacpitch_location::{Key, LocationRecord, Page, Query};
 use std::collections::BTreeMap;
 
@@ -38,7 +38,7 @@
     /// The rows: in the order of keys.
     pub records: Vec<LocationRecord>,
     /// What became of each site.
-    pub sites: BTreeMap<String, Site>,
+    pub sites: BTreeMap<String, SiteOutcome>,
     /// Every site was asked or ruled out.
     pub is_complete: bool,
     /// There is more after this key.
@@ -47,10 +47,10 @@
     pub is_cached: bool,
 }
 
-impl Answer {
+impl LocateAnswer {
     /// The newest row: two sites may hold a number, and the later one is where it is.
     pub fn newest(&self) -> Option<&LocationRecord> {
-        self.rows.iter().max_by_key(|row| (row.since_ms, &row.key))
+        self.records.iter().max_by_key(|row| (row.since_ms, &row.key))
     }
 }
 
@@ -62,8 +62,8 @@
     /// From behind this key on.
     pub after: Option<Key>,
     limit: usize,
-    guards: Guards,
-    sites: BTreeMap<String, Option<Site>>,
+    guards: Safeguards,
+    sites: BTreeMap<String, Option<SiteOutcome>>,
     pages: Vec<Page>,
     /// Everything that goes into the answer was read at this moment or later.
     read_from_ns: Nanos,
@@ -77,17 +77,17 @@
         after: Option<Key>,
         limit: usize,
         of: &Catalogue,
-        guards: Guards,
+        guards: Safeguards,
     ) -> Self {
         let mut read_from_ns = now;
         let mut sites = BTreeMap::new();
-        for (site, verdict) in of.judge(now, &query) {
+        for (site, verdict) in of.candidates(now, &query) {
             let said = match verdict {
-                Verdict::RuledOut { life, total, as_of_ns } => {
+                SiteVerdict::RuledOut { life, total, as_of_ns } => {
                     read_from_ns = read_from_ns.min(as_of_ns);
-                    Some(Site::RuledOut { life, total, as_of_ns })
+                    Some(SiteOutcome::RuledOut { life, total, as_of_ns })
                 }
-                Verdict::Could | Verdict::Unknown => None,
+                SiteVerdict::Could | SiteVerdict::Unknown => None,
             };
             sites.insert(site.to_string(), said);
         }
@@ -112,9 +112,9 @@
             Ok((page, process)) => {
                 let rows = page.records.len();
                 self.pages.push(page);
-                Site::Asked { process, rows }
+                SiteOutcome::Queried { process, records: rows }
             }
-            Err(error) => Site::NotReached(error),
+            Err(error) => SiteOutcome::Unreachable(error),
         });
     }
 
@@ -124,14 +124,14 @@
     }
 
     /// The answer as far as it has come: what is open by now was not reached in time.
-    pub fn answer(self) -> Answer {
-        let late = || Site::NotReached(LocateError::Late);
-        let mut sites: BTreeMap<String, Site> =
+    pub fn answer(self) -> LocateAnswer {
+        let late = || SiteOutcome::Unreachable(LocateError::Late);
+        let mut sites: BTreeMap<String, SiteOutcome> =
             self.sites.into_iter().map(|(site, said)| (site, said.unwrap_or_else(late))).collect();
-        if !self.guards.says {
-            sites.retain(|_, said| !matches!(said, Site::NotReached(_)));
+        if !self.guards.unreached_sites {
+            sites.retain(|_, said| !matches!(said, SiteOutcome::Unreachable(_)));
         }
-        let complete = !sites.values().any(|said| matches!(said, Site::NotReached(_)));
+        let complete = !sites.values().any(|said| matches!(said, SiteOutcome::Unreachable(_)));
         // Past the first cut of any site rows of it are missing.
         let cut = self.pages.iter().filter_map(|page| page.cursor.clone()).min();
         let mut rows: Vec<LocationRecord> = self.pages.into_iter().flat_map(|page| page.records).collect();
@@ -143,6 +143,6 @@
         let over = rows.len() > self.limit;
         rows.truncate(self.limit);
         let cursor = rows.last().map(|row| row.key.clone()).filter(|_| over || cut.is_some());
-        LocateAnswer { rows, sites, complete, cursor, cached: false }
+        LocateAnswer { records: rows, sites, is_complete: complete, cursor, is_cached: false }
     }
 }
--- a/crates/lilacpitch-fleet/src/log_tail.rs
+++ b/crates/lilacpitch-fleet/src/log_tail.rs
@@ -1,6 +1,6 @@
 //! The last orders of a log, kept for who missed some.
 
-use crate::message::{Order, Position, What};
+use crate::message::{CommandAction, FleetCommand, LogPosition};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeSet, VecDeque};
 
@@ -9,20 +9,20 @@
 
 /// The last orders, and what is withdrawn at their end.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Window {
-    position: Position,
-    orders: VecDeque<Order>,
+pub struct LogTail {
+    position: LogPosition,
+    orders: VecDeque<FleetCommand>,
     withdrawn: BTreeSet<u64>,
 }
 
-impl Window {
+impl LogTail {
     /// Of which nothing is kept before `position`.
-    pub fn at(position: Position, withdrawn: BTreeSet<u64>) -> Self {
-        Window { position, orders: VecDeque::new(), withdrawn }
+    pub fn at(position: LogPosition, withdrawn: BTreeSet<u64>) -> Self {
+        LogTail { position, orders: VecDeque::new(), withdrawn }
     }
 
     /// The last order.
-    pub fn position(&self) -> Position {
+    pub fn position(&self) -> LogPosition {
         self.position
     }
 
@@ -32,14 +32,14 @@
     }
 
     /// Gives what is ordered the next number.
-    pub fn append(&mut self, what: What) -> Position {
+    pub fn append(&mut self, what: CommandAction) -> LogPosition {
         match &what {
-            What::Purge(_) => {}
-            What::Withdraw(version) => drop(self.withdrawn.insert(*version)),
-            What::Reinstate(version) => drop(self.withdrawn.remove(version)),
+            CommandAction::Purge(_) => {}
+            CommandAction::Withdraw(version) => drop(self.withdrawn.insert(*version)),
+            CommandAction::Reinstate(version) => drop(self.withdrawn.remove(version)),
         }
-        self.position.order += 1;
-        self.orders.push_back(Order { number: self.position.order, what });
+        self.position.index += 1;
+        self.orders.push_back(FleetCommand { number: self.position.index, what });
         if self.orders.len() > KEPT {
             self.orders.pop_front();
         }
@@ -47,8 +47,8 @@
     }
 
     /// Up to `most` of the orders after one; `None`: some of them are no longer kept, or it is of the future.
-    pub fn after(&self, order: u64, most: usize) -> Option<Vec<Order>> {
-        let lacks = self.position.order.checked_sub(order)? as usize;
+    pub fn after(&self, order: u64, most: usize) -> Option<Vec<FleetCommand>> {
+        let lacks = self.position.index.checked_sub(order)? as usize;
         let from = self.orders.len().checked_sub(lacks)?;
         Some(self.orders.range(from..).take(most).cloned().collect())
     }
--- a/crates/lilacpitch-fleet/src/message.rs
+++ b/crates/lilacpitch-fleet/src/message.rs
@@ -1,6 +1,6 @@
 //! What crosses the links between processes of the fleet, as `postcard` writes it.
 
-use crate::audit::Record;
+use crate::audit::AuditRecord;
 use crate::disk_loss_recovery::LogVote;
 use lilacpitch_location::{Key, LocationRecord, Number, Page, Query, ShardUpdate};
 use serde::{Deserialize, Serialize};
@@ -50,16 +50,16 @@
     pub index: u64,
 }
 
-impl Position {
+impl LogPosition {
     /// Whether everything up to `other` is known here. Never across logs.
-    pub fn includes(self, other: Position) -> bool {
-        self.log == other.log && self.order >= other.order
+    pub fn includes(self, other: LogPosition) -> bool {
+        self.log == other.log && self.index >= other.index
     }
 }
 
-impl fmt::Display for Position {
+impl fmt::Display for LogPosition {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{:x}/{}", self.log, self.order)
+        write!(f, "{:x}/{}", self.log, self.index)
     }
 }
 
@@ -80,7 +80,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum CommandAction {
     /// Forget cached answers.
-    Purge(Vec<Scope>),
+    Purge(Vec<PurgeScope>),
     /// No longer act on this settings version.
     Withdraw(u64),
     /// It is in force again.
@@ -93,7 +93,7 @@
     /// Its number, without gaps.
     pub number: u64,
     /// What is ordered.
-    pub what: What,
+    pub what: CommandAction,
 }
 
 /// A row entered or withdrawn.
@@ -141,9 +141,9 @@
     /// How old all of this is, at the moment it is said.
     pub age_ns: u64,
     /// Changes without an order.
-    pub pending: Pending,
+    pub pending: PendingPurges,
     /// The last order that came of its changes.
-    pub ordered: Position,
+    pub ordered: LogPosition,
     /// What is new, of the shards whose versions were named.
     pub shard_updates: Vec<ShardUpdate>,
     /// There is more: ask again.
@@ -154,11 +154,11 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum Request {
     /// A holder asks the process above for its lease, and says how far it has applied orders.
-    RenewLease(Option<Position>),
+    RenewLease(Option<LogPosition>),
     /// A relay says up to which order all below it have acknowledged or are out, and who is not.
     ReportAcknowledged {
         /// Up to here.
-        acknowledged: Position,
+        acknowledged: LogPosition,
         /// Some of those that are missing.
         missing: Vec<String>,
         /// How many are.
@@ -171,21 +171,21 @@
         /// Their log.
         log: u64,
         /// In their order, without gaps.
-        orders: Vec<Order>,
+        orders: Vec<FleetCommand>,
     },
     /// To the root: order this.
-    Submit(What),
+    Submit(CommandAction),
     /// To the root: how far are the purges?
     Progress,
     /// To the root: what fronts say of themselves.
-    Audit(Vec<Record>),
+    Audit(Vec<AuditRecord>),
     /// To the home site: changes of this front's rows, numbered by it without gaps from the first on. What comes twice
     /// or late, behind a later one, changes nothing.
     Write {
         /// The first change's number, from 1.
         first: u64,
         /// The changes.
-        changes: Vec<RowChange>,
+        changes: Vec<RecordChange>,
     },
     /// Rows that match.
     FindRecords {
@@ -199,7 +199,7 @@
         urgent: bool,
     },
     /// What is newer than this of the summaries of all sites that are not below the one who asks.
-    Summaries(Vec<Known>),
+    Summaries(Vec<KnownSummary>),
     /// Within a site: up to which entry of its log must be applied before a read.
     ReadIndex,
     /// Within a site, from a process whose disk is new: which vote does this one hold?
@@ -231,27 +231,27 @@
         /// For so long, by the holder's steady clock.
         for_ns: u64,
         /// Once everything up to here is applied.
-        position: Position,
+        position: LogPosition,
         /// Some of what is missing until then.
-        orders: Vec<Order>,
+        orders: Vec<FleetCommand>,
         /// The register of this site: another one has none of the rows written before.
         store_id: u64,
     },
     /// What is missing is no longer kept: drop all that is cached, take this position, ask again.
     ResetRequired {
         /// The position to take.
-        position: Position,
+        position: LogPosition,
         /// Settings versions that are withdrawn there.
         withdrawn: Vec<u64>,
     },
     /// The holder of orders has applied them up to here.
-    Applied(Position),
+    Applied(LogPosition),
     /// Ordered.
-    Committed(Position),
+    Committed(LogPosition),
     /// How far purges are.
     Progress {
         /// The last order.
-        ordered: Position,
+        ordered: LogPosition,
         /// Complete up to here: no process serves what these withdrew.
         complete: u64,
         /// Some who are missing.
@@ -269,7 +269,7 @@
         process: String,
     },
     /// News of summaries.
-    Summaries(Vec<SiteNews>),
+    Summaries(Vec<SiteSummaryUpdate>),
     /// Up to this entry.
     ReadIndex(u64),
     /// The vote in the site's log that this process holds; `None`: its disk is new.
@@ -279,7 +279,7 @@
     /// Done.
     Done,
     /// Not done.
-    Rejected(Refusal),
+    Rejected(RejectReason),
 }
 
 /// Why a process did not do what it was asked for.
@@ -312,20 +312,20 @@
     Failed(String),
 }
 
-impl fmt::Display for Refusal {
+impl fmt::Display for RejectReason {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Refusal::Full { wait_ms } => write!(f, "full, for {wait_ms} ms"),
-            Refusal::Behind => f.write_str("behind its site"),
-            Refusal::NoLease => f.write_str("no lease of its own"),
-            Refusal::Superseded => f.write_str("a later life is known"),
-            Refusal::Fenced => f.write_str("fenced: no lease here"),
-            Refusal::Straggler => f.write_str("too far behind"),
-            Refusal::Ahead => f.write_str("ahead of the log"),
-            Refusal::NoLeader => f.write_str("no process leads"),
-            Refusal::Unwanted => f.write_str("not to be asked here"),
-            Refusal::Malformed(what) => write!(f, "malformed: {what}"),
-            Refusal::Failed(what) => write!(f, "failed: {what}"),
+            RejectReason::Overloaded { wait_ms } => write!(f, "full, for {wait_ms} ms"),
+            RejectReason::Behind => f.write_str("behind its site"),
+            RejectReason::NoLease => f.write_str("no lease of its own"),
+            RejectReason::Superseded => f.write_str("a later life is known"),
+            RejectReason::Fenced => f.write_str("fenced: no lease here"),
+            RejectReason::Lagging => f.write_str("too far behind"),
+            RejectReason::Ahead => f.write_str("ahead of the log"),
+            RejectReason::NoLeader => f.write_str("no process leads"),
+            RejectReason::Unsupported => f.write_str("not to be asked here"),
+            RejectReason::Malformed(what) => write!(f, "malformed: {what}"),
+            RejectReason::Failed(what) => write!(f, "failed: {what}"),
         }
     }
 }
--- a/crates/lilacpitch-fleet/src/query_dispatcher.rs
+++ b/crates/lilacpitch-fleet/src/query_dispatcher.rs
@@ -13,7 +13,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Timing {
     /// Wanted time of an answer.
-    pub aim_ns: Nanos,
+    pub latency_objective_ns: Nanos,
     /// The clock's grain.
     pub tick_ns: Nanos,
 }
@@ -22,13 +22,13 @@
 const LOOK_AFTER_NS: (Nanos, Nanos) = (50_000_000, 500_000_000);
 
 /// How long to wait before a process that left a question unanswered is looked at for the `nth` time, from 0.
-pub fn look_after_ns(nth: u32) -> Nanos {
+pub fn poll_delay_ns(nth: u32) -> Nanos {
     (LOOK_AFTER_NS.0 << nth.min(16)).min(LOOK_AFTER_NS.1)
 }
 
 /// What is to be done.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Do {
+pub enum DispatchAction {
     /// Ask this process; without an answer after the span the attempt has timed out.
     Ask {
         /// The question.
@@ -43,15 +43,15 @@
         timeout_ns: Nanos,
     },
     /// No answer will come: refused.
-    Refuse(u64),
+    Reject(u64),
     /// No answer will come: all attempts failed.
     Fail(u64),
     /// Wake this again at that moment.
-    WakeAt(Nanos),
+    SetTimer(Nanos),
 }
 
 /// The module in the midst of questions.
-pub struct Asker {
+pub struct QueryDispatcher {
     brain: Controller,
     entries: Vec<Endpoint>,
     actions: Vec<Action>,
@@ -62,12 +62,12 @@
 /// Processes that one site may have at most, as ids of servers go.
 const MOST_PROCESSES: u64 = 64;
 
-impl Asker {
+impl QueryDispatcher {
     /// For sites with so many processes each.
     pub fn new(sites: &[usize], timing: Timing, now: Nanos, seed: u64) -> Self {
         let class = |site: u32, urgent: bool| Class {
-            latency_objective_ns: timing.aim_ns,
-            deadline_ns: timing.aim_ns * 4,
+            latency_objective_ns: timing.latency_objective_ns,
+            deadline_ns: timing.latency_objective_ns * 4,
             priority_weight: if urgent { 10.0 } else { 1.0 },
             late_weight: 0.5,
             // A question changes nothing.
@@ -104,12 +104,12 @@
         let mut brain = Controller::new(settings, seed);
         let mut actions = Vec::new();
         brain.handle(now, Event::EndpointsUpdated(EndpointUpdate::Full(entries.clone())), &mut actions);
-        Asker { brain, entries, actions, next: 1, attempts: std::collections::BTreeMap::new() }
+        QueryDispatcher { brain, entries, actions, next: 1, attempts: std::collections::BTreeMap::new() }
     }
 
     /// A process that did not answer does so again. Questions are too few to find that out by themselves in good
     /// time: it is as one that has started anew, of which nothing is known.
-    pub fn back(&mut self, now: Nanos, site: usize, process: usize, out: &mut Vec<Do>) {
+    pub fn back(&mut self, now: Nanos, site: usize, process: usize, out: &mut Vec<DispatchAction>) {
         let id = server(site, process);
         if let Some(entry) = self.entries.iter_mut().find(|entry| entry.server == id) {
             entry.up_since_ns = now;
@@ -119,7 +119,7 @@
     }
 
     /// A question to a site, with at most so long; its number.
-    pub fn ask(&mut self, now: Nanos, site: usize, urgent: bool, budget_ns: Nanos, out: &mut Vec<Do>) -> u64 {
+    pub fn ask(&mut self, now: Nanos, site: usize, urgent: bool, budget_ns: Nanos, out: &mut Vec<DispatchAction>) -> u64 {
         let id = self.next;
         self.next += 1;
         self.attempts.insert(id, 0);
@@ -138,8 +138,8 @@
     }
 
     /// An attempt has ended.
-    pub fn ended(&mut self, now: Nanos, done: Do, outcome: Outcome, out: &mut Vec<Do>) {
-        let Do::Ask { question, attempt, site, process, .. } = done else { return };
+    pub fn ended(&mut self, now: Nanos, done: DispatchAction, outcome: Outcome, out: &mut Vec<DispatchAction>) {
+        let DispatchAction::Ask { question, attempt, site, process, .. } = done else { return };
         let server = server(site, process);
         if outcome == Outcome::Completed {
             self.attempts.remove(&question);
@@ -153,18 +153,18 @@
     }
 
     /// Nobody wants the answer any more.
-    pub fn forget(&mut self, now: Nanos, question: u64, out: &mut Vec<Do>) {
+    pub fn forget(&mut self, now: Nanos, question: u64, out: &mut Vec<DispatchAction>) {
         if self.attempts.remove(&question).is_some() {
             self.handle(now, Event::ClientDisconnected(question), out);
         }
     }
 
     /// A wake-up that was asked for.
-    pub fn wake(&mut self, now: Nanos, out: &mut Vec<Do>) {
+    pub fn wake(&mut self, now: Nanos, out: &mut Vec<DispatchAction>) {
         self.handle(now, Event::TimerFired, out);
     }
 
-    fn handle(&mut self, now: Nanos, event: Event, out: &mut Vec<Do>) {
+    fn handle(&mut self, now: Nanos, event: Event, out: &mut Vec<DispatchAction>) {
         let mut actions = std::mem::take(&mut self.actions);
         self.brain.handle(now, event, &mut actions);
         for action in actions.drain(..) {
@@ -175,17 +175,17 @@
                     *attempts += 1;
                     let (site, process) = (server / MOST_PROCESSES, server % MOST_PROCESSES);
                     let (site, process) = (site as usize, process as usize);
-                    out.push(Do::Ask { question: call, attempt, site, process, timeout_ns });
+                    out.push(DispatchAction::Ask { question: call, attempt, site, process, timeout_ns });
                 }
                 Action::Reject { call, .. } => {
                     self.attempts.remove(&call);
-                    out.push(Do::Refuse(call));
+                    out.push(DispatchAction::Reject(call));
                 }
                 Action::Fail { call } => {
                     self.attempts.remove(&call);
-                    out.push(Do::Fail(call));
+                    out.push(DispatchAction::Fail(call));
                 }
-                Action::SetTimer(at) => out.push(Do::WakeAt(at)),
+                Action::SetTimer(at) => out.push(DispatchAction::SetTimer(at)),
                 // Without leave to call attempts off there is none; the list does not change.
                 Action::CancelAttempt { .. } | Action::Subscribe => {}
             }
--- a/crates/lilacpitch-fleet/src/upstream_selection.rs
+++ b/crates/lilacpitch-fleet/src/upstream_selection.rs
@@ -1,6 +1,6 @@
 //! Which process above is followed, and how soon it is asked for a lease again.
 
-use crate::lease::Terms;
+use crate::lease::LeaseTerms;
 use crate::Nanos;
 
 /// A lease is asked for again after this share of it.
@@ -11,21 +11,21 @@
 const AGAIN_NS: Nanos = 200_000_000;
 
 /// The gap between two questions for a lease.
-pub fn renew_gap_ns(terms: &Terms) -> Nanos {
+pub fn renew_gap_ns(terms: &LeaseTerms) -> Nanos {
     terms.lease_ns / RENEW_SHARE
 }
 
 /// The way upwards: one process of the site above, until it fails.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Upward {
+pub struct UpstreamSelection {
     at: usize,
     failures: u32,
 }
 
-impl Upward {
+impl UpstreamSelection {
     /// Begins with the process at this place, counted round.
     pub fn new(at: usize) -> Self {
-        Upward { at, failures: 0 }
+        UpstreamSelection { at, failures: 0 }
     }
 
     /// The place of the one that is followed, of so many.
@@ -42,12 +42,12 @@
     pub fn failed(&mut self) {
         self.failures += 1;
         if self.failures >= FAILURES {
-            *self = Upward::new(self.at.wrapping_add(1));
+            *self = UpstreamSelection::new(self.at.wrapping_add(1));
         }
     }
 
     /// When to ask next.
-    pub fn gap_ns(&self, terms: &Terms) -> Nanos {
+    pub fn gap_ns(&self, terms: &LeaseTerms) -> Nanos {
         let gap_ns = renew_gap_ns(terms);
         if self.failures > 0 {
             gap_ns.min(AGAIN_NS)
--- a/crates/lilacpitch-fleet/src/write_batcher.rs
+++ b/crates/lilacpitch-fleet/src/write_batcher.rs
@@ -10,18 +10,18 @@
 
 /// Changes that are to go together, in their order.
 #[derive(Debug)]
-pub struct Gather<T> {
+pub struct WriteBatcher<T> {
     held: Vec<T>,
     due_ns: Option<Nanos>,
 }
 
-impl<T> Default for Gather<T> {
+impl<T> Default for WriteBatcher<T> {
     fn default() -> Self {
-        Gather { held: Vec::new(), due_ns: None }
+        WriteBatcher { held: Vec::new(), due_ns: None }
     }
 }
 
-impl<T> Gather<T> {
+impl<T> WriteBatcher<T> {
     /// One more; all of them where there are many.
     pub fn push(&mut self, now: Nanos, change: T, presses: bool) -> Option<Vec<T>> {
         let due_ns = if presses { now } else { now + GATHER_NS };
@@ -52,7 +52,7 @@
 
     #[test]
     fn calls_wait_for_others_and_numbers_take_them_along() {
-        let mut gather = Gather::default();
+        let mut gather = WriteBatcher::default();
         assert_eq!(gather.push(10, 'a', false), None);
         assert_eq!((gather.due(10), gather.due_ns()), (None, Some(10 + GATHER_NS)));
         assert_eq!(gather.push(11, 'b', true), None);
--- a/crates/lilacpitch-fleet/tests/cache_orders.rs
+++ b/crates/lilacpitch-fleet/tests/cache_orders.rs
@@ -1,7 +1,7 @@
 //! The cache's own source under locks whose orders `shuttle` draws: a fill beside a purge beside a reader. What was read
 //! before a purge is never there after it, whichever lock comes first.
 
-use lilacpitch_fleet::{locate, message, Guards, Nanos};
+use lilacpitch_fleet::{locate, message, Safeguards, Nanos};
 
 /// In place of the crate's own locks.
 mod sync {
@@ -21,8 +21,8 @@
 
 use cache::Cache;
 use lilacpitch_location::{Key, Kind, LocationRecord, Number, Owner};
-use locate::Answer;
-use message::{Order, Scope, What};
+use locate::LocateAnswer;
+use message::{FleetCommand, PurgeScope, CommandAction};
 use shuttle::sync::atomic::{AtomicU64, Ordering};
 use shuttle::sync::Arc;
 use shuttle::thread;
@@ -32,7 +32,7 @@
 }
 
 /// An answer that was read when the site's row was of this version.
-fn answer(version: u64) -> Answer {
+fn answer(version: u64) -> LocateAnswer {
     let holder = Owner { name: "edge-1".into(), front: "edge-1".into(), incarnation: 1, serial: version };
     let row = LocationRecord {
         key: Key { number: number(), kind: Kind::Binding, owner: holder },
@@ -40,10 +40,10 @@
         trunk_group: "p".into(),
         since_ms: version,
     };
-    Answer { rows: vec![row], sites: Default::default(), complete: true, cursor: None, cached: false }
+    LocateAnswer { records: vec![row], sites: Default::default(), is_complete: true, cursor: None, is_cached: false }
 }
 
-fn play(guards: Guards, scope: Scope) {
+fn play(guards: Safeguards, scope: PurgeScope) {
     let cache = Arc::new(Cache::new(16, guards));
     let (site, clock) = (Arc::new(AtomicU64::new(1)), Arc::new(AtomicU64::new(10)));
     let tick = |clock: &AtomicU64| clock.fetch_add(1, Ordering::SeqCst);
@@ -60,34 +60,34 @@
     let (purging, changed, at) = (cache.clone(), site.clone(), clock.clone());
     let purge = thread::spawn(move || {
         changed.store(2, Ordering::SeqCst);
-        let order = Order { number: 1, what: What::Purge(vec![scope]) };
+        let order = FleetCommand { number: 1, what: CommandAction::Purge(vec![scope]) };
         purging.apply(tick(&at), &order);
         // From here on nobody may see what the purge withdrew.
         for _ in 0..2 {
-            let seen = purging.get(&number()).map(|answer| answer.rows[0].key.owner.serial);
+            let seen = purging.get(&number()).map(|answer| answer.records[0].key.owner.serial);
             assert!(seen.is_none_or(|version| version == 2), "version {seen:?} after its purge");
         }
     });
     fillers.into_iter().for_each(|filler| filler.join().unwrap());
     purge.join().unwrap();
-    let seen = cache.get(&number()).map(|answer| answer.rows[0].key.owner.serial);
+    let seen = cache.get(&number()).map(|answer| answer.records[0].key.owner.serial);
     assert!(seen.is_none_or(|version| version == 2), "version {seen:?} in the end");
 }
 
 #[test]
 fn no_order_of_locks_refills_with_the_old() {
     for scope in
-        [Scope::Number(number()), Scope::Prefix("1555".into()), Scope::Holder("edge-1".into()), Scope::All]
+        [PurgeScope::Number(number()), PurgeScope::Prefix("1555".into()), PurgeScope::Owner("edge-1".into()), PurgeScope::All]
     {
-        shuttle::check_random(move || play(Guards::default(), scope.clone()), 3_000);
+        shuttle::check_random(move || play(Safeguards::default(), scope.clone()), 3_000);
     }
 }
 
 #[test]
 fn without_the_guard_some_order_does() {
-    let guards = Guards { refills: false, ..Guards::default() };
+    let guards = Safeguards { stale_fills: false, ..Safeguards::default() };
     let played = std::panic::catch_unwind(move || {
-        shuttle::check_random(move || play(guards, Scope::Number(number())), 3_000);
+        shuttle::check_random(move || play(guards, PurgeScope::Number(number())), 3_000);
     });
     assert!(played.is_err(), "the exploration would see it");
 }
--- a/crates/lilacpitch-fleet/tests/errors.rs
+++ b/crates/lilacpitch-fleet/tests/errors.rs
@@ -2,7 +2,7 @@
 //! does not compile.
 
 use lilacpitch_fleet::error::*;
-use lilacpitch_fleet::message::Refusal;
+use lilacpitch_fleet::message::RejectReason;
 use lilacpitch_location::LocationError;
 use miette::Diagnostic;
 use std::collections::BTreeSet;
@@ -49,7 +49,7 @@
         LeaseError::Withdrawn => LeaseError::Withdrawn,
     ]);
     walk!(codes, LocateError, [
-        LocateError::Refused(Refusal::Behind) => LocateError::Refused(_),
+        LocateError::Refused(RejectReason::Behind) => LocateError::Refused(_),
         LocateError::Late => LocateError::Late,
         LocateError::Unreached => LocateError::Unreached,
         LocateError::TooMany => LocateError::TooMany,
--- a/crates/lilacpitch-fleet/tests/model.rs
+++ b/crates/lilacpitch-fleet/tests/model.rs
@@ -2,12 +2,12 @@
 //! they are. Messages are lost, overtake each other and come late; relay and front die and come back; another process
 //! takes the root over. Whoever is not moved on while time goes by stands still.
 
-use lilacpitch_fleet::ack_aggregator::{ChildId, Relay, Sum};
-use lilacpitch_fleet::lease::Terms;
-use lilacpitch_fleet::lease_holder::{Holder, Taken};
-use lilacpitch_fleet::log_tail::Window;
-use lilacpitch_fleet::message::{Order, Position, Response, Scope, What};
-use lilacpitch_fleet::Guards;
+use lilacpitch_fleet::ack_aggregator::{AckAggregator, AggregatedAck, ChildId};
+use lilacpitch_fleet::lease::LeaseTerms;
+use lilacpitch_fleet::lease_holder::{LeaseHolder, LeaseUpdate};
+use lilacpitch_fleet::log_tail::LogTail;
+use lilacpitch_fleet::message::{FleetCommand, LogPosition, Response, PurgeScope, CommandAction};
+use lilacpitch_fleet::Safeguards;
 use stateright::{Checker, Model, Property};
 use std::collections::BTreeSet;
 use std::hash::{Hash, Hasher};
@@ -25,12 +25,12 @@
 #[derive(Debug, Clone, PartialEq)]
 enum Message {
     /// From a process: its life, when it asked, what it has applied.
-    Renew(Who, u64, u64, Option<Position>),
+    Renew(Who, u64, u64, Option<LogPosition>),
     /// To a process, with when it asked.
     Answer(Who, u64, u64, Response),
-    Orders(Who, u64, Vec<Order>),
-    Applied(Who, u64, Position),
-    Sum(u64, Position),
+    Orders(Who, u64, Vec<FleetCommand>),
+    Applied(Who, u64, LogPosition),
+    Sum(u64, LogPosition),
 }
 
 #[derive(Debug, Clone)]
@@ -38,10 +38,10 @@
     now: u64,
     /// How often the row changed: order `n` withdraws what was read before the `n`th change.
     truth: u64,
-    root: Relay,
+    root: AckAggregator,
     taken_over: bool,
-    relay: (u64, Holder, Relay),
-    front: (u64, Holder),
+    relay: (u64, LeaseHolder, AckAggregator),
+    front: (u64, LeaseHolder),
     /// What the front has read of the row, and whether the answer is still on its way to it.
     cached: Option<u64>,
     reading: Option<u64>,
@@ -90,7 +90,7 @@
 }
 
 struct Fleet {
-    guards: Guards,
+    guards: Safeguards,
     ticks: u64,
     changes: u64,
     /// How often relay and front may live.
@@ -99,19 +99,19 @@
     take_over: bool,
 }
 
-fn terms() -> Terms {
-    Terms { lease_ns: LEASE, clock_allowance: 0.0, straggler_ns: LEASE }
+fn terms() -> LeaseTerms {
+    LeaseTerms { lease_ns: LEASE, clock_allowance: 0.0, lagging_after_ns: LEASE }
 }
 
 fn id(who: Who, life: u64) -> ChildId {
-    ChildId { name: format!("{who:?}"), life }
+    ChildId { name: format!("{who:?}"), incarnation: life }
 }
 
 impl Fleet {
-    fn origin(&self) -> Relay {
-        let mut root = Relay::new(terms(), self.guards);
-        root.reset(Window::at(Position { log: LOG, order: 0 }, BTreeSet::new()));
-        root.may_grant(u64::MAX, Position { log: LOG, order: 0 });
+    fn origin(&self) -> AckAggregator {
+        let mut root = AckAggregator::new(terms(), self.guards);
+        root.reset(LogTail::at(LogPosition { log: LOG, index: 0 }, BTreeSet::new()));
+        root.may_grant(u64::MAX, LogPosition { log: LOG, index: 0 });
         root
     }
 
@@ -125,24 +125,24 @@
             }
             Message::Answer(Who::Front, life, asked, response) if life == s.front.0 => {
                 match s.front.1.answered(asked, response) {
-                    Taken::Orders(orders) => apply(s, &orders),
+                    LeaseUpdate::Orders(orders) => apply(s, &orders),
                     // What is being read was read before this, and fills nothing.
-                    Taken::Dropped => (s.cached, s.reading) = (None, None),
-                    Taken::Nothing => {}
+                    LeaseUpdate::Dropped => (s.cached, s.reading) = (None, None),
+                    LeaseUpdate::Nothing => {}
                 }
             }
             Message::Answer(Who::Relay, life, asked, response) if life == s.relay.0 => {
                 let granted = match &response {
-                    Response::Granted { for_ns, position, .. } => Some((asked + for_ns, *position)),
+                    Response::LeaseGranted { for_ns, position, .. } => Some((asked + for_ns, *position)),
                     _ => None,
                 };
                 match s.relay.1.answered(asked, response) {
-                    Taken::Orders(orders) => pass_on(s, orders),
-                    Taken::Dropped => {
+                    LeaseUpdate::Orders(orders) => pass_on(s, orders),
+                    LeaseUpdate::Dropped => {
                         let position = s.relay.1.position().unwrap_or_default();
-                        s.relay.2.reset(Window::at(position, BTreeSet::new()));
+                        s.relay.2.reset(LogTail::at(position, BTreeSet::new()));
                     }
-                    Taken::Nothing => {}
+                    LeaseUpdate::Nothing => {}
                 }
                 if let Some((until, needs)) = granted {
                     s.relay.2.may_grant(until, needs);
@@ -163,7 +163,7 @@
             Message::Applied(Who::Front, life, upto) => s.relay.2.applied(&id(Who::Front, life), upto),
             Message::Applied(Who::Relay, life, upto) => s.root.applied(&id(Who::Relay, life), upto),
             Message::Sum(life, upto) => {
-                let sum = Sum { upto, missing: Vec::new(), missing_count: 0 };
+                let sum = AggregatedAck { acknowledged: upto, missing: Vec::new(), missing_count: 0 };
                 s.root.summed(&id(Who::Relay, life), sum);
             }
             // Of a former life.
@@ -173,7 +173,7 @@
 }
 
 /// The front applies orders: what they withdraw is gone, and what is being read was read before them.
-fn apply(s: &mut State, orders: &[Order]) {
+fn apply(s: &mut State, orders: &[FleetCommand]) {
     for order in orders {
         s.cached = s.cached.filter(|read| *read >= order.number);
         s.reading = None;
@@ -181,7 +181,7 @@
     }
 }
 
-fn pass_on(s: &mut State, orders: Vec<Order>) {
+fn pass_on(s: &mut State, orders: Vec<FleetCommand>) {
     for order in orders {
         s.relay.1.applied(&order);
         s.relay.2.ordered(s.now, order.what);
@@ -198,8 +198,8 @@
             truth: 0,
             root: self.origin(),
             taken_over: false,
-            relay: (1, Holder::default(), Relay::new(terms(), self.guards)),
-            front: (1, Holder::new(0)),
+            relay: (1, LeaseHolder::default(), AckAggregator::new(terms(), self.guards)),
+            front: (1, LeaseHolder::new(0)),
             cached: None,
             reading: None,
             messages: Vec::new(),
@@ -249,7 +249,7 @@
             Action::Tick => s.now += 1,
             Action::Change => {
                 s.truth += 1;
-                s.root.ordered(s.now, What::Purge(vec![Scope::All]));
+                s.root.ordered(s.now, CommandAction::Purge(vec![PurgeScope::All]));
             }
             Action::Renew(Who::Relay) => {
                 s.messages.push(Message::Renew(Who::Relay, s.relay.0, s.now, s.relay.1.position()));
@@ -266,7 +266,7 @@
                 s.messages.push(Message::Orders(who, life, orders));
             }
             Action::Say => {
-                let upto = s.relay.2.sum(s.now).upto;
+                let upto = s.relay.2.sum(s.now).acknowledged;
                 let message = Message::Sum(s.relay.0, upto);
                 if s.messages.contains(&message) {
                     return None;
@@ -280,17 +280,17 @@
             Action::Read => s.reading = Some(s.truth),
             Action::Filled => s.cached = s.reading.take(),
             Action::Restart(Who::Relay) => {
-                s.relay = (s.relay.0 + 1, Holder::default(), Relay::new(terms(), self.guards));
+                s.relay = (s.relay.0 + 1, LeaseHolder::default(), AckAggregator::new(terms(), self.guards));
                 s.asked = false;
             }
             Action::Restart(Who::Front) => {
-                s.front = (s.front.0 + 1, Holder::new(0));
+                s.front = (s.front.0 + 1, LeaseHolder::new(0));
                 (s.cached, s.reading, s.asked) = (None, None, false);
             }
             Action::TakeOver => {
                 let position = s.root.position();
                 s.root = self.origin();
-                s.root.reset(Window::at(position, BTreeSet::new()));
+                s.root.reset(LogTail::at(position, BTreeSet::new()));
                 s.root.may_grant(u64::MAX, position);
                 // It has counted those below it all the while, and there were none.
                 s.root.sum(s.now);
@@ -299,7 +299,7 @@
             }
             Action::Write => s.wrote = s.relay.2.takes_from(s.now, &id(Who::Front, s.front.0)) && !s.asked,
         }
-        s.complete = s.complete.max(s.root.sum(s.now).upto.order);
+        s.complete = s.complete.max(s.root.sum(s.now).acknowledged.index);
         Some(s)
     }
 
@@ -326,36 +326,36 @@
     checker
 }
 
-fn small(guards: Guards) -> Fleet {
+fn small(guards: Safeguards) -> Fleet {
     Fleet { guards, ticks: 3, changes: 1, lives: [1, 1], in_flight: 1, take_over: false }
 }
 
 #[test]
 fn purged_means_gone_in_every_order_of_events() {
-    explored(small(Guards::default())).assert_properties();
+    explored(small(Safeguards::default())).assert_properties();
 }
 
 #[test]
 fn and_with_a_relay_that_dies() {
-    explored(Fleet { lives: [2, 1], ..small(Guards::default()) }).assert_properties();
+    explored(Fleet { lives: [2, 1], ..small(Safeguards::default()) }).assert_properties();
 }
 
 #[test]
 fn and_with_a_front_that_dies() {
-    explored(Fleet { lives: [1, 2], ..small(Guards::default()) }).assert_properties();
+    explored(Fleet { lives: [1, 2], ..small(Safeguards::default()) }).assert_properties();
 }
 
 #[test]
 fn and_with_a_root_that_is_taken_over() {
-    explored(Fleet { take_over: true, ..small(Guards::default()) }).assert_properties();
+    explored(Fleet { take_over: true, ..small(Safeguards::default()) }).assert_properties();
 }
 
 /// The model sees what it is there for.
 #[test]
 fn acknowledgements_that_are_assumed_and_writes_without_a_lease_are_found() {
     for (guards, property) in [
-        (Guards { acknowledgements: false, ..Guards::default() }, "purged means gone"),
-        (Guards { fences: false, ..Guards::default() }, "who has not asked writes nothing"),
+        (Safeguards { acknowledgements: false, ..Safeguards::default() }, "purged means gone"),
+        (Safeguards { write_fencing: false, ..Safeguards::default() }, "who has not asked writes nothing"),
     ] {
         assert!(explored(small(guards)).discovery(property).is_some(), "{property}");
     }
--- a/crates/lilacpitch-fleet/tests/relay.rs
+++ b/crates/lilacpitch-fleet/tests/relay.rs
@@ -1,38 +1,38 @@
 //! Leases and sums, in a clock of the test's own.
 
-use lilacpitch_fleet::ack_aggregator::{ChildId, Relay, Sum};
-use lilacpitch_fleet::lease::Terms;
-use lilacpitch_fleet::log_tail::Window;
-use lilacpitch_fleet::message::{Position, Refusal, Response, Scope, What};
-use lilacpitch_fleet::upstream_selection::{renew_gap_ns, Upward};
-use lilacpitch_fleet::Guards;
+use lilacpitch_fleet::ack_aggregator::{AckAggregator, AggregatedAck, ChildId};
+use lilacpitch_fleet::lease::LeaseTerms;
+use lilacpitch_fleet::log_tail::LogTail;
+use lilacpitch_fleet::message::{LogPosition, RejectReason, Response, PurgeScope, CommandAction};
+use lilacpitch_fleet::upstream_selection::{renew_gap_ns, UpstreamSelection};
+use lilacpitch_fleet::Safeguards;
 
 const S: u64 = 1_000_000_000;
-const TERMS: Terms = Terms { lease_ns: 3 * S, clock_allowance: 0.01, straggler_ns: 2 * S };
+const TERMS: LeaseTerms = LeaseTerms { lease_ns: 3 * S, clock_allowance: 0.01, lagging_after_ns: 2 * S };
 
-fn at(order: u64) -> Position {
-    Position { log: 7, order }
+fn at(order: u64) -> LogPosition {
+    LogPosition { log: 7, index: order }
 }
 
 fn child(name: &str, life: u64) -> ChildId {
-    ChildId { name: name.into(), life }
+    ChildId { name: name.into(), incarnation: life }
 }
 
-fn purge() -> What {
-    What::Purge(vec![Scope::All])
+fn purge() -> CommandAction {
+    CommandAction::Purge(vec![PurgeScope::All])
 }
 
 /// A relay that may grant for long, at order 0 of log 7.
-fn relay() -> Relay {
-    let mut relay = Relay::new(TERMS, Guards::default());
-    relay.reset(Window::at(at(0), Default::default()));
+fn relay() -> AckAggregator {
+    let mut relay = AckAggregator::new(TERMS, Safeguards::default());
+    relay.reset(LogTail::at(at(0), Default::default()));
     relay.may_grant(1_000 * S, at(0));
     relay
 }
 
 fn granted(said: Response) -> u64 {
     match said {
-        Response::Granted { for_ns, .. } => for_ns,
+        Response::LeaseGranted { for_ns, .. } => for_ns,
         other => panic!("{other:?}"),
     }
 }
@@ -43,7 +43,7 @@
     let mut relay = relay();
     relay.may_grant(1_000 * S, at(1));
     let front = child("edge-1", 1);
-    assert_eq!(relay.renew(S, &front, true, Some(at(0)), 0), Response::Refused(Refusal::NoLease));
+    assert_eq!(relay.renew(S, &front, true, Some(at(0)), 0), Response::Rejected(RejectReason::NoLease));
     relay.ordered(S, purge());
     assert!(granted(relay.renew(S, &front, true, Some(at(0)), 0)) > 0);
 }
@@ -54,7 +54,7 @@
     relay.may_grant(2 * S, at(0));
     let front = child("edge-1", 1);
     assert_eq!(granted(relay.renew(S, &front, true, Some(at(0)), 0)), S);
-    assert_eq!(relay.renew(2 * S, &front, true, Some(at(0)), 0), Response::Refused(Refusal::NoLease));
+    assert_eq!(relay.renew(2 * S, &front, true, Some(at(0)), 0), Response::Rejected(RejectReason::NoLease));
 }
 
 #[test]
@@ -65,17 +65,17 @@
     granted(relay.renew(S, &below, false, Some(at(0)), 0));
     relay.ordered(S, purge());
     let sum = relay.sum(S);
-    assert_eq!((sum.upto, sum.missing_count), (at(0), 2));
+    assert_eq!((sum.acknowledged, sum.missing_count), (at(0), 2));
     relay.applied(&front, at(1));
     // A process answers for all below it: that it has the order itself is not enough.
     relay.applied(&below, at(1));
     assert_eq!(relay.sum(S).missing, vec!["leaf-0"]);
-    relay.summed(&below, Sum { upto: at(0), missing: vec!["edge-9".into()], missing_count: 1 });
+    relay.summed(&below, AggregatedAck { acknowledged: at(0), missing: vec!["edge-9".into()], missing_count: 1 });
     assert_eq!(relay.sum(S).missing, vec!["edge-9"]);
     // The lease, and the clocks' allowance on both sides: not a moment sooner.
     let out = S + TERMS.outlasts(3 * S);
-    assert_eq!(relay.sum(out - 1).upto, at(0));
-    assert_eq!(relay.sum(out).upto, at(1));
+    assert_eq!(relay.sum(out - 1).acknowledged, at(0));
+    assert_eq!(relay.sum(out).acknowledged, at(1));
 }
 
 #[test]
@@ -85,13 +85,13 @@
     granted(relay.renew(S, &child("edge-1", 2), true, Some(at(0)), 0));
     assert_eq!(
         relay.renew(S, &child("edge-1", 1), true, Some(at(0)), 0),
-        Response::Refused(Refusal::Superseded)
+        Response::Rejected(RejectReason::Superseded)
     );
     assert!(!relay.takes_from(S, &child("edge-1", 1)) && relay.takes_from(S, &child("edge-1", 2)));
     relay.ordered(S, purge());
     relay.applied(&child("edge-1", 2), at(1));
-    assert_eq!(relay.sum(S).upto, at(0), "what the former life holds is still there");
-    assert_eq!(relay.sum(S + TERMS.outlasts(3 * S)).upto, at(1));
+    assert_eq!(relay.sum(S).acknowledged, at(0), "what the former life holds is still there");
+    assert_eq!(relay.sum(S + TERMS.outlasts(3 * S)).acknowledged, at(1));
 }
 
 #[test]
@@ -100,8 +100,8 @@
     relay.ordered(S, purge());
     relay.became_origin(S);
     let sum = relay.sum(S + 1);
-    assert_eq!((sum.upto, sum.missing_count), (at(0), 1));
-    assert_eq!(relay.sum(S + TERMS.outlasts(3 * S)).upto, at(1));
+    assert_eq!((sum.acknowledged, sum.missing_count), (at(0), 1));
+    assert_eq!(relay.sum(S + TERMS.outlasts(3 * S)).acknowledged, at(1));
 }
 
 #[test]
@@ -112,7 +112,7 @@
     relay.ordered(S, purge());
     assert!(granted(relay.renew(2 * S, &front, true, Some(at(0)), 0)) > 0, "not yet");
     match relay.renew(4 * S, &front, true, Some(at(0)), 0) {
-        Response::Granted { for_ns: 0, orders, .. } => assert_eq!(orders.len(), 1),
+        Response::LeaseGranted { for_ns: 0, orders, .. } => assert_eq!(orders.len(), 1),
         other => panic!("{other:?}"),
     }
     assert!(!relay.takes_from(4 * S, &front));
@@ -124,12 +124,12 @@
 fn what_is_unknown_of_another_log_or_ahead_is_told_so() {
     let mut relay = relay();
     let front = child("edge-1", 1);
-    for unknown in [None, Some(Position { log: 8, order: 0 })] {
+    for unknown in [None, Some(LogPosition { log: 8, index: 0 })] {
         assert!(
-            matches!(relay.renew(S, &front, true, unknown, 0), Response::Fresh { position, .. } if position == at(0))
+            matches!(relay.renew(S, &front, true, unknown, 0), Response::ResetRequired { position, .. } if position == at(0))
         );
     }
-    assert_eq!(relay.renew(S, &front, true, Some(at(5)), 0), Response::Refused(Refusal::Ahead));
+    assert_eq!(relay.renew(S, &front, true, Some(at(5)), 0), Response::Rejected(RejectReason::Ahead));
     // A fresh start that is not confirmed counts for nothing.
     assert!(!relay.takes_from(S, &front));
 }
@@ -147,7 +147,7 @@
 
 #[test]
 fn the_next_process_above_is_followed_after_two_failures_in_a_row() {
-    let mut above = Upward::new(2);
+    let mut above = UpstreamSelection::new(2);
     above.failed();
     assert!(above.gap_ns(&TERMS) < renew_gap_ns(&TERMS), "it is asked again soon");
     above.answered();
--- a/crates/lilacpitch-rpc/src/link.rs
+++ b/crates/lilacpitch-rpc/src/link.rs
@@ -4,7 +4,7 @@
 use futures_util::{SinkExt, StreamExt};
 use lilacpitch_fleet::error::FrameError;
 use lilacpitch_fleet::frame::{Reader, Writer, MAX_FRAME_BYTES};
-use lilacpitch_fleet::message::{Body, Hello, Refusal, Request, Response, Role, VERSION};
+use lilacpitch_fleet::message::{Body, Hello, RejectReason, Request, Response, Role, VERSION};
 use lilacpitch_gossip::Keys;
 use miette::Diagnostic;
 use parking_lot::Mutex;
@@ -111,7 +111,7 @@
             self.asked.lock().as_mut().and_then(|asked| asked.remove(&id));
             error
         };
-        match self.out.try_send(Body::Ask(id, request)) {
+        match self.out.try_send(Body::Request(id, request)) {
             Ok(()) => {}
             Err(mpsc::error::TrySendError::Full(_)) => return Err(forget(RpcError::Backlog)),
             Err(mpsc::error::TrySendError::Closed(_)) => return Err(forget(RpcError::Closed)),
@@ -174,7 +174,7 @@
     let mut rng = StdRng::try_from_os_rng().map_err(|e| wrong(&format!("no randomness: {e}")))?;
     let nonce: u64 = rng.random_range(1..=u64::MAX);
     let hello =
-        Hello { version: VERSION, name: me.name.clone(), life: me.life, role: me.role.clone(), nonce };
+        Hello { version: VERSION, name: me.name.clone(), incarnation: me.life, role: me.role.clone(), nonce };
     let (mut reader, mut writer) = (Reader::new(me.keys.clone(), nonce), Writer::new(me.keys.clone()));
     let first = writer.frame(&Body::Hello(hello), rng.random())?;
     let greeting = async {
@@ -261,9 +261,9 @@
                 let _ = give.send(response);
             }
         }
-        Body::Ask(id, request) => {
+        Body::Request(id, request) => {
             let Ok(permit) = at_once.clone().try_acquire_owned() else {
-                let full = Response::Refused(Refusal::Full { wait_ms: FULL_WAIT_MS });
+                let full = Response::Rejected(RejectReason::Overloaded { wait_ms: FULL_WAIT_MS });
                 let _ = link.out.try_send(Body::Answer(id, full));
                 return;
             };
--- a/crates/lilacpitch-rpc/tests/links.rs
+++ b/crates/lilacpitch-rpc/tests/links.rs
@@ -20,9 +20,9 @@
             match ask {
                 // Asks back over the same link before it answers.
                 Request::Progress => from.request(Request::ReadIndex, SOON).await.unwrap(),
-                Request::ReadIndex => Response::ReadIndex(from.peer.life),
-                Request::Leave => std::future::pending().await,
-                _ => Response::Refused(Refusal::Unwanted),
+                Request::ReadIndex => Response::ReadIndex(from.peer.incarnation),
+                Request::ReleaseLease => std::future::pending().await,
+                _ => Response::Rejected(RejectReason::Unsupported),
             }
         })
     }
@@ -56,14 +56,14 @@
     assert!(matches!(b, Err(RpcError::Frame(_) | RpcError::Greeting(_))));
     let (a, b) = pair(1).await;
     let (a, b) = (a.unwrap(), b.unwrap());
-    let asking = a.request(Request::Leave, SOON);
+    let asking = a.request(Request::ReleaseLease, SOON);
     let ending = async {
         tokio::time::sleep(Duration::from_millis(50)).await;
         b.close();
     };
     let (asked, ()) = tokio::join!(asking, ending);
     assert!(matches!(asked, Err(RpcError::Closed)));
-    let late = pair(1).await.0.unwrap().request(Request::Leave, Duration::from_millis(50)).await;
+    let late = pair(1).await.0.unwrap().request(Request::ReleaseLease, Duration::from_millis(50)).await;
     assert!(matches!(late, Err(RpcError::TimedOut)));
 }
 
@@ -73,7 +73,7 @@
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
     let (name, role) = ("later".to_string(), Role::Front);
-    let hello = Hello { version: VERSION + 1, name, life: 1, role, nonce: 7 };
+    let hello = Hello { version: VERSION + 1, name, incarnation: 1, role, nonce: 7 };
     let mut writer = Writer::new(Keys::from_bytes([1; 32]));
     let frame = writer.frame(&Body::Hello(hello), [3; 24]).unwrap();
     let later = async {
--- a/crates/lilacpitch-site/src/admin_pages.rs
+++ b/crates/lilacpitch-site/src/admin_pages.rs
@@ -2,7 +2,7 @@
 
 use crate::process::{now, Process};
 use lilacpitch_fleet::error::AuditError;
-use lilacpitch_fleet::message::{Request, Response, Scope, What};
+use lilacpitch_fleet::message::{Request, Response, PurgeScope, CommandAction};
 use lilacpitch_location::Number;
 use lilacpitch_protocol::handshake::plain_response;
 use lilacpitch_protocol::http;
@@ -73,7 +73,7 @@
         },
         ("POST", "/purge" | "/withdraw" | "/reinstate") => match order(path, asked) {
             Ok(what) => match process.up(Request::Submit(what)).await {
-                Response::Ordered(position) => ok(format!("ordered {position}\n")),
+                Response::Committed(position) => ok(format!("ordered {position}\n")),
                 other => unavailable(&other),
             },
             Err(what) => plain_response("400 Bad Request", "", &format!("{what}\n")),
@@ -84,29 +84,29 @@
 
 fn unavailable(other: &Response) -> Vec<u8> {
     let why = match other {
-        Response::Refused(why) => why.to_string(),
+        Response::Rejected(why) => why.to_string(),
         other => format!("{other:?}"),
     };
     plain_response("503 Service Unavailable", "", &format!("{why}\n"))
 }
 
-fn order(path: &str, asked: &str) -> Result<What, String> {
+fn order(path: &str, asked: &str) -> Result<CommandAction, String> {
     let (field, value) = asked.split_once('=').unwrap_or((asked, ""));
     let digest = || u64::from_str_radix(value, 16).map_err(|_| format!("settings {value:?}: not hex digits"));
     match (path, field) {
         ("/purge", "number") => {
             let number = Number::new(&value.replace("%23", "#")).map_err(|e| e.to_string())?;
-            Ok(What::Purge(vec![Scope::Number(number)]))
+            Ok(CommandAction::Purge(vec![PurgeScope::Number(number)]))
         }
         ("/purge", "prefix") if !value.is_empty() && Number::new(value).is_ok() => {
-            Ok(What::Purge(vec![Scope::Prefix(value.into())]))
+            Ok(CommandAction::Purge(vec![PurgeScope::Prefix(value.into())]))
         }
         ("/purge", "holder") if !value.is_empty() && value.len() <= 64 => {
-            Ok(What::Purge(vec![Scope::Holder(value.into())]))
+            Ok(CommandAction::Purge(vec![PurgeScope::Owner(value.into())]))
         }
-        ("/purge", "all") => Ok(What::Purge(vec![Scope::All])),
-        ("/withdraw", "settings") => digest().map(What::Withdraw),
-        ("/reinstate", "settings") => digest().map(What::Reinstate),
+        ("/purge", "all") => Ok(CommandAction::Purge(vec![PurgeScope::All])),
+        ("/withdraw", "settings") => digest().map(CommandAction::Withdraw),
+        ("/reinstate", "settings") => digest().map(CommandAction::Reinstate),
         _ => Err(format!("{path}?{asked}: not an order\n{PAGES}")),
     }
 }
@@ -132,7 +132,7 @@
         };
         for acted in all {
             let lags = match acted.span.position.log == position.log {
-                true => position.order.saturating_sub(acted.span.moved_to).to_string(),
+                true => position.index.saturating_sub(acted.span.moved_to).to_string(),
                 false => "other-log".into(),
             };
             let (v, span) = (acted.version, acted.span);
@@ -140,7 +140,7 @@
                 out,
                 "{}\tlife {}\tsettings {:016x}\tlist {:016x}\tbuild {}\tcaches {}\ttakes-calls {}\torders {}..{}\t\
                  since {}\tseen {}\tlags {}",
-                acted.front, acted.life, v.settings, v.list, v.build, v.caches, v.takes_calls, span.position,
+                acted.front, acted.incarnation, v.settings, v.endpoint_list, v.build, v.caches, v.takes_calls, span.position,
                 span.moved_to, span.from_ms, acted.seen_ms, lags
             );
         }
@@ -158,8 +158,8 @@
     let all = [
         ("rows", process.state.register.len() as u64),
         ("changes_not_ordered", pending as u64),
-        ("changes_ordered", ordered.order),
-        ("orders", relay_position.order),
+        ("changes_ordered", ordered.index),
+        ("orders", relay_position.index),
         ("children", children as u64),
         ("leads", u64::from(process.leads())),
         ("sites_unknown", process.catalogue.read().unknown(now()).len() as u64),
--- a/crates/lilacpitch-site/src/cli.rs
+++ b/crates/lilacpitch-site/src/cli.rs
@@ -3,7 +3,7 @@
 use crate::process::{self, Ready};
 use clap::{Parser, Subcommand};
 use lilacpitch_config::{ConfigError, LogFormat, Site, EDGE_SCHEMA};
-use lilacpitch_fleet::Guards;
+use lilacpitch_fleet::Safeguards;
 use miette::Diagnostic;
 use std::ffi::OsString;
 use std::io::{IsTerminal, Write};
@@ -40,12 +40,12 @@
 
 /// Runs the program. Exit codes: 0 done, 1 could not run or stopped by a fault, 2 wrong arguments or settings.
 pub fn main(args: impl IntoIterator<Item = OsString>) -> ExitCode {
-    main_with(args, Guards::default())
+    main_with(args, Safeguards::default())
 }
 
 /// With guards switched off: for the laboratory.
 #[doc(hidden)]
-pub fn main_with(args: impl IntoIterator<Item = OsString>, guards: Guards) -> ExitCode {
+pub fn main_with(args: impl IntoIterator<Item = OsString>, guards: Safeguards) -> ExitCode {
     let args = match Args::try_parse_from(args) {
         Ok(args) => args,
         Err(error) => {
@@ -87,7 +87,7 @@
     ExitCode::from(2)
 }
 
-fn run(config: &Path, guards: Guards) -> ExitCode {
+fn run(config: &Path, guards: Safeguards) -> ExitCode {
     let settings = match Site::load(config) {
         Ok(loaded) => loaded.value,
         Err(error) => return complain(&error),
--- a/crates/lilacpitch-site/src/lease_client.rs
+++ b/crates/lilacpitch-site/src/lease_client.rs
@@ -3,9 +3,9 @@
 use crate::log::Command;
 use crate::process::{now, wall_ms, Process};
 use lilacpitch_fleet::ack_aggregator::ChildId;
-use lilacpitch_fleet::lease_holder::Taken;
-use lilacpitch_fleet::log_tail::Window;
-use lilacpitch_fleet::message::{Order, Position, Request, Response};
+use lilacpitch_fleet::lease_holder::LeaseUpdate;
+use lilacpitch_fleet::log_tail::LogTail;
+use lilacpitch_fleet::message::{FleetCommand, LogPosition, Request, Response};
 use lilacpitch_rpc::{Dialer, RpcConnection};
 use std::sync::atomic::Ordering::Relaxed;
 use std::sync::Arc;
@@ -46,16 +46,16 @@
         let again = match above(&process) {
             Above::Origin => confirm(&process, asked_ns).await,
             Above::Leader(leader) => {
-                let said = leader.request(Request::Renew(Some(position)), process.patience()).await;
-                if let Ok(Response::Granted { for_ns, position, .. }) = said {
+                let said = leader.request(Request::RenewLease(Some(position)), process.patience()).await;
+                if let Ok(Response::LeaseGranted { for_ns, position, .. }) = said {
                     process.relay.lock().may_grant(asked_ns + for_ns, position);
                 }
                 false
             }
             Above::Parent(parent) => {
                 let applied = process.holder.lock().position();
-                match parent.request(Request::Renew(applied), process.patience()).await {
-                    Ok(Response::Refused(why)) => {
+                match parent.request(Request::RenewLease(applied), process.patience()).await {
+                    Ok(Response::Rejected(why)) => {
                         process.above.lock().failed();
                         tracing::debug!(%why, to = %parent.address, "no lease from above");
                         false
@@ -110,32 +110,32 @@
 /// What the process above answered; whether to ask again at once.
 fn renewed(process: &Process, asked_ns: u64, response: Response) -> bool {
     let granted = match &response {
-        Response::Granted { for_ns, position, .. } => Some((asked_ns + for_ns, *position)),
+        Response::LeaseGranted { for_ns, position, .. } => Some((asked_ns + for_ns, *position)),
         _ => None,
     };
     let taken = process.holder.lock().answered(asked_ns, response);
     match taken {
-        Taken::Orders(orders) => apply(process, orders),
-        Taken::Dropped => {
+        LeaseUpdate::Orders(orders) => apply(process, orders),
+        LeaseUpdate::Dropped => {
             let (position, withdrawn) = {
                 let holder = process.holder.lock();
                 (holder.position().unwrap_or_default(), holder.withdrawn().clone())
             };
             tracing::info!(%position, "a fresh start from above");
-            process.relay.lock().reset(Window::at(position, withdrawn));
+            process.relay.lock().reset(LogTail::at(position, withdrawn));
             process.ordered.send_modify(|count| *count += 1);
             return true;
         }
-        Taken::Nothing => {}
+        LeaseUpdate::Nothing => {}
     }
     let Some((until_ns, needs)) = granted else { return false };
     let mut relay = process.relay.lock();
     relay.may_grant(until_ns, needs);
-    !relay.position().reaches(needs)
+    !relay.position().includes(needs)
 }
 
 /// Applies orders that are next: what this process holds itself is nothing but its place in them.
-fn apply(process: &Process, orders: Vec<Order>) {
+fn apply(process: &Process, orders: Vec<FleetCommand>) {
     if orders.is_empty() {
         return;
     }
@@ -159,16 +159,16 @@
     /// Whether the log has orders that this process of the root has not taken from it yet.
     pub(crate) fn lacks_orders(&self) -> bool {
         let there = self.state.beside(|beside| beside.window.position());
-        !self.relay.lock().position().reaches(there)
+        !self.relay.lock().position().includes(there)
     }
 
     /// Orders from above.
-    pub(crate) async fn take_orders(&self, log: u64, orders: Vec<Order>) -> Response {
+    pub(crate) async fn take_orders(&self, log: u64, orders: Vec<FleetCommand>) -> Response {
         if self.is_root() {
             // They come by the log: it is waited for, and the position told.
             let last = orders.last().map_or(0, |order| order.number);
             let mut ordered = self.ordered.subscribe();
-            let there = ordered.wait_for(|_| self.relay.lock().position().order >= last);
+            let there = ordered.wait_for(|_| self.relay.lock().position().index >= last);
             let _ = tokio::time::timeout(LOG_PATIENCE, there).await;
             return Response::Applied(self.relay.lock().position());
         }
@@ -189,7 +189,7 @@
         children.retain(|_, link| !link.is_closed());
         children.insert(who.clone(), link.clone());
         drop(children);
-        tracing::info!(child = who.name, life = who.life, "child is here");
+        tracing::info!(child = who.name, life = who.incarnation, "child is here");
         tokio::spawn(pump(self.clone(), who, link.clone()));
     }
 }
@@ -211,7 +211,7 @@
             }
             continue;
         }
-        match link.request(Request::Orders { log, orders }, process.patience()).await {
+        match link.request(Request::Commands { log, orders }, process.patience()).await {
             Ok(Response::Applied(upto)) => {
                 process.relay.lock().applied(&who, upto);
                 process.acked.send_modify(|count| *count += 1);
@@ -241,7 +241,7 @@
         let here = process.relay.lock().position();
         let (there, orders) = process
             .state
-            .beside(|beside| (beside.window.position(), beside.window.after(here.order, usize::MAX)));
+            .beside(|beside| (beside.window.position(), beside.window.after(here.index, usize::MAX)));
         if there != here {
             let now = now();
             match orders.filter(|_| there.log == here.log) {
@@ -268,7 +268,7 @@
 /// Says upwards how far all below are, whenever that has changed and with each lease.
 pub(crate) async fn say_sums(process: Arc<Process>) {
     let mut acked = process.acked.subscribe();
-    let mut said: Option<(Position, u32, u64)> = None;
+    let mut said: Option<(LogPosition, u32, u64)> = None;
     loop {
         let round = *acked.borrow_and_update();
         let sum = process.relay.lock().sum(now());
@@ -278,10 +278,10 @@
         };
         let waits = sum.missing_count > 0;
         // Each renewal counts as news: the process above may be another one by now.
-        let news = said.is_none_or(|(upto, missing, _)| (upto, missing) != (sum.upto, sum.missing_count));
+        let news = said.is_none_or(|(upto, missing, _)| (upto, missing) != (sum.acknowledged, sum.missing_count));
         if let Some(way) = to.filter(|_| news || said.is_none_or(|(.., at)| at != round)) {
-            let (upto, missing_count) = (sum.upto, sum.missing_count);
-            let say = Request::Sum { upto, missing: sum.missing, missing_count };
+            let (upto, missing_count) = (sum.acknowledged, sum.missing_count);
+            let say = Request::ReportAcknowledged { acknowledged: upto, missing: sum.missing, missing_count };
             match way.request(say, process.patience()).await {
                 Ok(_) => said = Some((upto, missing_count, round)),
                 Err(_) => tokio::time::sleep(LOOK).await,
@@ -296,13 +296,13 @@
 
 /// A holder knows later orders of this log than the root: the root has lost some. A new log begins, and everybody
 /// starts afresh.
-pub(crate) async fn begin_log_anew(process: Arc<Process>, ahead: Option<Position>) {
+pub(crate) async fn begin_log_anew(process: Arc<Process>, ahead: Option<LogPosition>) {
     let Some(index) = process.read_index().await else { return };
     if !process.wait_applied(index, LOG_PATIENCE).await {
         return;
     }
     let here = process.state.beside(|beside| beside.window.position());
-    let Some(ahead) = ahead.filter(|ahead| ahead.log == here.log && ahead.order > here.order) else { return };
+    let Some(ahead) = ahead.filter(|ahead| ahead.log == here.log && ahead.index > here.index) else { return };
     tracing::error!(%ahead, %here, "orders are lost at the root: a new log begins");
     if let Some(raft) = process.raft() {
         if let Err(error) = raft.client_write(Command::NewLog(wall_ms().max(here.log + 1))).await {
--- a/crates/lilacpitch-site/src/log/join.rs
+++ b/crates/lilacpitch-site/src/log/join.rs
@@ -68,16 +68,16 @@
     let (began, mut told) = (Instant::now(), false);
     loop {
         let verdict = process.rejoin.lock().verdict();
-        if verdict != Verdict::Wait || !process.guards.disks {
+        if verdict != Verdict::Wait || !process.guards.disk_loss {
             return verdict;
         }
         let mut asking = tokio::task::JoinSet::new();
         for place in (0..process.siblings.len()).filter(|place| *place != process.settings.place) {
             let process = process.clone();
-            asking.spawn(async move { (place, process.ask(place, Request::Standing).await) });
+            asking.spawn(async move { (place, process.ask(place, Request::HeldVote).await) });
         }
         while let Some(answered) = asking.join_next().await {
-            if let Ok((place, Response::Standing(vote))) = answered {
+            if let Ok((place, Response::HeldVote(vote))) = answered {
                 process.rejoin.lock().heard(place, vote);
             }
         }
@@ -113,17 +113,17 @@
     pub(crate) async fn standing(&self, asks: usize) -> Response {
         self.rejoin.lock().heard(asks, None);
         if !self.joined.load(Relaxed) {
-            return Response::Standing(None);
+            return Response::HeldVote(None);
         }
         let mut store = self.store.clone();
         match store.read_vote().await {
             // One that has just joined may not have voted yet.
-            Ok(vote) => Response::Standing(Some(vote.map(vote_of).unwrap_or(LogVote {
+            Ok(vote) => Response::HeldVote(Some(vote.map(vote_of).unwrap_or(LogVote {
                 term: 0,
                 node: 0,
                 committed: false,
             }))),
-            Err(error) => Response::Refused(lilacpitch_fleet::message::Refusal::Failed(error.to_string())),
+            Err(error) => Response::Rejected(lilacpitch_fleet::message::RejectReason::Failed(error.to_string())),
         }
     }
 }
--- a/crates/lilacpitch-site/src/log/mod.rs
+++ b/crates/lilacpitch-site/src/log/mod.rs
@@ -11,8 +11,8 @@
 pub mod state;
 pub mod store;
 
-use lilacpitch_fleet::audit::Record;
-use lilacpitch_fleet::message::{Position, RowChange, What};
+use lilacpitch_fleet::audit::AuditRecord;
+use lilacpitch_fleet::message::{LogPosition, RecordChange, CommandAction};
 use openraft::{BasicNode, Config, SnapshotPolicy};
 use serde::{Deserialize, Serialize};
 use std::io::Cursor;
@@ -38,17 +38,17 @@
     /// All rows go that a front wrote in lives before this one.
     WithdrawFront(String, u64),
     /// Changes up to this number are ordered, the last at this position.
-    Ordered(u64, Position),
+    Ordered(u64, LogPosition),
     /// The register begins, empty, at this moment in milliseconds since 1970: what it may have held before is lost.
     Begin(u64),
     /// Whoever has rows here has had the time to write them again: what is not found is not there.
     Ready,
     /// At the root: orders, in turn.
-    Order(Vec<What>),
+    Order(Vec<CommandAction>),
     /// At the root: a new log of orders begins.
     NewLog(u64),
     /// At the root: what fronts say of themselves.
-    Audit(Vec<Record>),
+    Audit(Vec<AuditRecord>),
 }
 
 /// Changes of one front's rows, as it numbered them.
@@ -61,7 +61,7 @@
     /// The number of the first change.
     pub first: u64,
     /// The changes.
-    pub changes: Vec<RowChange>,
+    pub changes: Vec<RecordChange>,
 }
 
 /// What an entry has done.
@@ -71,7 +71,7 @@
     #[default]
     Done,
     /// The last order's position.
-    At(Position),
+    At(LogPosition),
     /// Nothing: why.
     Refused(String),
 }
--- a/crates/lilacpitch-site/src/log/state.rs
+++ b/crates/lilacpitch-site/src/log/state.rs
@@ -2,9 +2,9 @@
 //! audit.
 
 use super::{Applied, Command, Written};
-use lilacpitch_fleet::audit::Ledger;
-use lilacpitch_fleet::log_tail::Window;
-use lilacpitch_fleet::message::{Pending, Position, RowChange, What, MAX_SCOPES};
+use lilacpitch_fleet::audit::AuditLog;
+use lilacpitch_fleet::log_tail::LogTail;
+use lilacpitch_fleet::message::{PendingPurges, LogPosition, RecordChange, CommandAction, MAX_SCOPES};
 use lilacpitch_location::{Key, Kind, LocationError, LocationRecord, LocationStore, Number};
 use parking_lot::Mutex;
 use serde::{Deserialize, Serialize};
@@ -22,11 +22,11 @@
     /// The number of the last change.
     pub changes: u64,
     /// The last order of this site's changes.
-    pub ordered: Position,
+    pub ordered: LogPosition,
     /// At the root: the orders.
-    pub window: Window,
+    pub window: LogTail,
     /// At the root: the audit.
-    pub ledger: Ledger,
+    pub ledger: AuditLog,
     /// The last change of each front's rows: its life and its number there.
     pub written: BTreeMap<String, (u64, u64)>,
     /// How often a front's rows were swept out: those that live write them again.
@@ -83,7 +83,7 @@
             Command::Order(all) => {
                 let mut beside = self.beside.lock();
                 let wrong =
-                    all.iter().any(|what| matches!(what, What::Purge(scopes) if scopes.len() > MAX_SCOPES));
+                    all.iter().any(|what| matches!(what, CommandAction::Purge(scopes) if scopes.len() > MAX_SCOPES));
                 if wrong || beside.window.position().log == 0 {
                     return Applied::Refused("an order with too many scopes, or no log to order in".into());
                 }
@@ -95,7 +95,7 @@
             Command::NewLog(log) => {
                 let mut beside = self.beside.lock();
                 let withdrawn = beside.window.withdrawn().clone();
-                beside.window = Window::at(Position { log, order: 0 }, withdrawn);
+                beside.window = LogTail::at(LogPosition { log, index: 0 }, withdrawn);
                 Applied::Done
             }
             Command::Begin(at_ms) => {
@@ -130,13 +130,13 @@
         for change in written.changes.into_iter().skip(seen) {
             let key = match change {
                 // Written again as it stands: nothing has changed for anybody.
-                RowChange::Put(row) if self.has(&row) => continue,
-                RowChange::Put(row) => {
+                RecordChange::Upsert(row) if self.has(&row) => continue,
+                RecordChange::Upsert(row) => {
                     let key = row.key.clone();
                     self.register.put(row);
                     key
                 }
-                RowChange::Withdraw(key) => match self.register.withdraw(&key) {
+                RecordChange::Withdraw(key) => match self.register.withdraw(&key) {
                     Some(_) => key,
                     None => continue,
                 },
@@ -155,11 +155,11 @@
     }
 
     /// For summaries: what changed and is not ordered.
-    pub fn pending(&self) -> (Pending, Position) {
+    pub fn pending(&self) -> (PendingPurges, LogPosition) {
         let beside = self.beside.lock();
         let pending = match beside.outbox.len() {
-            0..=PENDING_NAMED => Pending::Some(beside.outbox.values().map(Number::hash64).collect()),
-            _ => Pending::Many,
+            0..=PENDING_NAMED => PendingPurges::Some(beside.outbox.values().map(Number::hash64).collect()),
+            _ => PendingPurges::Many,
         };
         (pending, beside.ordered)
     }
--- a/crates/lilacpitch-site/src/process.rs
+++ b/crates/lilacpitch-site/src/process.rs
@@ -6,16 +6,16 @@
 use crate::log::{join, Raft};
 use crate::{admin_pages, lease_client, record_store, summaries};
 use lilacpitch_config::Site;
-use lilacpitch_fleet::ack_aggregator::{ChildId, Relay};
+use lilacpitch_fleet::ack_aggregator::{ChildId, AckAggregator};
 use lilacpitch_fleet::catalogue::Catalogue;
-use lilacpitch_fleet::concurrency_limit::Room;
-use lilacpitch_fleet::disk_loss_recovery::Rejoin;
+use lilacpitch_fleet::concurrency_limit::ConcurrencyLimit;
+use lilacpitch_fleet::disk_loss_recovery::DiskLossRecovery;
 use lilacpitch_fleet::error::LogError;
-use lilacpitch_fleet::lease::Terms;
-use lilacpitch_fleet::lease_holder::Holder;
+use lilacpitch_fleet::lease::LeaseTerms;
+use lilacpitch_fleet::lease_holder::LeaseHolder;
 use lilacpitch_fleet::message::{Request, Role};
-use lilacpitch_fleet::upstream_selection::Upward;
-use lilacpitch_fleet::Guards;
+use lilacpitch_fleet::upstream_selection::UpstreamSelection;
+use lilacpitch_fleet::Safeguards;
 use lilacpitch_gossip::Keys;
 use lilacpitch_rpc::{
     accept, steady_ns, Dialer, LocalIdentity, RequestHandler, ResponseFuture, RpcConnection,
@@ -94,36 +94,36 @@
 pub struct Process {
     pub(crate) settings: Site,
     pub(crate) me: LocalIdentity,
-    pub(crate) guards: Guards,
+    pub(crate) guards: Safeguards,
     pub(crate) state: Arc<State>,
     pub(crate) raft: OnceLock<Raft>,
     pub(crate) store: Store,
     /// This process takes part in full: its disk holds all that it ever promised.
     pub(crate) joined: AtomicBool,
     /// With a new disk: what was heard of the others.
-    pub(crate) rejoin: Mutex<Rejoin>,
+    pub(crate) rejoin: Mutex<DiskLossRecovery>,
     /// The index of the last entry applied here.
     pub(crate) applied: watch::Receiver<u64>,
     /// The site's processes by place, this one's own place among them.
     pub(crate) siblings: Arc<[Arc<Dialer>]>,
     /// Those of the site above; none at the root.
     pub(crate) parents: Vec<Arc<Dialer>>,
-    pub(crate) relay: Mutex<Relay>,
-    pub(crate) holder: Mutex<Holder>,
+    pub(crate) relay: Mutex<AckAggregator>,
+    pub(crate) holder: Mutex<LeaseHolder>,
     pub(crate) catalogue: RwLock<Catalogue>,
     pub(crate) children: Mutex<BTreeMap<ChildId, Arc<RpcConnection>>>,
     /// Grows with each order here, and with each thing that a sum may rest on.
     pub(crate) ordered: watch::Sender<u64>,
     pub(crate) acked: watch::Sender<u64>,
     /// Which process above is followed now.
-    pub(crate) above: Mutex<Upward>,
-    pub(crate) terms: Terms,
+    pub(crate) above: Mutex<UpstreamSelection>,
+    pub(crate) terms: LeaseTerms,
     /// The term in which this process was last confirmed to lead the root, and all who may hold leases of a former
     /// leader were reckoned with; 0: none.
     pub(crate) origin_term: AtomicU64,
     pub(crate) reads: record_store::Reads,
     pub(crate) writes: record_store::Writes,
-    pub(crate) room: Mutex<Room>,
+    pub(crate) room: Mutex<ConcurrencyLimit>,
     pub(crate) counters: Counters,
 }
 
@@ -180,7 +180,7 @@
 /// Runs a process until `stop`, or until its log fails.
 pub async fn run(
     settings: Site,
-    guards: Guards,
+    guards: Safeguards,
     ready: impl FnOnce(Ready),
     stop: impl std::future::Future<Output = ()>,
 ) -> Result<(), RunError> {
@@ -217,10 +217,10 @@
     };
     let page_address = page_listener.as_ref().and_then(|listener| listener.local_addr().ok());
 
-    let terms = Terms {
+    let terms = LeaseTerms {
         lease_ns: settings.terms.lease_ns,
         clock_allowance: settings.terms.clock_allowance,
-        straggler_ns: settings.terms.straggler_ns,
+        lagging_after_ns: settings.terms.straggler_ns,
     };
     let others = settings.sites.iter().map(|site| site.name.as_str()).filter(|name| *name != settings.site);
     let catalogue = Catalogue::new(others, settings.terms.settle_ns, terms, guards);
@@ -232,22 +232,22 @@
         raft: OnceLock::new(),
         store,
         joined,
-        rejoin: Mutex::new(Rejoin::new(siblings.len())),
+        rejoin: Mutex::new(DiskLossRecovery::new(siblings.len())),
         applied,
         siblings,
         parents,
-        relay: Mutex::new(Relay::new(terms, guards)),
-        holder: Mutex::new(Holder::default()),
+        relay: Mutex::new(AckAggregator::new(terms, guards)),
+        holder: Mutex::new(LeaseHolder::default()),
         catalogue: RwLock::new(catalogue),
         children: Mutex::new(BTreeMap::new()),
         ordered: watch::Sender::new(0),
         acked: watch::Sender::new(0),
-        above: Mutex::new(Upward::new(settings.place)),
+        above: Mutex::new(UpstreamSelection::new(settings.place)),
         terms,
         origin_term: AtomicU64::new(0),
         reads,
         writes,
-        room: Mutex::new(Room::new(settings.questions)),
+        room: Mutex::new(ConcurrencyLimit::new(settings.questions)),
         counters: Counters::default(),
         me,
         settings,
--- a/crates/lilacpitch-site/src/record_store.rs
+++ b/crates/lilacpitch-site/src/record_store.rs
@@ -3,8 +3,8 @@
 use crate::log::{Applied, Command, Written};
 use crate::process::{now, wall_ms, Process};
 use lilacpitch_fleet::ack_aggregator::ChildId;
-use lilacpitch_fleet::audit::Record;
-use lilacpitch_fleet::message::{Refusal, Request, Response, RowChange, Scope, What};
+use lilacpitch_fleet::audit::AuditRecord;
+use lilacpitch_fleet::message::{RejectReason, Request, Response, RecordChange, PurgeScope, CommandAction};
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::atomic::Ordering::Relaxed;
 use std::sync::Arc;
@@ -39,21 +39,21 @@
     async fn command(&self, command: Command) -> Response {
         let (give, take) = oneshot::channel();
         if self.0.try_send(Writing { command, give }).is_err() {
-            return Response::Refused(Refusal::Full { wait_ms: FULL_WAIT_MS });
+            return Response::Rejected(RejectReason::Overloaded { wait_ms: FULL_WAIT_MS });
         }
-        take.await.unwrap_or(Response::Refused(Refusal::NoLeader))
+        take.await.unwrap_or(Response::Rejected(RejectReason::NoLeader))
     }
 
-    pub async fn rows(&self, who: ChildId, first: u64, changes: Vec<RowChange>) -> Response {
-        let written = Written { front: who.name, life: who.life, first, changes };
+    pub async fn rows(&self, who: ChildId, first: u64, changes: Vec<RecordChange>) -> Response {
+        let written = Written { front: who.name, life: who.incarnation, first, changes };
         self.command(Command::Rows(vec![written])).await
     }
 
-    pub async fn order(&self, what: What) -> Response {
+    pub async fn order(&self, what: CommandAction) -> Response {
         self.command(Command::Order(vec![what])).await
     }
 
-    pub async fn audit(&self, records: Vec<Record>) -> Response {
+    pub async fn audit(&self, records: Vec<AuditRecord>) -> Response {
         self.command(Command::Audit(records)).await
     }
 
@@ -105,12 +105,12 @@
         let Some(raft) = process.raft() else { continue };
         let said = match raft.client_write(command).await.map(|written| written.data) {
             Ok(Applied::Done) => Response::Written,
-            Ok(Applied::At(position)) => Response::Ordered(position),
-            Ok(Applied::Refused(why)) => Response::Refused(Refusal::Failed(why)),
+            Ok(Applied::At(position)) => Response::Committed(position),
+            Ok(Applied::Refused(why)) => Response::Rejected(RejectReason::Failed(why)),
             Err(error) if error.forward_to_leader::<openraft::BasicNode>().is_some() => {
-                Response::Refused(Refusal::NoLeader)
+                Response::Rejected(RejectReason::NoLeader)
             }
-            Err(error) => Response::Refused(Refusal::Failed(error.to_string())),
+            Err(error) => Response::Rejected(RejectReason::Failed(error.to_string())),
         };
         if said == Response::Written {
             process.counters.written.fetch_add(rows, Relaxed);
@@ -178,9 +178,9 @@
             let _ = tokio::time::timeout(AGAIN * 4, applied.changed()).await;
             continue;
         };
-        let scopes = numbers.into_iter().map(Scope::Number).collect();
-        match process.up(Request::Submit(What::Purge(scopes))).await {
-            Response::Ordered(position) => {
+        let scopes = numbers.into_iter().map(PurgeScope::Number).collect();
+        match process.up(Request::Submit(CommandAction::Purge(scopes))).await {
+            Response::Committed(position) => {
                 let Some(raft) = process.raft() else { continue };
                 if let Err(error) = raft.client_write(Command::Ordered(upto, position)).await {
                     // It is ordered again, by whoever leads: a purge may come twice.
@@ -233,14 +233,14 @@
         let fronts = process.relay.lock().fronts(now);
         let mut due: Vec<(ChildId, String, u64)> = Vec::new();
         for (id, out_for_ns) in fronts {
-            if lives.get(&id.name).is_none_or(|life| *life < id.life) {
-                lives.insert(id.name.clone(), id.life);
-                due.push((id.clone(), id.name.clone(), id.life));
+            if lives.get(&id.name).is_none_or(|life| *life < id.incarnation) {
+                lives.insert(id.name.clone(), id.incarnation);
+                due.push((id.clone(), id.name.clone(), id.incarnation));
             }
             if out_for_ns < kept_ns {
                 swept.remove(&id);
-            } else if lives.get(&id.name) == Some(&id.life) && swept.insert(id.clone()) {
-                due.push((id.clone(), id.name, id.life + 1));
+            } else if lives.get(&id.name) == Some(&id.incarnation) && swept.insert(id.clone()) {
+                due.push((id.clone(), id.name, id.incarnation + 1));
             }
         }
         for (id, front, before) in due {
@@ -249,12 +249,12 @@
                     process.writes.withdraw_front(front, before).await
                 }
                 Some(place) => {
-                    let sweep = Box::new(Request::Sweep(front, before));
+                    let sweep = Box::new(Request::RemoveOlderIncarnations(front, before));
                     process
                         .ask(place, Request::Forwarded(process.me.name.clone(), process.me.life, sweep))
                         .await
                 }
-                None => Response::Refused(Refusal::NoLeader),
+                None => Response::Rejected(RejectReason::NoLeader),
             };
             if said != Response::Written {
                 swept.remove(&id);
--- a/crates/lilacpitch-site/src/request_handler.rs
+++ b/crates/lilacpitch-site/src/request_handler.rs
@@ -2,8 +2,8 @@
 
 use crate::log::Types;
 use crate::process::{now, Process};
-use lilacpitch_fleet::ack_aggregator::{ChildId, Sum};
-use lilacpitch_fleet::message::{LogMessage, Refusal, Request, Response, Role, RowChange, MAX_ROWS};
+use lilacpitch_fleet::ack_aggregator::{AggregatedAck, ChildId};
+use lilacpitch_fleet::message::{LogMessage, RejectReason, Request, Response, Role, RecordChange, MAX_RECORDS};
 use lilacpitch_location::{Key, Query, QueryTarget};
 use lilacpitch_rpc::{RequestHandler, ResponseFuture, RpcConnection};
 use openraft::raft::{AppendEntriesRequest, InstallSnapshotRequest, VoteRequest};
@@ -27,73 +27,73 @@
 
 impl Place {
     fn take(process: &Arc<Process>, urgent: bool) -> Option<Self> {
-        process.room.lock().enter(urgent).then(|| Place(process.clone(), urgent))
+        process.room.lock().try_acquire(urgent).then(|| Place(process.clone(), urgent))
     }
 }
 
 impl Drop for Place {
     fn drop(&mut self) {
-        self.0.room.lock().leave(self.1);
+        self.0.room.lock().release(self.1);
     }
 }
 
-fn refused(why: Refusal) -> Response {
-    Response::Refused(why)
+fn refused(why: RejectReason) -> Response {
+    Response::Rejected(why)
 }
 
 impl Process {
     async fn answer(self: Arc<Self>, from: Arc<RpcConnection>, ask: Request) -> Response {
-        let who = ChildId { name: from.peer.name.clone(), life: from.peer.life };
+        let who = ChildId { name: from.peer.name.clone(), incarnation: from.peer.incarnation };
         let is_sibling = matches!(&from.peer.role, Role::Process(site, _) if *site == self.settings.site);
         match ask {
-            Request::Renew(applied) => self.renew(&from, who, applied),
-            Request::Sum { upto, missing, missing_count } => {
-                self.relay.lock().summed(&who, Sum { upto, missing, missing_count });
+            Request::RenewLease(applied) => self.renew(&from, who, applied),
+            Request::ReportAcknowledged { acknowledged, missing, missing_count } => {
+                self.relay.lock().summed(&who, AggregatedAck { acknowledged, missing, missing_count });
                 self.acked.send_modify(|count| *count += 1);
                 Response::Done
             }
-            Request::Leave => {
+            Request::ReleaseLease => {
                 self.relay.lock().left(&who);
                 self.acked.send_modify(|count| *count += 1);
                 Response::Done
             }
-            Request::Orders { log, orders } => self.take_orders(log, orders).await,
+            Request::Commands { log, orders } => self.take_orders(log, orders).await,
             Request::Submit(_) | Request::Progress | Request::Audit(_) => self.up(ask).await,
             Request::Write { first, changes } => self.write(who, first, changes).await,
             Request::Forwarded(name, life, request) if is_sibling => {
-                self.forwarded(ChildId { name, life }, *request).await
+                self.forwarded(ChildId { name, incarnation: life }, *request).await
             }
-            Request::Find { query, after, limit, urgent } => {
+            Request::FindRecords { query, after, limit, urgent } => {
                 let Some(_place) = Place::take(&self, urgent) else {
                     self.counters.full.fetch_add(1, Relaxed);
-                    return refused(Refusal::Full { wait_ms: FULL_WAIT_MS });
+                    return refused(RejectReason::Overloaded { wait_ms: FULL_WAIT_MS });
                 };
                 self.find(query, after, limit).await
             }
             Request::Summaries(known) => self.summaries(known).await,
             Request::ReadIndex if is_sibling => match self.read_index().await {
                 Some(index) => Response::ReadIndex(index),
-                None => refused(Refusal::Behind),
+                None => refused(RejectReason::Behind),
             },
-            Request::Standing if is_sibling => match &from.peer.role {
+            Request::HeldVote if is_sibling => match &from.peer.role {
                 Role::Process(_, place) => self.standing(*place as usize).await,
-                Role::Front => refused(Refusal::Unwanted),
+                Role::Front => refused(RejectReason::Unsupported),
             },
             Request::Log(message) if is_sibling => self.log_message(message).await,
             Request::Forwarded(..)
-            | Request::Sweep(..)
+            | Request::RemoveOlderIncarnations(..)
             | Request::ReadIndex
-            | Request::Standing
-            | Request::Log(_) => refused(Refusal::Unwanted),
+            | Request::HeldVote
+            | Request::Log(_) => refused(RejectReason::Unsupported),
         }
     }
 
     async fn find(self: &Arc<Self>, query: Query, after: Option<Key>, limit: u32) -> Response {
-        if self.guards.ages && !self.can_tell().await {
+        if self.guards.summary_age && !self.can_tell().await {
             self.counters.behind.fetch_add(1, Relaxed);
-            return refused(Refusal::Behind);
+            return refused(RejectReason::Behind);
         }
-        let limit = (limit as usize).clamp(1, MAX_ROWS);
+        let limit = (limit as usize).clamp(1, MAX_RECORDS);
         let page = match &query.target {
             QueryTarget::Number(_) => self.state.register.find(&query, after.as_ref(), limit),
             // All shards are walked through: on a thread that nothing else waits for.
@@ -102,7 +102,7 @@
                 let walk = move || process.state.register.find(&query, after.as_ref(), limit);
                 match tokio::task::spawn_blocking(walk).await {
                     Ok(page) => page,
-                    Err(error) => return refused(Refusal::Failed(error.to_string())),
+                    Err(error) => return refused(RejectReason::Failed(error.to_string())),
                 }
             }
         };
@@ -114,19 +114,19 @@
         self: &Arc<Self>,
         from: &Arc<RpcConnection>,
         who: ChildId,
-        applied: Option<lilacpitch_fleet::message::Position>,
+        applied: Option<lilacpitch_fleet::message::LogPosition>,
     ) -> Response {
         let is_front = from.peer.role == Role::Front;
         let register = self.state.register_of(&who.name);
         let said = self.relay.lock().renew(now(), &who, is_front, applied, register);
         match &said {
-            Response::Granted { for_ns, .. } => {
+            Response::LeaseGranted { for_ns, .. } => {
                 let counter = if *for_ns > 0 { &self.counters.granted } else { &self.counters.not_granted };
                 counter.fetch_add(1, Relaxed);
                 self.child_is_here(who, from);
                 self.acked.send_modify(|count| *count += 1);
             }
-            Response::Refused(Refusal::Ahead) => {
+            Response::Rejected(RejectReason::Ahead) => {
                 self.counters.not_granted.fetch_add(1, Relaxed);
                 if self.is_root() && self.leads() {
                     tokio::spawn(crate::lease_client::begin_log_anew(self.clone(), applied));
@@ -146,22 +146,22 @@
                     let forward = Request::Forwarded(self.me.name.clone(), self.me.life, Box::new(ask));
                     return self.ask(place, forward).await;
                 }
-                None => return refused(Refusal::NoLeader),
+                None => return refused(RejectReason::NoLeader),
             }
         }
         let parent = self.parent();
         parent
             .request(ask, self.patience() * 2)
             .await
-            .unwrap_or_else(|e| refused(Refusal::Failed(e.to_string())))
+            .unwrap_or_else(|e| refused(RejectReason::Failed(e.to_string())))
     }
 
     /// Asks a sibling.
     pub(crate) async fn ask(&self, place: usize, request: Request) -> Response {
-        let Some(way) = self.siblings.get(place) else { return refused(Refusal::NoLeader) };
+        let Some(way) = self.siblings.get(place) else { return refused(RejectReason::NoLeader) };
         way.request(request, self.patience())
             .await
-            .unwrap_or_else(|e| refused(Refusal::Failed(e.to_string())))
+            .unwrap_or_else(|e| refused(RejectReason::Failed(e.to_string())))
     }
 
     async fn at_root(self: &Arc<Self>, ask: Request) -> Response {
@@ -169,78 +169,78 @@
             Request::Submit(what) => self.writes.order(what).await,
             Request::Audit(records) => self.writes.audit(records).await,
             // Fresh in the lead, it knows of nobody below yet, or has not taken all orders from its log.
-            Request::Progress if !self.is_origin() || self.lacks_orders() => refused(Refusal::NoLeader),
+            Request::Progress if !self.is_origin() || self.lacks_orders() => refused(RejectReason::NoLeader),
             Request::Progress => {
                 let mut relay = self.relay.lock();
                 let sum = relay.sum(now());
                 Response::Progress {
                     ordered: relay.position(),
-                    complete: sum.upto.order,
+                    complete: sum.acknowledged.index,
                     missing: sum.missing,
                     missing_count: sum.missing_count,
                 }
             }
-            _ => refused(Refusal::Unwanted),
+            _ => refused(RejectReason::Unsupported),
         }
     }
 
     async fn forwarded(self: &Arc<Self>, who: ChildId, request: Request) -> Response {
         if !self.leads() {
-            return refused(Refusal::NoLeader);
+            return refused(RejectReason::NoLeader);
         }
         match request {
             // The sibling that took it has looked at the front's lease.
             Request::Write { first, changes } => self.writes.rows(who, first, changes).await,
-            Request::Sweep(front, before) => self.writes.withdraw_front(front, before).await,
+            Request::RemoveOlderIncarnations(front, before) => self.writes.withdraw_front(front, before).await,
             other if self.is_root() => self.at_root(other).await,
             other => {
                 tracing::debug!(who = who.name, ?other, "forwarded, and not wanted");
-                refused(Refusal::Unwanted)
+                refused(RejectReason::Unsupported)
             }
         }
     }
 
-    async fn write(self: &Arc<Self>, who: ChildId, first: u64, changes: Vec<RowChange>) -> Response {
-        if changes.len() > MAX_ROWS {
-            return refused(Refusal::Malformed(format!("{} rows, {MAX_ROWS} at most", changes.len())));
+    async fn write(self: &Arc<Self>, who: ChildId, first: u64, changes: Vec<RecordChange>) -> Response {
+        if changes.len() > MAX_RECORDS {
+            return refused(RejectReason::Malformed(format!("{} rows, {MAX_RECORDS} at most", changes.len())));
         }
         for change in &changes {
             let (key, wrong) = match change {
-                RowChange::Put(row) => (&row.key, row.check().err()),
-                RowChange::Withdraw(key) => (key, None),
+                RecordChange::Upsert(row) => (&row.key, row.check().err()),
+                RecordChange::Withdraw(key) => (key, None),
             };
-            let foreign = key.owner.front != who.name || key.owner.incarnation != who.life;
+            let foreign = key.owner.front != who.name || key.owner.incarnation != who.incarnation;
             let what = wrong.map(|e| e.to_string());
             if let Some(what) = what.or(foreign.then(|| format!("a row of {}", key.owner.front))) {
-                return refused(Refusal::Malformed(what));
+                return refused(RejectReason::Malformed(what));
             }
         }
         if !self.relay.lock().takes_from(now(), &who) {
             self.counters.fenced.fetch_add(1, Relaxed);
-            return refused(Refusal::Fenced);
+            return refused(RejectReason::Fenced);
         }
         match self.leader() {
             Some(place) if place == self.settings.place => self.writes.rows(who, first, changes).await,
             Some(place) => {
                 let forward =
-                    Request::Forwarded(who.name, who.life, Box::new(Request::Write { first, changes }));
+                    Request::Forwarded(who.name, who.incarnation, Box::new(Request::Write { first, changes }));
                 self.ask(place, forward).await
             }
-            None => refused(Refusal::NoLeader),
+            None => refused(RejectReason::NoLeader),
         }
     }
 
     async fn log_message(&self, message: LogMessage) -> Response {
-        let Some(raft) = self.raft() else { return refused(Refusal::NoLeader) };
-        fn read<T: DeserializeOwned>(bytes: &[u8]) -> Result<T, Refusal> {
-            postcard::from_bytes(bytes).map_err(|e| Refusal::Malformed(e.to_string()))
+        let Some(raft) = self.raft() else { return refused(RejectReason::NoLeader) };
+        fn read<T: DeserializeOwned>(bytes: &[u8]) -> Result<T, RejectReason> {
+            postcard::from_bytes(bytes).map_err(|e| RejectReason::Malformed(e.to_string()))
         }
         fn said<A: Serialize, E: Serialize>(result: Result<A, E>) -> Response {
             let bytes = match &result {
                 Ok(answer) => postcard::to_allocvec(answer).map(Ok),
                 Err(error) => postcard::to_allocvec(error).map(Err),
             };
-            bytes.map_or_else(|e| refused(Refusal::Malformed(e.to_string())), Response::Log)
+            bytes.map_or_else(|e| refused(RejectReason::Malformed(e.to_string())), Response::Log)
         }
         match message {
             LogMessage::Append(bytes) => match read::<AppendEntriesRequest<Types>>(&bytes) {
@@ -248,7 +248,7 @@
                 Err(refusal) => refused(refusal),
             },
             // On a former disk this process may have promised what such a vote would break.
-            LogMessage::Vote(_) if !self.joined.load(Relaxed) => refused(Refusal::Behind),
+            LogMessage::Vote(_) if !self.joined.load(Relaxed) => refused(RejectReason::Behind),
             LogMessage::Vote(bytes) => match read::<VoteRequest<u64>>(&bytes) {
                 Ok(rpc) => said(raft.vote(rpc).await),
                 Err(refusal) => refused(refusal),
--- a/crates/lilacpitch-site/src/summaries.rs
+++ b/crates/lilacpitch-site/src/summaries.rs
@@ -1,8 +1,8 @@
 //! Summaries: of this site for others, and of others from above and below.
 
 use crate::process::{now, Process};
-use lilacpitch_fleet::catalogue::{news_of, NEWS_BYTES};
-use lilacpitch_fleet::message::{Known, Refusal, Request, Response, Role, SiteNews};
+use lilacpitch_fleet::catalogue::{news_of, MAX_UPDATE_BYTES};
+use lilacpitch_fleet::message::{KnownSummary, RejectReason, Request, Response, Role, SiteSummaryUpdate};
 use lilacpitch_rpc::{Dialer, RpcConnection};
 use std::sync::atomic::Ordering::Relaxed;
 use std::sync::Arc;
@@ -10,9 +10,9 @@
 
 impl Process {
     /// What another process lacks.
-    pub(crate) async fn summaries(self: &Arc<Self>, known: Vec<Known>) -> Response {
+    pub(crate) async fn summaries(self: &Arc<Self>, known: Vec<KnownSummary>) -> Response {
         if known.len() > self.settings.sites.len() {
-            return Response::Refused(Refusal::Malformed(format!("{} sites", known.len())));
+            return Response::Rejected(RejectReason::Malformed(format!("{} sites", known.len())));
         }
         let own = known.iter().find(|known| known.site == self.settings.site).cloned();
         let mut all = Vec::new();
@@ -25,9 +25,9 @@
     }
 
     /// News of this site; none while this process can't tell whether it lags behind.
-    async fn own_news(&self, known: &Known) -> Option<SiteNews> {
+    async fn own_news(&self, known: &KnownSummary) -> Option<SiteSummaryUpdate> {
         let asked_ns = now();
-        if self.guards.ages && !self.can_tell().await {
+        if self.guards.summary_age && !self.can_tell().await {
             return None;
         }
         // What is not ordered is looked at first: a change that comes between is in the summary then, and if its
@@ -35,19 +35,19 @@
         let (pending, ordered) = self.state.pending();
         let register = &self.state.register;
         let total = register.versions().iter().sum();
-        let mut room = NEWS_BYTES;
+        let mut room = MAX_UPDATE_BYTES;
         let shard = |at: usize, version| register.summary(at, Some(version));
         let (news, total, more) = news_of(known, self.me.life, total, register.shards(), &mut room, shard);
-        Some(SiteNews {
+        Some(SiteSummaryUpdate {
             site: self.settings.site.clone(),
-            life: self.me.life,
+            incarnation: self.me.life,
             shards: register.shards() as u32,
             total,
             age_ns: now().saturating_sub(asked_ns),
             pending,
             ordered,
-            news,
-            more,
+            shard_updates: news,
+            has_more: more,
         })
     }
 }
--- a/crates/lilacpitch-testbed/src/cli.rs
+++ b/crates/lilacpitch-testbed/src/cli.rs
@@ -319,20 +319,20 @@
 }
 
 /// The promises that a process of this laboratory is to break, for tests of the judge.
-fn broken() -> lilacpitch_fleet::Guards {
+fn broken() -> lilacpitch_fleet::Safeguards {
     let names = std::env::var("LILACPITCH_LAB_BREAKS").unwrap_or_default();
-    let mut guards = lilacpitch_fleet::Guards::default();
+    let mut guards = lilacpitch_fleet::Safeguards::default();
     for name in names.split(',').filter(|name| !name.is_empty()) {
         let guard = match name {
-            "ages" => &mut guards.ages,
-            "disks" => &mut guards.disks,
-            "says" => &mut guards.says,
-            "leases" => &mut guards.leases,
-            "refills" => &mut guards.refills,
+            "ages" => &mut guards.summary_age,
+            "disks" => &mut guards.disk_loss,
+            "says" => &mut guards.unreached_sites,
+            "leases" => &mut guards.cache_leases,
+            "refills" => &mut guards.stale_fills,
             "acknowledgements" => &mut guards.acknowledgements,
-            "stragglers" => &mut guards.stragglers,
-            "fences" => &mut guards.fences,
-            "records" => &mut guards.records,
+            "stragglers" => &mut guards.lagging_holders,
+            "fences" => &mut guards.write_fencing,
+            "records" => &mut guards.audit_records,
             "calls_first" => &mut guards.calls_first,
             other => {
                 eprintln!("LILACPITCH_LAB_BREAKS: no guard {other:?}");
--- a/crates/lilacpitch-testbed/src/fleet/promises_checker.rs
+++ b/crates/lilacpitch-testbed/src/fleet/promises_checker.rs
@@ -2,7 +2,7 @@
 //! code with what it judges but the form of the messages.
 
 use super::fault_proxy::{Crossed, NOT_KNOWN};
-use lilacpitch_fleet::message::{Body, Position, Request, Response, RowChange, Scope, What};
+use lilacpitch_fleet::message::{Body, LogPosition, Request, Response, RecordChange, PurgeScope, CommandAction};
 use lilacpitch_location::{Key, Kind, Number};
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -112,9 +112,9 @@
     at_ns: u64,
     for_ns: u64,
     /// What the holder said that it had applied.
-    applied: Option<Position>,
+    applied: Option<LogPosition>,
     /// What it must have applied before it uses the lease.
-    needs: Position,
+    needs: LogPosition,
 }
 
 struct Case<'a> {
@@ -142,11 +142,11 @@
         }
     }
     let hellos = crossed.iter().filter_map(|c| match &c.body {
-        Body::Hello(hello) => Some(((c.from, c.to, c.conn, c.way), hello.life)),
+        Body::Hello(hello) => Some(((c.from, c.to, c.conn, c.way), hello.incarnation)),
         _ => None,
     });
     let asked = crossed.iter().filter_map(|c| match &c.body {
-        Body::Ask(id, request) => {
+        Body::Request(id, request) => {
             Some((c, request, answers.get(&(c.from, c.to, c.conn, c.way, *id)).copied()))
         }
         _ => None,
@@ -176,12 +176,12 @@
     }
 }
 
-fn scopes_cover(scopes: &[Scope], number: &Number) -> bool {
+fn scopes_cover(scopes: &[PurgeScope], number: &Number) -> bool {
     scopes.iter().any(|scope| match scope {
-        Scope::Number(one) => one == number,
-        Scope::Prefix(prefix) => number.as_str().starts_with(prefix.as_str()),
-        Scope::Holder(_) => false,
-        Scope::All => true,
+        PurgeScope::Number(one) => one == number,
+        PurgeScope::Prefix(prefix) => number.as_str().starts_with(prefix.as_str()),
+        PurgeScope::Owner(_) => false,
+        PurgeScope::All => true,
     })
 }
 
@@ -227,13 +227,13 @@
             let done = written.map(|c| c.came_ns);
             for change in changes {
                 match change {
-                    RowChange::Put(row) if row.key.kind == Kind::Binding => {
+                    RecordChange::Upsert(row) if row.key.kind == Kind::Binding => {
                         let site = self.front(&row.key.owner.front).map_or("", |(_, home)| home).to_string();
                         let life = rows.entry(row.key.clone()).or_default();
                         life.site = site;
                         life.acked_ns = earlier(life.acked_ns, done);
                     }
-                    RowChange::Withdraw(key) if key.kind == Kind::Binding => {
+                    RecordChange::Withdraw(key) if key.kind == Kind::Binding => {
                         let life = rows.entry(key.clone()).or_default();
                         life.withdrawn_ns = earlier(life.withdrawn_ns, Some(ask.left_ns));
                         life.gone_ns = earlier(life.gone_ns, written.map(|c| c.left_ns));
@@ -246,10 +246,10 @@
         for (ask, request, _) in &self.asked {
             let swept = match request {
                 Request::Forwarded(_, _, inner) => match &**inner {
-                    Request::Sweep(front, before) => Some((front.clone(), *before)),
+                    Request::RemoveOlderIncarnations(front, before) => Some((front.clone(), *before)),
                     _ => None,
                 },
-                Request::Renew(_) => {
+                Request::RenewLease(_) => {
                     self.town.fronts.get(&ask.from).map(|(name, _)| (name.clone(), self.life(ask)))
                 }
                 _ => None,
@@ -331,7 +331,7 @@
         for words in said.iter().filter(|words| words.get(2) == Some(&"asked")) {
             let site = words.get(1).copied().unwrap_or("");
             let asked = self.asked.iter().any(|(ask, request, answer)| {
-                let of = matches!(request, Request::Find { query, .. } if query.target == lilacpitch_location::QueryTarget::Number(look.number.clone()));
+                let of = matches!(request, Request::FindRecords { query, .. } if query.target == lilacpitch_location::QueryTarget::Number(look.number.clone()));
                 of && ask.from == look.front
                     && ask.left_ns <= look.ended_ns
                     && self.town.processes.get(&ask.to).is_some_and(|of| of == site)
@@ -350,8 +350,8 @@
             let told = version.is_some_and(|(life, total)| {
                 self.asked.iter().any(|(ask, _, answer)| {
                     let Some((c, Response::Summaries(news))) = answer else { return false };
-                    let same = |n: &lilacpitch_fleet::message::SiteNews| {
-                        (n.site.as_str(), n.life, n.total) == (site, life, total)
+                    let same = |n: &lilacpitch_fleet::message::SiteSummaryUpdate| {
+                        (n.site.as_str(), n.incarnation, n.total) == (site, life, total)
                     };
                     ask.from == look.front && c.came_ns <= look.ended_ns && news.iter().any(same)
                 })
@@ -370,19 +370,19 @@
 
     /// An order that purges a row's number after its withdrawal, for certain: its site asked for it as it
     /// acknowledged the withdrawal, or later where the way up was cut.
-    fn purge_of(&self, key: &Key, life: &RowLife) -> Option<Position> {
+    fn purge_of(&self, key: &Key, life: &RowLife) -> Option<LogPosition> {
         let gone_ns = life.gone_ns?;
         let submitted = self.asked.iter().filter_map(|(ask, request, answer)| {
-            let Request::Submit(What::Purge(scopes)) = request else { return None };
+            let Request::Submit(CommandAction::Purge(scopes)) = request else { return None };
             let of_site = self.town.processes.get(&ask.from) == Some(&life.site);
             let of_it = of_site && ask.left_ns + 1_000_000 > gone_ns && scopes_cover(scopes, &key.number);
             match answer {
-                Some((_, Response::Ordered(position))) if of_it => Some((ask.left_ns, *position)),
+                Some((_, Response::Committed(position))) if of_it => Some((ask.left_ns, *position)),
                 _ => None,
             }
         });
         let (soon, later): (Vec<_>, Vec<_>) = submitted.partition(|(at, _)| *at < gone_ns + 200_000_000);
-        let last = soon.into_iter().map(|(_, position)| position).max_by_key(|p| (p.log, p.order));
+        let last = soon.into_iter().map(|(_, position)| position).max_by_key(|p| (p.log, p.index));
         last.or(later.into_iter().min_by_key(|(at, _)| *at).map(|(_, position)| position))
     }
 
@@ -398,7 +398,7 @@
             let Some(position) = self.purge_of(key, life) else { continue };
             let complete = progress
                 .iter()
-                .find(|p| p.log == position.log && p.complete >= position.order)
+                .find(|p| p.log == position.log && p.complete >= position.index)
                 .map(|p| p.ended_ns);
             for look in of_it() {
                 let shown = shows(&look.page, key);
@@ -436,14 +436,14 @@
     }
 
     /// When a process had surely said that it has applied everything up to a position.
-    fn applied_at(&self, who: usize, upto: Position) -> Option<u64> {
-        self.applications(who).find(|(_, applied)| applied.reaches(upto)).map(|(at, _)| at)
+    fn applied_at(&self, who: usize, upto: LogPosition) -> Option<u64> {
+        self.applications(who).find(|(_, applied)| applied.includes(upto)).map(|(at, _)| at)
     }
 
     /// What a process has said of its own position, in the order in which it said it.
-    fn applications(&self, who: usize) -> impl Iterator<Item = (u64, Position)> + '_ {
+    fn applications(&self, who: usize) -> impl Iterator<Item = (u64, LogPosition)> + '_ {
         self.crossed.iter().filter(move |c| c.from == who).filter_map(|c| match &c.body {
-            Body::Ask(_, Request::Renew(Some(position))) => Some((c.left_ns, *position)),
+            Body::Request(_, Request::RenewLease(Some(position))) => Some((c.left_ns, *position)),
             Body::Answer(_, Response::Applied(position)) => Some((c.left_ns, *position)),
             _ => None,
         })
@@ -452,7 +452,7 @@
     /// Leases: who, from the moment of asking, for how long, and from whom.
     fn leases(&self) -> Vec<Leased> {
         let granted = self.asked.iter().filter_map(|(ask, request, answer)| match (request, answer) {
-            (Request::Renew(applied), Some((_, Response::Granted { for_ns, position, .. })))
+            (Request::RenewLease(applied), Some((_, Response::LeaseGranted { for_ns, position, .. })))
                 if *for_ns > 0 =>
             {
                 let (at_ns, for_ns, applied, needs) = (ask.left_ns, *for_ns, *applied, *position);
@@ -469,7 +469,7 @@
         let leases = self.leases();
         let mut wrong = Vec::new();
         for p in progress.iter().filter(|p| p.complete > 0) {
-            let upto = Position { log: p.log, order: p.complete };
+            let upto = LogPosition { log: p.log, index: p.complete };
             for front in self.town.fronts.keys() {
                 // In for certain from before the question until after the answer, and not on condition that it applies
                 // this order first.
@@ -477,7 +477,7 @@
                     lease.who == *front
                         && lease.at_ns < p.began_ns
                         && lease.at_ns + lease.for_ns > p.ended_ns
-                        && !lease.needs.reaches(upto)
+                        && !lease.needs.includes(upto)
                         && lease.needs.log == upto.log
                 });
                 if !held {
@@ -502,7 +502,7 @@
         // When each life of a process above had each order for certain: it had sent it to somebody.
         let mut had: BTreeMap<(usize, u64, u64, u64), u64> = BTreeMap::new();
         for (ask, request, _) in &self.asked {
-            if let Request::Orders { log, orders } = request {
+            if let Request::Commands { log, orders } = request {
                 for order in orders {
                     let at = had.entry((ask.from, self.life(ask), *log, order.number)).or_insert(ask.left_ns);
                     *at = (*at).min(ask.left_ns);
@@ -512,7 +512,7 @@
         for Leased { who, by, by_life, at_ns: at, applied, .. } in &leases {
             let Some(applied) = applied else { continue };
             self.judged.leases += 1;
-            let next = had.get(&(*by, *by_life, applied.log, applied.order + 1));
+            let next = had.get(&(*by, *by_life, applied.log, applied.index + 1));
             let late = next.is_some_and(|had| had + 2 * self.town.straggler_ns < *at);
             if late {
                 wrong.push(format!(
@@ -533,7 +533,7 @@
             // is listed as given to it may have waited while it stood still.
             let span_ns = (self.town.lease_ns as f64 * self.town.outlasts) as u64 + STOOD_STILL_NS;
             let held = self.asked.iter().any(|(renew, request, _)| {
-                matches!(request, Request::Renew(_))
+                matches!(request, Request::RenewLease(_))
                     && (renew.from, renew.to) == (ask.from, ask.to)
                     && self.life_asked(renew) == self.life_asked(ask)
                     && renew.left_ns <= ask.came_ns
