--- a/crates/lilacpitch-testbed/src/fleet/simulated_cluster.rs
+++ b/crates/lilacpitch-testbed/src/fleet/simulated_cluster.rs
@@ -2,18 +2,18 @@
 //! a disk that outlives it; links hold what they are cut for, messages take their time, clocks run at different speeds.
 //! Promises are judged with sight of every node.
 
-use lilacpitch_fleet::ack_aggregator::{ChildId, Relay, Sum};
+use lilacpitch_fleet::ack_aggregator::{ChildId, AckAggregator, AggregatedAck};
 use lilacpitch_fleet::cache::Cache;
-use lilacpitch_fleet::catalogue::{news_of, Catalogue, NEWS_BYTES};
-use lilacpitch_fleet::lease::Terms;
-use lilacpitch_fleet::lease_holder::{Holder, Taken};
-use lilacpitch_fleet::locate::{Answer, Locate, Site as SiteSaid};
-use lilacpitch_fleet::log_tail::Window;
+use lilacpitch_fleet::catalogue::{news_of, Catalogue, MAX_UPDATE_BYTES};
+use lilacpitch_fleet::lease::LeaseTerms;
+use lilacpitch_fleet::lease_holder::{LeaseHolder, LeaseUpdate};
+use lilacpitch_fleet::locate::{LocateAnswer, Locate, SiteOutcome as SiteSaid};
+use lilacpitch_fleet::log_tail::LogTail;
 use lilacpitch_fleet::message::{
-    Order, Position, Refusal, Request, Response, RowChange, Scope, SiteNews, What,
+    FleetCommand, LogPosition, RejectReason, Request, Response, RecordChange, PurgeScope, SiteSummaryUpdate, CommandAction,
 };
 use lilacpitch_fleet::upstream_selection::renew_gap_ns;
-use lilacpitch_fleet::{Guards, Nanos};
+use lilacpitch_fleet::{Safeguards, Nanos};
 use lilacpitch_location::{Key, Kind, LocationRecord, Number, Owner as RowHolder, Query};
 use lilacpitch_site::log::state::State;
 use lilacpitch_site::log::{Command, Written};
@@ -31,7 +31,7 @@
     /// Homes of fronts, by site.
     pub homes: Vec<usize>,
     /// What is agreed on.
-    pub terms: Terms,
+    pub terms: LeaseTerms,
     /// Promise 1.
     pub settle_ns: Nanos,
     /// Between summaries.
@@ -49,7 +49,7 @@
     /// A day.
     pub length_ns: Nanos,
     /// What is switched off.
-    pub guards: Guards,
+    pub guards: Safeguards,
 }
 
 impl Shape {
@@ -66,7 +66,7 @@
         if leaves_each == 0 {
             homes = (1..=regions).flat_map(|site| vec![site; fronts_each]).collect();
         }
-        let terms = Terms { lease_ns: 1_500 * MS, clock_allowance: 0.01, straggler_ns: 1_500 * MS };
+        let terms = LeaseTerms { lease_ns: 1_500 * MS, clock_allowance: 0.01, lagging_after_ns: 1_500 * MS };
         Shape {
             above,
             homes,
@@ -79,7 +79,7 @@
             look_ns: 5 * MS,
             faults: 12,
             length_ns: 12_000 * MS,
-            guards: Guards::default(),
+            guards: Safeguards::default(),
         }
     }
 }
@@ -177,10 +177,10 @@
 
 struct SiteNode {
     state: State,
-    relay: Relay,
+    relay: AckAggregator,
     catalogue: Catalogue,
     ordering: bool,
-    said: Option<Position>,
+    said: Option<LogPosition>,
     links: BTreeMap<usize, u64>,
     sending: BTreeSet<usize>,
 }
@@ -189,7 +189,7 @@
     cache: Cache,
     catalogue: Catalogue,
     rows: BTreeMap<u32, LocationRecord>,
-    waiting: Vec<RowChange>,
+    waiting: Vec<RecordChange>,
     done: u64,
     writing: bool,
     register: Option<u64>,
@@ -211,7 +211,7 @@
     /// Local time is `rate * t + offset`.
     rate: f64,
     offset: f64,
-    holder: Holder,
+    holder: LeaseHolder,
     pending: BTreeMap<u64, Then>,
     kind: Kindly,
 }
@@ -232,7 +232,7 @@
     withdrawn_ns: Option<Nanos>,
     /// The change that withdrew it, at its site, and the order of that.
     gone_change: Option<u64>,
-    order: Option<Position>,
+    order: Option<LogPosition>,
     complete_ns: Option<Nanos>,
 }
 
@@ -263,7 +263,7 @@
     truth: BTreeMap<Key, Truth>,
     ordered_ns: BTreeMap<(u64, u64), Nanos>,
     handsets: BTreeMap<u32, usize>,
-    complete: Position,
+    complete: LogPosition,
     played: Played,
 }
 
@@ -284,7 +284,7 @@
             } else {
                 (format!("e{}", index - sites), Kindly::Front(Box::new(front_node(&shape, &names))))
             };
-            let holder = Holder::default();
+            let holder = LeaseHolder::default();
             let pending = BTreeMap::new();
             nodes.push(Node {
                 name,
@@ -315,7 +315,7 @@
             truth: BTreeMap::new(),
             ordered_ns: BTreeMap::new(),
             handsets: BTreeMap::new(),
-            complete: Position::default(),
+            complete: LogPosition::default(),
             played: Played::default(),
             shape,
         };
@@ -467,7 +467,7 @@
                     }
                 } else if !begins && !self.nodes[one].up {
                     self.nodes[one].up = true;
-                    self.nodes[one].holder = Holder::default();
+                    self.nodes[one].holder = LeaseHolder::default();
                     let node = &mut self.nodes[one];
                     match &mut node.kind {
                         Kindly::Site(site) => {
@@ -509,8 +509,8 @@
         };
         let purge = matches!(
             &what,
-            Carried::Ask(_, Request::Orders { .. } | Request::Sum { .. } | Request::Submit(_))
-                | Carried::Answer(_, Response::Applied(_) | Response::Ordered(_))
+            Carried::Ask(_, Request::Commands { .. } | Request::ReportAcknowledged { .. } | Request::Submit(_))
+                | Carried::Answer(_, Response::Applied(_) | Response::Committed(_))
         );
         self.played.messages = (self.played.messages.0 + 1, self.played.messages.1 + bytes);
         if purge {
@@ -561,7 +561,7 @@
                 self.write(of);
             }
             Some(Then::Pass { to, id }) => {
-                self.carry(of, to, Carried::Answer(id, Response::Refused(Refusal::Failed("late".into()))));
+                self.carry(of, to, Carried::Answer(id, Response::Rejected(RejectReason::Failed("late".into()))));
             }
             Some(Then::Find { look, site }) => {
                 self.found(look, site, Err(lilacpitch_fleet::error::LocateError::Late));
@@ -572,23 +572,23 @@
 
     fn asked(&mut self, (from, by): (usize, u64), to: usize, id: u64, request: Request) {
         let now = self.local(to);
-        let who = ChildId { name: self.nodes[from].name.clone(), life: by };
+        let who = ChildId { name: self.nodes[from].name.clone(), incarnation: by };
         let is_front = from >= self.sites();
         let (own, own_life) = (self.nodes[to].name.clone(), self.nodes[to].life);
         let response = match (&mut self.nodes[to].kind, request) {
-            (Kindly::Site(site), Request::Renew(applied)) => {
+            (Kindly::Site(site), Request::RenewLease(applied)) => {
                 let register = site.state.register_of(&who.name);
                 let said = site.relay.renew(now, &who, is_front, applied, register);
-                if matches!(said, Response::Granted { .. }) {
-                    site.links.insert(from, who.life);
+                if matches!(said, Response::LeaseGranted { .. }) {
+                    site.links.insert(from, who.incarnation);
                 }
                 Some(said)
             }
-            (Kindly::Site(site), Request::Sum { upto, missing, missing_count }) => {
-                site.relay.summed(&who, Sum { upto, missing, missing_count });
+            (Kindly::Site(site), Request::ReportAcknowledged { acknowledged, missing, missing_count }) => {
+                site.relay.summed(&who, AggregatedAck { acknowledged: acknowledged, missing, missing_count });
                 Some(Response::Done)
             }
-            (Kindly::Site(site), Request::Find { query, after, limit, .. }) => {
+            (Kindly::Site(site), Request::FindRecords { query, after, limit, .. }) => {
                 let page = site.state.register.find(&query, after.as_ref(), limit as usize);
                 Some(Response::Found { page, process: own })
             }
@@ -597,13 +597,13 @@
                 if let Some(known) = known.iter().find(|known| known.site == own) {
                     let (pending, ordered) = site.state.pending();
                     let register = &site.state.register;
-                    let (total, mut room) = (register.versions().iter().sum(), NEWS_BYTES);
+                    let (total, mut room) = (register.versions().iter().sum(), MAX_UPDATE_BYTES);
                     let shard = |at: usize, version| register.summary(at, Some(version));
                     let life = own_life;
                     let (news, total, more) =
                         news_of(known, life, total, register.shards(), &mut room, shard);
                     let (shards, site) = (register.shards() as u32, own.clone());
-                    all.push(SiteNews { site, life, shards, total, age_ns: 0, pending, ordered, news, more });
+                    all.push(SiteSummaryUpdate { site, incarnation: life, shards, total, age_ns: 0, pending, ordered, shard_updates: news, has_more: more });
                 }
                 all.extend(site.catalogue.news(now, &known, |site| *site == own));
                 Some(Response::Summaries(all))
@@ -613,14 +613,14 @@
                     let ends: Vec<Key> = changes
                         .iter()
                         .filter_map(|change| {
-                            if let RowChange::Withdraw(key) = change {
+                            if let RecordChange::Withdraw(key) = change {
                                 Some(key.clone())
                             } else {
                                 None
                             }
                         })
                         .collect();
-                    let written = Written { front: who.name, life: who.life, first, changes };
+                    let written = Written { front: who.name, life: who.incarnation, first, changes };
                     site.state.apply(Command::Rows(vec![written]));
                     let change = site.state.beside(|beside| beside.changes);
                     for key in ends {
@@ -630,13 +630,13 @@
                     }
                     Some(Response::Written)
                 } else {
-                    Some(Response::Refused(Refusal::Fenced))
+                    Some(Response::Rejected(RejectReason::Fenced))
                 }
             }
             (Kindly::Site(_), Request::Submit(what)) => self.submit(from, to, id, what),
-            (Kindly::Site(_), Request::Orders { log, orders }) => Some(self.take_orders(to, log, orders)),
-            (Kindly::Front(_), Request::Orders { log, orders }) => Some(self.take_orders(to, log, orders)),
-            _ => Some(Response::Refused(Refusal::Unwanted)),
+            (Kindly::Site(_), Request::Commands { log, orders }) => Some(self.take_orders(to, log, orders)),
+            (Kindly::Front(_), Request::Commands { log, orders }) => Some(self.take_orders(to, log, orders)),
+            _ => Some(Response::Rejected(RejectReason::Unsupported)),
         };
         if let Some(response) = response {
             self.carry(to, from, Carried::Answer(id, response));
@@ -644,7 +644,7 @@
         self.after(to);
     }
 
-    fn submit(&mut self, from: usize, to: usize, id: u64, what: What) -> Option<Response> {
+    fn submit(&mut self, from: usize, to: usize, id: u64, what: CommandAction) -> Option<Response> {
         if to != 0 {
             let above = self.shape.above[to];
             self.ask(to, above, Request::Submit(what), Then::Pass { to: from, id });
@@ -654,17 +654,17 @@
         let Kindly::Site(root) = &mut self.nodes[0].kind else { return None };
         root.state.apply(Command::Order(vec![what.clone()]));
         let position = root.relay.ordered(now, what);
-        self.ordered_ns.insert((position.log, position.order), self.now);
-        Some(Response::Ordered(position))
+        self.ordered_ns.insert((position.log, position.index), self.now);
+        Some(Response::Committed(position))
     }
 
-    fn take_orders(&mut self, to: usize, log: u64, orders: Vec<Order>) -> Response {
+    fn take_orders(&mut self, to: usize, log: u64, orders: Vec<FleetCommand>) -> Response {
         let next = self.nodes[to].holder.orders(log, orders).unwrap_or_default();
         self.apply(to, next);
         Response::Applied(self.nodes[to].holder.position().unwrap_or_default())
     }
 
-    fn apply(&mut self, to: usize, orders: Vec<Order>) {
+    fn apply(&mut self, to: usize, orders: Vec<FleetCommand>) {
         let now = self.local(to);
         let node = &mut self.nodes[to];
         for order in orders {
@@ -694,17 +694,17 @@
                 }
             }
             Then::Orders { child } => {
-                let who = ChildId { name: self.nodes[child].name.clone(), life: self.nodes[child].life };
+                let who = ChildId { name: self.nodes[child].name.clone(), incarnation: self.nodes[child].life };
                 if let Kindly::Site(site) = &mut self.nodes[of].kind {
                     site.sending.remove(&child);
                     if let (Response::Applied(upto), Some(life)) = (response, site.links.get(&child)) {
-                        site.relay.applied(&ChildId { life: *life, ..who }, upto);
+                        site.relay.applied(&ChildId { incarnation: *life, ..who }, upto);
                     }
                 }
             }
             Then::Written { first, count } => self.written(of, first, count, response == Response::Written),
             Then::Ordered { upto } => {
-                if let (Kindly::Site(site), Response::Ordered(position)) =
+                if let (Kindly::Site(site), Response::Committed(position)) =
                     (&mut self.nodes[of].kind, &response)
                 {
                     site.state.apply(Command::Ordered(upto, *position));
@@ -723,7 +723,7 @@
             Then::Find { look, site } => {
                 let said = match response {
                     Response::Found { page, process } => Ok((page, process)),
-                    Response::Refused(why) => Err(lilacpitch_fleet::error::LocateError::Refused(why)),
+                    Response::Rejected(why) => Err(lilacpitch_fleet::error::LocateError::Refused(why)),
                     _ => Err(lilacpitch_fleet::error::LocateError::Late),
                 };
                 self.found(look, site, said);
@@ -737,11 +737,11 @@
     fn leased(&mut self, of: usize, asked_ns: Nanos, response: Response) {
         let (now, is_site) = (self.local(of), of < self.sites());
         let granted = match &response {
-            Response::Granted { for_ns, position, register, .. } => {
+            Response::LeaseGranted { for_ns, position, store_id, .. } => {
                 if let Kindly::Front(front) = &mut self.nodes[of].kind {
-                    if front.register != Some(*register) {
-                        front.register = Some(*register);
-                        let all: Vec<RowChange> = front.rows.values().cloned().map(RowChange::Put).collect();
+                    if front.register != Some(*store_id) {
+                        front.register = Some(*store_id);
+                        let all: Vec<RecordChange> = front.rows.values().cloned().map(RecordChange::Upsert).collect();
                         front.waiting.extend(all);
                     }
                 }
@@ -750,16 +750,16 @@
             _ => None,
         };
         match self.nodes[of].holder.answered(asked_ns, response) {
-            Taken::Orders(orders) => self.apply(of, orders),
-            Taken::Dropped => {
+            LeaseUpdate::Orders(orders) => self.apply(of, orders),
+            LeaseUpdate::Dropped => {
                 let position = self.nodes[of].holder.position().unwrap_or_default();
                 match &mut self.nodes[of].kind {
                     Kindly::Front(front) => front.cache.clear(now),
-                    Kindly::Site(site) => site.relay.reset(Window::at(position, BTreeSet::new())),
+                    Kindly::Site(site) => site.relay.reset(LogTail::at(position, BTreeSet::new())),
                 }
                 self.ask_lease(of);
             }
-            Taken::Nothing => {}
+            LeaseUpdate::Nothing => {}
         }
         if let (Some((until_ns, needs)), Kindly::Site(site)) = (granted, &mut self.nodes[of].kind) {
             site.relay.may_grant(until_ns, needs);
@@ -774,7 +774,7 @@
     fn ask_lease(&mut self, of: usize) {
         let Some(above) = self.above(of) else { return };
         let (asked_ns, applied) = (self.local(of), self.nodes[of].holder.position());
-        self.ask(of, above, Request::Renew(applied), Then::Lease { asked_ns });
+        self.ask(of, above, Request::RenewLease(applied), Then::Lease { asked_ns });
     }
 
     fn tick(&mut self, of: usize) {
@@ -828,29 +828,29 @@
                 } else {
                     format!("e{}", child - self.shape.above.len())
                 };
-                let id = ChildId { name, life: *life };
+                let id = ChildId { name, incarnation: *life };
                 let orders = site.relay.lacks(&id).map_or(Vec::new(), |(_, orders)| orders);
                 if !orders.is_empty() && !site.sending.contains(child) {
                     sends.push((*child, log, orders));
                 }
             }
             let sum = site.relay.sum(now);
-            if site.said != Some(sum.upto) {
-                site.said = Some(sum.upto);
+            if site.said != Some(sum.acknowledged) {
+                site.said = Some(sum.acknowledged);
                 says = Some(sum);
             }
             site.sending.extend(sends.iter().map(|(child, ..)| *child));
         }
         for (child, log, orders) in sends {
-            self.ask(of, child, Request::Orders { log, orders }, Then::Orders { child });
+            self.ask(of, child, Request::Commands { log, orders }, Then::Orders { child });
         }
         let Some(sum) = says else { return };
         match above {
             Some(above) => {
-                let Sum { upto, missing, missing_count } = sum;
-                self.ask(of, above, Request::Sum { upto, missing, missing_count }, Then::Nothing);
+                let AggregatedAck { acknowledged, missing, missing_count } = sum;
+                self.ask(of, above, Request::ReportAcknowledged { acknowledged, missing, missing_count }, Then::Nothing);
             }
-            None => self.completed(sum.upto),
+            None => self.completed(sum.acknowledged),
         }
     }
 
@@ -863,7 +863,7 @@
             return;
         }
         let Some((upto, numbers)) = site.state.unordered(512) else { return };
-        let what = What::Purge(numbers.into_iter().map(Scope::Number).collect());
+        let what = CommandAction::Purge(numbers.into_iter().map(PurgeScope::Number).collect());
         if of == 0 {
             // No row is written at the root here.
             return;
@@ -893,9 +893,9 @@
         }
         debug_assert_eq!(first, front.done + 1);
         front.done += count as u64;
-        let done: Vec<RowChange> = front.waiting.drain(..count).collect();
+        let done: Vec<RecordChange> = front.waiting.drain(..count).collect();
         for change in done {
-            if let RowChange::Put(row) = change {
+            if let RecordChange::Upsert(row) = change {
                 if let Some(truth) = self.truth.get_mut(&row.key) {
                     truth.acked_ns.get_or_insert(self.now);
                 }
@@ -920,7 +920,7 @@
                     if let Some(truth) = self.truth.get_mut(&row.key) {
                         truth.withdrawn_ns.get_or_insert(self.now);
                     }
-                    front.waiting.push(RowChange::Withdraw(row.key));
+                    front.waiting.push(RecordChange::Withdraw(row.key));
                 }
             }
             self.write_unless_frozen(at);
@@ -941,7 +941,7 @@
         let row =
             LocationRecord { key: key.clone(), class: String::new(), trunk_group: "p".into(), since_ms };
         front.rows.insert(n, row.clone());
-        front.waiting.push(RowChange::Put(row));
+        front.waiting.push(RecordChange::Upsert(row));
         self.handsets.insert(n, at);
         self.truth.insert(key, Truth { site: self.shape.homes[at - sites], ..Truth::default() });
         self.write_unless_frozen(at);
@@ -965,7 +965,7 @@
         let node = &self.nodes[at];
         let Kindly::Front(front) = &node.kind else { return };
         let position = node.holder.position().unwrap_or_default();
-        let usable = node.holder.usable(now).is_ok() || !self.shape.guards.leases;
+        let usable = node.holder.usable(now).is_ok() || !self.shape.guards.cache_leases;
         let borne = front.catalogue.bears_out(now, number.hash64(), position);
         let (life, began_ns) = (node.life, self.now);
         if let Some(answer) = front.cache.get(&number).filter(|_| usable && borne) {
@@ -988,7 +988,7 @@
         }
         for site in open {
             let query = Query::reached(number.clone());
-            let find = Request::Find { query, after: None, limit: 16, urgent: true };
+            let find = Request::FindRecords { query, after: None, limit: 16, urgent: true };
             self.ask(at, site, find, Then::Find { look, site });
         }
         self.at(self.now + PATIENCE_NS * 2, Happens::LookEnds(look));
@@ -1017,7 +1017,7 @@
         let Some(locate) = looking.locate.take() else { return };
         let read_from_ns = locate.read_from_ns();
         let answer = locate.answer();
-        if let (Kindly::Front(front), true) = (&node.kind, answer.complete) {
+        if let (Kindly::Front(front), true) = (&node.kind, answer.is_complete) {
             front.cache.fill(read_from_ns, &looking.number, &answer);
         }
         self.judge_look(&looking, &answer);
@@ -1029,22 +1029,22 @@
         self.played.breaches.push((promise, format!("{} ms: {what}", self.now / MS)));
     }
 
-    fn judge_look(&mut self, look: &Looking, answer: &Answer) {
+    fn judge_look(&mut self, look: &Looking, answer: &LocateAnswer) {
         self.played.looks.0 += 1;
-        self.played.looks.1 += usize::from(answer.complete);
+        self.played.looks.1 += usize::from(answer.is_complete);
         let mut wrong = Vec::new();
-        let missing = answer.sites.values().any(|said| matches!(said, SiteSaid::NotReached(_)));
-        if answer.sites.len() != self.sites() || answer.complete == missing {
+        let missing = answer.sites.values().any(|said| matches!(said, SiteSaid::Unreachable(_)));
+        if answer.sites.len() != self.sites() || answer.is_complete == missing {
             wrong.push((
                 2,
-                format!("{} sites of {}, complete {}", answer.sites.len(), self.sites(), answer.complete),
+                format!("{} sites of {}, complete {}", answer.sites.len(), self.sites(), answer.is_complete),
             ));
         }
         let settle = (self.shape.settle_ns as f64 * (1.0 + self.shape.terms.clock_allowance)) as Nanos;
         for (key, truth) in self.truth.iter().filter(|(key, _)| key.number == look.number) {
-            let shown = answer.rows.iter().any(|row| row.key == *key);
+            let shown = answer.records.iter().any(|row| row.key == *key);
             let site = format!("s{}", truth.site);
-            let not_reached = matches!(answer.sites.get(&site), Some(SiteSaid::NotReached(_)) | None);
+            let not_reached = matches!(answer.sites.get(&site), Some(SiteSaid::Unreachable(_)) | None);
             let due = truth.acked_ns.is_some_and(|at| at + settle < look.began_ns);
             if due && truth.withdrawn_ns.is_none_or(|at| at > self.now) {
                 self.played.judged.0 += 1;
@@ -1063,8 +1063,8 @@
             }
             let applied = self.nodes[look.front].holder.position();
             let passed =
-                truth.order.is_some_and(|order| applied.is_some_and(|applied| applied.reaches(order)));
-            if passed && shown && answer.cached {
+                truth.order.is_some_and(|order| applied.is_some_and(|applied| applied.includes(order)));
+            if passed && shown && answer.is_cached {
                 wrong.push((4, format!("{key:?} cached at {} past its purge", look.front)));
             }
         }
@@ -1072,11 +1072,11 @@
     }
 
     /// The root reports purges complete: no front may use what they withdrew.
-    fn completed(&mut self, upto: Position) {
-        if self.complete.log == upto.log && self.complete.order >= upto.order {
+    fn completed(&mut self, upto: LogPosition) {
+        if self.complete.log == upto.log && self.complete.index >= upto.index {
             return;
         }
-        for order in self.complete.order + 1..=upto.order {
+        for order in self.complete.index + 1..=upto.index {
             if let Some(at) = self.ordered_ns.get(&(upto.log, order)) {
                 self.played.complete_ms.push((self.now - at) as f64 / MS as f64);
             }
@@ -1085,7 +1085,7 @@
         let mut wrong = Vec::new();
         for index in self.sites()..self.nodes.len() {
             let node = &self.nodes[index];
-            let behind = node.holder.position().is_none_or(|position| !position.reaches(upto));
+            let behind = node.holder.position().is_none_or(|position| !position.includes(upto));
             // One that stands still judges its lease when it wakes, by a clock that went on.
             if node.up && node.holder.usable(self.local(index)).is_ok() && behind {
                 wrong.push(format!(
@@ -1097,7 +1097,7 @@
         }
         wrong.into_iter().for_each(|what| self.breach(5, what));
         for truth in self.truth.values_mut() {
-            if truth.complete_ns.is_none() && truth.order.is_some_and(|order| upto.reaches(order)) {
+            if truth.complete_ns.is_none() && truth.order.is_some_and(|order| upto.includes(order)) {
                 truth.complete_ns = Some(self.now);
             }
         }
@@ -1123,7 +1123,7 @@
     }
     SiteNode {
         state,
-        relay: Relay::new(shape.terms, shape.guards),
+        relay: AckAggregator::new(shape.terms, shape.guards),
         catalogue: Catalogue::new(others, shape.settle_ns, shape.terms, shape.guards),
         ordering: false,
         said: None,
--- a/crates/lilacpitch-testbed/tests/fleet_measures.rs
+++ b/crates/lilacpitch-testbed/tests/fleet_measures.rs
@@ -2,7 +2,7 @@
 //! `cargo test --release -p lilacpitch-testbed --test fleet_measures -- --ignored --nocapture --test-threads 1`
 
 use lilacpitch_edge::net::fetch;
-use lilacpitch_fleet::message::{Request, Response, Role, RowChange};
+use lilacpitch_fleet::message::{Request, Response, Role, RecordChange};
 use lilacpitch_gossip::Keys;
 use lilacpitch_location::{Key, Kind, LocationRecord, LocationStore, Number, Owner, Query, ShardSummary};
 use lilacpitch_rpc::{connect, LocalIdentity, RequestHandler, ResponseFuture, RpcConnection};
@@ -148,9 +148,9 @@
         // A front that has no cache: whatever is ordered is applied.
         Box::pin(async move {
             match ask {
-                Request::Orders { log, orders } => {
+                Request::Commands { log, orders } => {
                     let order = orders.last().map_or(0, |order| order.number);
-                    Response::Applied(lilacpitch_fleet::message::Position { log, order })
+                    Response::Applied(lilacpitch_fleet::message::LogPosition { log, index: order })
                 }
                 _ => Response::Done,
             }
@@ -174,22 +174,22 @@
         let mut renewed = Instant::now() - SOON;
         for (nth, first) in (from..from + count).step_by(512).enumerate() {
             while renewed.elapsed() > Duration::from_millis(300) {
-                match link.request(Request::Renew(position), SOON).await.unwrap() {
-                    Response::Fresh { position: at, .. } => position = Some(at),
-                    Response::Granted { position: at, .. } => {
+                match link.request(Request::RenewLease(position), SOON).await.unwrap() {
+                    Response::ResetRequired { position: at, .. } => position = Some(at),
+                    Response::LeaseGranted { position: at, .. } => {
                         position = Some(at);
                         renewed = Instant::now();
                     }
                     // Its own way up is being made again.
-                    Response::Refused(_) => tokio::time::sleep(Duration::from_millis(50)).await,
+                    Response::Rejected(_) => tokio::time::sleep(Duration::from_millis(50)).await,
                     other => panic!("{other:?}"),
                 }
             }
-            let rows = (first..(first + 512).min(from + count)).map(|n| RowChange::Put(row(n, &front, 1)));
+            let rows = (first..(first + 512).min(from + count)).map(|n| RecordChange::Upsert(row(n, &front, 1)));
             let write = Request::Write { first: nth as u64 * 512 + 1, changes: rows.collect() };
             assert_eq!(link.request(write, SOON).await.unwrap(), Response::Written);
         }
-        let _ = link.request(Request::Leave, SOON).await;
+        let _ = link.request(Request::ReleaseLease, SOON).await;
     });
     let rows = |t: &Town| t.get(process, "/metrics").contains("changes_not_ordered 0\n");
     assert!(town.wait(Duration::from_secs(120), rows), "all ordered");
--- a/crates/lilacpitch-testbed/tests/virtual_fleet.rs
+++ b/crates/lilacpitch-testbed/tests/virtual_fleet.rs
@@ -1,6 +1,6 @@
 //! The fleet's cores in virtual time: drawn days, three tiers, hundreds of fronts, promises broken on purpose.
 
-use lilacpitch_fleet::Guards;
+use lilacpitch_fleet::Safeguards;
 use lilacpitch_testbed::fleet::simulated_cluster::{Played, Shape, VirtualTown};
 use rayon::prelude::*;
 
@@ -34,12 +34,12 @@
 
 #[test]
 fn each_switch_breaks_its_promise_in_some_days() {
-    let on = Guards::default();
+    let on = Safeguards::default();
     let cases = [
-        (1, Guards { ages: false, ..on }),
-        (2, Guards { says: false, ..on }),
-        (3, Guards { refills: false, ..on }),
-        (5, Guards { acknowledgements: false, ..on }),
+        (1, Safeguards { summary_age: false, ..on }),
+        (2, Safeguards { unreached_sites: false, ..on }),
+        (3, Safeguards { stale_fills: false, ..on }),
+        (5, Safeguards { acknowledgements: false, ..on }),
     ];
     for (promise, guards) in cases {
         let days = play(&Shape { guards, ..Shape::tiers(2, 2, 3) }, 0..30);
