--- a/crates/lilacpitch-edge/src/cli.rs
+++ b/crates/lilacpitch-edge/src/cli.rs
@@ -1,6 +1,6 @@
 //! The command line of `lilacpitch-edge`.
 
-use crate::core::Guards;
+use crate::core::Safeguards;
 use crate::net;
 use clap::{Parser, Subcommand};
 use lilacpitch_config::{ConfigError, Edge, LogFormat, Pools, EDGE_SCHEMA};
@@ -58,7 +58,10 @@
 
 /// With guards of the fleet's promises switched off: for the laboratory.
 #[doc(hidden)]
-pub fn main_with(args: impl IntoIterator<Item = OsString>, promises: lilacpitch_fleet::Safeguards) -> ExitCode {
+pub fn main_with(
+    args: impl IntoIterator<Item = OsString>,
+    promises: lilacpitch_fleet::Safeguards,
+) -> ExitCode {
     let args = match Args::try_parse_from(args) {
         Ok(args) => args,
         Err(error) => {
@@ -169,7 +172,7 @@
                 _ = int.recv() => {}
             }
         };
-        net::run_with(settings, Guards::default(), promises, ready, stop).await
+        net::run_with(settings, Safeguards::default(), promises, ready, stop).await
     });
     let Some(ran) = ran else { return ExitCode::FAILURE };
     match ran {
--- a/crates/lilacpitch-edge/src/core/attempt.rs
+++ b/crates/lilacpitch-edge/src/core/attempt.rs
@@ -1,6 +1,6 @@
 //! Attempts: what a front keeps of each.
 
-use super::LinkId;
+use super::UpstreamId;
 use lilacpitch::interface::{Nanos, ServerId};
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -8,7 +8,7 @@
     /// Waits for a connection.
     Queued,
     /// Given to a connection as its message of this number, and no answer yet.
-    Out { link: LinkId, message: u64 },
+    Out { link: UpstreamId, message: u64 },
     /// The call stands.
     Standing,
 }
--- a/crates/lilacpitch-edge/src/core/calls.rs
+++ b/crates/lilacpitch-edge/src/core/calls.rs
@@ -2,7 +2,7 @@
 
 use super::attempt::{Attempt, AttemptState};
 use super::site::{dialled, NO_POOL};
-use super::{left, AttemptId, CallerId, Effect, Front, Timer};
+use super::{left, AttemptId, CallerId, EdgeCore, Effect, Timer};
 use lilacpitch::interface::{self, LoadReport, Nanos, Outcome, ServerId};
 use lilacpitch::Event;
 use lilacpitch_protocol::message::call::{Answer, ToCaller};
@@ -36,7 +36,7 @@
     span: tracing::Span,
 }
 
-impl Front {
+impl EdgeCore {
     /// Takes a call, or says why not, with the id that the caller gave it.
     pub(super) fn take_call(
         &mut self,
@@ -185,7 +185,7 @@
         let out = matches!(attempt.state, AttemptState::Out { .. });
         // After a stall of this front both may be due: what has timed out is not sent again.
         let over = self.timers.at(Timer::TimeOut(id)).is_none_or(|at| at <= self.now);
-        if out && !over && (self.servers.in_service(attempt.server) || !self.guards.drains) {
+        if out && !over && (self.servers.in_service(attempt.server) || !self.guards.drain_deadline) {
             self.transmit_setup(id, effects);
         }
     }
--- a/crates/lilacpitch-edge/src/core/facts.rs
+++ b/crates/lilacpitch-edge/src/core/facts.rs
@@ -1,6 +1,6 @@
 //! Facts about servers, between the module's ids and the names that other fronts know.
 
-use super::Front;
+use super::EdgeCore;
 use lilacpitch::interface::{self, Nanos};
 use lilacpitch::Event;
 use lilacpitch_gossip::server_report::MAX_SETUPS;
@@ -9,9 +9,9 @@
 
 const MS: Nanos = 1_000_000;
 
-impl Front {
+impl EdgeCore {
     /// What this front knows of servers from its own set-ups.
-    pub fn facts(&self) -> Vec<ServerReport> {
+    pub fn server_reports(&self) -> Vec<ServerReport> {
         let ms = |ns: Nanos| u32::try_from(ns / MS).unwrap_or(u32::MAX);
         let named = |fact: interface::ServerReport| {
             Some(ServerReport {
--- a/crates/lilacpitch-edge/src/core/fleet.rs
+++ b/crates/lilacpitch-edge/src/core/fleet.rs
@@ -2,7 +2,7 @@
 //! whether this front's settings are in force. Without `fleet` in the settings none of it happens.
 
 use super::calls::{Asked, Call};
-use super::{CallerId, Effect, Front, Timer};
+use super::{CallerId, EdgeCore, Effect, Timer};
 use lilacpitch::interface::{Nanos, ServerId};
 use lilacpitch::Event;
 use lilacpitch_config::FleetOf;
@@ -15,15 +15,15 @@
 
 /// A row of this front's that came or went.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct RowNews {
+pub struct RecordEvent {
     /// It is there now, or no more.
-    pub there: bool,
+    pub is_present: bool,
     /// What it says.
     pub kind: Kind,
     /// Its number.
     pub number: String,
     /// The front for a number that is reached, the server for a call that stands.
-    pub holder: String,
+    pub owner: String,
     /// The caller's or the call's number.
     pub serial: u64,
     /// The call's class; empty for a number that is reached.
@@ -41,9 +41,9 @@
     locate_share: f64,
     locate_longest_ns: Nanos,
     /// Rows that are there, by kind and serial.
-    there: BTreeMap<(Kind, u64), RowNews>,
+    is_present: BTreeMap<(Kind, u64), RecordEvent>,
     /// What came and went in this round.
-    pub rows: Vec<RowNews>,
+    pub rows: Vec<RecordEvent>,
     in_force: bool,
     /// Off in tests of the judge alone.
     pub calls_first: bool,
@@ -55,26 +55,26 @@
             pool: of.pool.clone(),
             locate_share: of.locate_share,
             locate_longest_ns: of.locate_longest_ns,
-            there: BTreeMap::new(),
+            is_present: BTreeMap::new(),
             rows: Vec::new(),
             in_force: true,
             calls_first: true,
         }
     }
 
-    fn came(&mut self, row: RowNews) {
+    fn came(&mut self, row: RecordEvent) {
         self.rows.push(row.clone());
-        self.there.insert((row.kind, row.serial), row);
+        self.is_present.insert((row.kind, row.serial), row);
     }
 
     fn went(&mut self, kind: Kind, serial: u64) {
-        if let Some(row) = self.there.remove(&(kind, serial)) {
-            self.rows.push(RowNews { there: false, ..row });
+        if let Some(row) = self.is_present.remove(&(kind, serial)) {
+            self.rows.push(RecordEvent { is_present: false, ..row });
         }
     }
 }
 
-impl Front {
+impl EdgeCore {
     /// How long a call may wait for the fleet; `None`: it does not ask.
     pub(super) fn asks_fleet(&self, asked: &Asked, budget_ns: Nanos) -> Option<Nanos> {
         let fleet = self.fleet.as_ref().filter(|_| asked.pool.is_none() && asked.number.is_some())?;
@@ -100,11 +100,11 @@
 
     pub(super) fn on_caller_number(&mut self, caller: CallerId, number: String) {
         let Some(fleet) = self.fleet.as_mut().filter(|_| self.callers.contains_key(&caller)) else { return };
-        fleet.came(RowNews {
-            there: true,
+        fleet.came(RecordEvent {
+            is_present: true,
             kind: Kind::Binding,
             number,
-            holder: self.name.clone(),
+            owner: self.name.clone(),
             serial: caller,
             class: String::new(),
             trunk_group: fleet.pool.clone(),
@@ -122,11 +122,11 @@
         let (Some(fleet), Some(call)) = (&mut self.fleet, self.calls.get(&id)) else { return };
         let Some(number) = call.number.clone() else { return };
         let Some(row) = self.servers.rows.get(&server) else { return };
-        fleet.came(RowNews {
-            there: true,
+        fleet.came(RecordEvent {
+            is_present: true,
             kind: Kind::ActiveCall,
             number,
-            holder: row.name.clone(),
+            owner: row.name.clone(),
             serial: id,
             class: call.class.clone(),
             trunk_group: self.site.pool_name(row.entry.number).unwrap_or_default().to_string(),
@@ -142,7 +142,7 @@
 
     pub(super) fn on_rows_wanted(&mut self) {
         if let Some(fleet) = &mut self.fleet {
-            fleet.rows.extend(fleet.there.values().cloned());
+            fleet.rows.extend(fleet.is_present.values().cloned());
         }
     }
 
--- a/crates/lilacpitch-edge/src/core/links.rs
+++ b/crates/lilacpitch-edge/src/core/links.rs
@@ -2,7 +2,7 @@
 //! attempt on them.
 
 use super::attempt::AttemptState;
-use super::{left, AttemptId, Effect, Front, LinkId, Timer};
+use super::{left, AttemptId, EdgeCore, Effect, Timer, UpstreamId};
 use lilacpitch::interface::{Availability, Endpoint, LoadReport, Nanos, Outcome, ServerId};
 use lilacpitch::Event;
 use lilacpitch_protocol::message::call::ToCaller;
@@ -17,9 +17,9 @@
     Untried,
     /// Tried and lost so often in a row; a timer tries again.
     Down,
-    Connecting(LinkId),
+    Connecting(UpstreamId),
     /// Ready, and so many messages given to it.
-    Up(LinkId, u64),
+    Up(UpstreamId, u64),
 }
 
 #[derive(Debug)]
@@ -40,7 +40,7 @@
         ServerRow { name, address, entry, started_ms, link: Link::Untried, failures: 0, attempts }
     }
 
-    pub fn up(&self) -> Option<LinkId> {
+    pub fn up(&self) -> Option<UpstreamId> {
         match self.link {
             Link::Up(link, _) => Some(link),
             _ => None,
@@ -57,8 +57,8 @@
 pub(super) struct Servers {
     pub rows: BTreeMap<ServerId, ServerRow>,
     ids: BTreeMap<String, ServerId>,
-    by_link: BTreeMap<LinkId, ServerId>,
-    next_link: LinkId,
+    by_link: BTreeMap<UpstreamId, ServerId>,
+    next_link: UpstreamId,
 }
 
 impl Servers {
@@ -86,12 +86,12 @@
     }
 
     /// The server of a connection that is still in use.
-    pub fn of_link(&self, link: LinkId) -> Option<ServerId> {
+    pub fn of_link(&self, link: UpstreamId) -> Option<ServerId> {
         self.by_link.get(&link).copied()
     }
 }
 
-impl Front {
+impl EdgeCore {
     /// Begins a connection to a server in service that has none.
     pub(super) fn connect(&mut self, id: ServerId, effects: &mut Vec<Effect>) {
         let in_service = self.servers.in_service(id);
@@ -106,7 +106,7 @@
         effects.push(Effect::Connect(link, row.address));
     }
 
-    pub(super) fn on_link_up(&mut self, link: LinkId, effects: &mut Vec<Effect>) {
+    pub(super) fn on_link_up(&mut self, link: UpstreamId, effects: &mut Vec<Effect>) {
         let Some(id) = self.servers.of_link(link) else { return };
         let Some(row) = self.servers.rows.get_mut(&id) else { return };
         row.link = Link::Up(link, 0);
@@ -126,7 +126,7 @@
         message: &ToServer,
         not_after_ns: Option<Nanos>,
         effects: &mut Vec<Effect>,
-    ) -> Option<(LinkId, u64)> {
+    ) -> Option<(UpstreamId, u64)> {
         let row = self.servers.rows.get_mut(&id)?;
         let Link::Up(link, count) = &mut row.link else { return None };
         let (link, number) = (*link, *count);
@@ -136,7 +136,7 @@
     }
 
     /// A connection is lost: what never left never ran, what left may have run, what stood is cut.
-    pub(super) fn on_link_down(&mut self, link: LinkId, written: u64, effects: &mut Vec<Effect>) {
+    pub(super) fn on_link_down(&mut self, link: UpstreamId, written: u64, effects: &mut Vec<Effect>) {
         let Some(id) = self.servers.by_link.remove(&link) else { return };
         let Some(row) = self.servers.rows.get_mut(&id) else { return };
         let was_up = row.up().is_some();
@@ -207,7 +207,7 @@
     }
 
     /// A set-up waited too long for its connection to be written: it never left.
-    pub(super) fn on_not_written(&mut self, link: LinkId, message: u64, effects: &mut Vec<Effect>) {
+    pub(super) fn on_not_written(&mut self, link: UpstreamId, message: u64, effects: &mut Vec<Effect>) {
         let Some(server) = self.servers.of_link(link).and_then(|id| self.servers.rows.get(&id)) else {
             return;
         };
@@ -221,7 +221,7 @@
         self.end_attempt(attempt, Outcome::NotSent, LoadReport::default(), effects);
     }
 
-    pub(super) fn on_link_text(&mut self, link: LinkId, text: &str, effects: &mut Vec<Effect>) {
+    pub(super) fn on_link_text(&mut self, link: UpstreamId, text: &str, effects: &mut Vec<Effect>) {
         let Some(server) = self.servers.of_link(link) else { return };
         let message = match FromServer::decode(text) {
             Ok(message) => message,
--- a/crates/lilacpitch-edge/src/core/mod.rs
+++ b/crates/lilacpitch-edge/src/core/mod.rs
@@ -17,7 +17,7 @@
 mod timers;
 
 pub use counters::Counters;
-pub use fleet::RowNews;
+pub use fleet::RecordEvent;
 pub use pools::ListedServer;
 
 use attempt::{Attempt, AttemptState};
@@ -25,7 +25,7 @@
 use lilacpitch::interface::{Action, LoadReport, Nanos, Outcome};
 use lilacpitch::{Controller, Event, Policy, Settings};
 use lilacpitch_config::{Edge, Pools};
-use lilacpitch_net::{Stall, Timers};
+use lilacpitch_net::{StallDetector, Timers};
 use lilacpitch_protocol::message::call::{FromCaller, ToCaller};
 use links::Servers;
 use rand_core::SeedableRng;
@@ -38,7 +38,7 @@
 /// A caller's connection, by the number the shell gives it. Never given twice.
 pub type CallerId = u64;
 /// A connection to a server, by the number the front gives it. Never given twice.
-pub type LinkId = u64;
+pub type UpstreamId = u64;
 /// An attempt, by the number that crosses the wire. Never given twice in a front's life.
 pub type AttemptId = u64;
 
@@ -52,37 +52,37 @@
     /// A caller's connection has ended.
     CallerClosed(CallerId),
     /// A connection that was asked for is ready.
-    LinkUp(LinkId),
+    UpstreamConnected(UpstreamId),
     /// A server sent a text message.
-    LinkText(LinkId, String),
+    UpstreamText(UpstreamId, String),
     /// A connection has ended or could not be made. Of the messages given to it, so many may have left.
-    LinkDown {
+    UpstreamClosed {
         /// The connection.
-        link: LinkId,
+        link: UpstreamId,
         /// Messages that may have reached the server.
         written: u64,
     },
     /// A set-up given to a connection was not written in time, and never will be.
     NotWritten {
         /// The connection.
-        link: LinkId,
+        link: UpstreamId,
         /// Which of its messages, from 0.
         message: u64,
     },
     /// The pool list was read, and has changed.
     PoolList(Pools),
     /// Another front, by its origin, says what it knows of servers.
-    Told(u64, Vec<lilacpitch_gossip::ServerReport>),
+    PeerReported(u64, Vec<lilacpitch_gossip::ServerReport>),
     /// What other fronts, by their origins, have lately met at servers.
-    Heard(Vec<(u64, lilacpitch_gossip::ServerReport)>),
+    RumorsReceived(Vec<(u64, lilacpitch_gossip::ServerReport)>),
     /// A caller said, as it connected, at which number it is reached.
     CallerNumber(CallerId, String),
     /// The fleet's answer for a call that waits for it: the pool through which its number is reached, if any.
     Located(u64, Option<String>),
     /// Whether this front may act on its settings version: without, it takes no new calls and ends those it has.
-    InForce(bool),
+    SettingsInForce(bool),
     /// All rows that this front has are wanted again.
-    RowsWanted,
+    RecordsRequested,
     /// The operator asks the front to stop.
     Stop,
     /// Time has passed.
@@ -95,11 +95,11 @@
     /// Send a caller a text message.
     ToCaller(CallerId, String),
     /// Make a connection to a server, and answer with `LinkUp` or `LinkDown`.
-    Connect(LinkId, SocketAddr),
+    Connect(UpstreamId, SocketAddr),
     /// Send a server a text message: the connection's messages are numbered from 0 in their order.
     ToServer {
         /// The connection.
-        link: LinkId,
+        link: UpstreamId,
         /// Its number among the connection's messages.
         message: u64,
         /// The message.
@@ -108,7 +108,7 @@
         not_after_ns: Option<Nanos>,
     },
     /// End a connection to a server, once what was given to it is written. No `LinkDown` follows.
-    Disconnect(LinkId),
+    Disconnect(UpstreamId),
     /// Where is this number? Answered by `Located`, or too late.
     Locate {
         /// The call that waits.
@@ -119,7 +119,7 @@
         patience_ns: Nanos,
     },
     /// A row of the fleet's register has changed.
-    Row(RowNews),
+    RecordChanged(RecordEvent),
     /// The front has stopped: nothing is owed any more.
     Stopped,
 }
@@ -127,29 +127,29 @@
 /// Guards that a test may switch off to see that the judge of the rules notices. Never off in a program.
 #[doc(hidden)]
 #[derive(Debug, Clone, Copy)]
-pub struct Guards {
+pub struct Safeguards {
     /// One attempt of a call at a time.
     pub one_attempt: bool,
     /// Drains are told to the module.
-    pub drains: bool,
+    pub drain_deadline: bool,
     /// A call's end ends what is sent for it, and it is answered once.
     pub one_answer: bool,
     /// A call's rest after a time-out, reset or cancel.
     pub release: bool,
 }
 
-impl Default for Guards {
+impl Default for Safeguards {
     fn default() -> Self {
-        Guards { one_attempt: true, drains: true, one_answer: true, release: true }
+        Safeguards { one_attempt: true, drain_deadline: true, one_answer: true, release: true }
     }
 }
 
 /// The core of a front. Same settings, seed and inputs give the same effects.
-pub struct Front {
+pub struct EdgeCore {
     name: String,
     settings: Edge,
     site: Site,
-    guards: Guards,
+    guards: Safeguards,
     brain: Box<dyn Policy>,
     rng: Pcg32,
     now: Nanos,
@@ -165,19 +165,19 @@
     actions: Vec<Action>,
     stopping: bool,
     stopped: bool,
-    stall: Stall,
+    stall: StallDetector,
     counters: Counters,
     fleet: Option<fleet::Fleet>,
 }
 
-impl Front {
+impl EdgeCore {
     /// A front that knows its settings and nothing else. `now`: nanoseconds since 1970, as all times here.
     pub fn new(settings: Edge, now: Nanos, seed: u64) -> Self {
-        Self::with_guards(settings, now, seed, Guards::default())
+        Self::with_safeguards(settings, now, seed, Safeguards::default())
     }
 
     #[doc(hidden)]
-    pub fn with_guards(settings: Edge, now: Nanos, seed: u64, guards: Guards) -> Self {
+    pub fn with_safeguards(settings: Edge, now: Nanos, seed: u64, guards: Safeguards) -> Self {
         Self::with_policy(settings, now, seed, guards, &|told, seed| Box::new(Controller::new(told, seed)))
     }
 
@@ -187,7 +187,7 @@
         settings: Edge,
         now: Nanos,
         seed: u64,
-        guards: Guards,
+        guards: Safeguards,
         policy: &dyn Fn(Settings, u64) -> Box<dyn Policy>,
     ) -> Self {
         let site = Site::new(&settings);
@@ -195,7 +195,7 @@
         if !guards.release {
             told.release_ns = 0;
         }
-        Front {
+        EdgeCore {
             name: settings.name.clone(),
             brain: policy(told, seed),
             rng: Pcg32::seed_from_u64(seed ^ 0x6c69_6c61_6370),
@@ -214,7 +214,7 @@
             actions: Vec::new(),
             stopping: false,
             stopped: false,
-            stall: Stall::default(),
+            stall: StallDetector::default(),
             counters: Counters::default(),
             fleet: settings.fleet.as_ref().map(fleet::Fleet::new),
             settings,
@@ -233,23 +233,23 @@
             }
             Input::CallerText(caller, text) => self.on_caller_text(caller, &text, effects),
             Input::CallerClosed(caller) => self.on_caller_closed(caller, effects),
-            Input::LinkUp(link) => self.on_link_up(link, effects),
-            Input::LinkText(link, text) => self.on_link_text(link, &text, effects),
-            Input::LinkDown { link, written } => self.on_link_down(link, written, effects),
+            Input::UpstreamConnected(link) => self.on_link_up(link, effects),
+            Input::UpstreamText(link, text) => self.on_link_text(link, &text, effects),
+            Input::UpstreamClosed { link, written } => self.on_link_down(link, written, effects),
             Input::NotWritten { link, message } => self.on_not_written(link, message, effects),
             Input::PoolList(pools) => self.on_pool_list(&pools, effects),
-            Input::Told(origin, facts) => self.on_told(origin, facts),
-            Input::Heard(heard) => self.on_heard(heard),
+            Input::PeerReported(origin, facts) => self.on_told(origin, facts),
+            Input::RumorsReceived(heard) => self.on_heard(heard),
             Input::CallerNumber(caller, number) => self.on_caller_number(caller, number),
             Input::Located(call, pool) => self.on_located(call, pool.as_deref()),
-            Input::InForce(in_force) => self.on_in_force(in_force, effects),
-            Input::RowsWanted => self.on_rows_wanted(),
+            Input::SettingsInForce(in_force) => self.on_in_force(in_force, effects),
+            Input::RecordsRequested => self.on_rows_wanted(),
             Input::Stop => self.on_stop(),
             Input::Timeout => {}
         }
         self.run_follow(effects);
         if let Some(fleet) = &mut self.fleet {
-            effects.extend(fleet.rows.drain(..).map(Effect::Row));
+            effects.extend(fleet.rows.drain(..).map(Effect::RecordChanged));
         }
         if self.stopping && !self.stopped && self.calls.is_empty() {
             self.stopped = true;
--- a/crates/lilacpitch-edge/src/core/pools.rs
+++ b/crates/lilacpitch-edge/src/core/pools.rs
@@ -1,7 +1,7 @@
 //! Following the pool list: names to ids, what changed, and what that ends.
 
 use super::links::ServerRow;
-use super::{Effect, Front};
+use super::{EdgeCore, Effect};
 use lilacpitch::interface::{Availability, Endpoint, EndpointUpdate, LoadReport, Nanos, Outcome, ServerId};
 use lilacpitch::Event;
 use lilacpitch_config::{Pools, Server, ServerState};
@@ -20,7 +20,7 @@
     pub attempts: usize,
 }
 
-impl Front {
+impl EdgeCore {
     /// The servers that the front knows.
     pub fn servers(&self) -> impl Iterator<Item = ListedServer> + '_ {
         self.servers.rows.values().map(|row| ListedServer {
@@ -47,7 +47,7 @@
         }
         let ids: Vec<ServerId> = self.servers.rows.keys().copied().collect();
         for id in ids {
-            if self.guards.drains && !self.servers.in_service(id) {
+            if self.guards.drain_deadline && !self.servers.in_service(id) {
                 self.withdraw_queued(id, effects);
             }
             if self.servers.in_service(id) && self.servers.rows.get(&id).is_some_and(ServerRow::untried) {
@@ -55,7 +55,7 @@
             }
             self.let_go(id, effects);
         }
-        if !self.guards.drains {
+        if !self.guards.drain_deadline {
             for entry in entries.iter_mut().filter(|e| e.availability == Availability::Draining) {
                 entry.availability = Availability::Ready;
             }
--- a/crates/lilacpitch-edge/src/fleet/admin_pages.rs
+++ b/crates/lilacpitch-edge/src/fleet/admin_pages.rs
@@ -141,7 +141,9 @@
                 let age_ms = now.saturating_sub(*as_of_ns) / 1_000_000;
                 writeln!(out, "site {site} ruled-out version {life}/{total} age-ms {age_ms}")
             }
-            SiteOutcome::Queried { process, records } => writeln!(out, "site {site} asked {process} rows {records}"),
+            SiteOutcome::Queried { process, records } => {
+                writeln!(out, "site {site} asked {process} rows {records}")
+            }
             SiteOutcome::Unreachable(why) => writeln!(out, "site {site} not-reached {why}"),
         };
     }
--- a/crates/lilacpitch-edge/src/fleet/locate.rs
+++ b/crates/lilacpitch-edge/src/fleet/locate.rs
@@ -2,7 +2,7 @@
 
 use super::{Agent, Counters, FromAgent};
 use lilacpitch_fleet::error::LocateError;
-use lilacpitch_fleet::locate::{LocateAnswer, Locate, SiteOutcome};
+use lilacpitch_fleet::locate::{Locate, LocateAnswer, SiteOutcome};
 use lilacpitch_fleet::message::Request;
 use lilacpitch_location::summary::shard_of;
 use lilacpitch_location::{Key, Number, Query};
@@ -97,7 +97,8 @@
                     match heard {
                         Some(answer) => cached.sites = answer.sites.clone(),
                         None => {
-                            let late = |site: &mut SiteOutcome| *site = SiteOutcome::Unreachable(LocateError::Late);
+                            let late =
+                                |site: &mut SiteOutcome| *site = SiteOutcome::Unreachable(LocateError::Late);
                             cached.sites.values_mut().for_each(late);
                         }
                     }
@@ -205,6 +206,9 @@
 
 /// Whether a site whose rows are cached was reached by a later answer.
 fn holder_answers(cached: &LocateAnswer, now: &LocateAnswer) -> bool {
-    let held = cached.sites.iter().filter(|(_, said)| matches!(said, SiteOutcome::Queried { records, .. } if *records > 0));
+    let held = cached
+        .sites
+        .iter()
+        .filter(|(_, said)| matches!(said, SiteOutcome::Queried { records, .. } if *records > 0));
     held.into_iter().any(|(site, _)| !matches!(now.sites.get(site), Some(SiteOutcome::Unreachable(_))))
 }
--- a/crates/lilacpitch-edge/src/fleet/locate_dispatcher.rs
+++ b/crates/lilacpitch-edge/src/fleet/locate_dispatcher.rs
@@ -4,7 +4,7 @@
 use lilacpitch::interface::Outcome;
 use lilacpitch_fleet::error::LocateError;
 use lilacpitch_fleet::message::{RejectReason, Request, Response};
-use lilacpitch_fleet::query_dispatcher::{poll_delay_ns, QueryDispatcher, DispatchAction, Timing};
+use lilacpitch_fleet::query_dispatcher::{poll_delay_ns, DispatchAction, QueryDispatcher, Timing};
 use lilacpitch_location::Page;
 use lilacpitch_rpc::{steady_ns, RpcError};
 use parking_lot::Mutex;
--- a/crates/lilacpitch-edge/src/fleet/mod.rs
+++ b/crates/lilacpitch-edge/src/fleet/mod.rs
@@ -11,7 +11,7 @@
 mod locate_dispatcher;
 mod record_publisher;
 
-use crate::core::RowNews;
+use crate::core::RecordEvent;
 use lilacpitch_config::{Edge, FleetOf, Pools};
 use lilacpitch_fleet::audit::{AuditRecorder, Version};
 use lilacpitch_fleet::cache::Cache;
@@ -22,7 +22,7 @@
 use lilacpitch_fleet::query_dispatcher::Timing;
 use lilacpitch_fleet::upstream_selection::UpstreamSelection;
 use lilacpitch_fleet::write_batcher::WriteBatcher;
-use lilacpitch_fleet::{Safeguards, Nanos};
+use lilacpitch_fleet::{Nanos, Safeguards};
 use lilacpitch_gossip::Keys;
 use lilacpitch_location::Kind;
 use lilacpitch_rpc::{steady_ns, Dialer, LocalIdentity, RequestHandler};
@@ -44,7 +44,7 @@
     /// Where is this number?
     Locate { call: u64, number: String, patience: Duration },
     /// Rows came or went, in this order.
-    Changed(Vec<RowNews>),
+    Changed(Vec<RecordEvent>),
     /// Rows were lost on the way: all that there are follow.
     Rows,
     /// The pool list that the front follows now.
@@ -134,7 +134,7 @@
     say: mpsc::Sender<ToAgent>,
     /// Rows were lost for want of room: they are all said again once there is some.
     rows_lost: bool,
-    held: WriteBatcher<RowNews>,
+    held: WriteBatcher<RecordEvent>,
 }
 
 impl Handle {
@@ -145,7 +145,7 @@
 
     /// Says a row: with the next [`Handle::say_due`], or soon where it is of a call. If the agent does not keep up, all
     /// rows are wanted again later.
-    pub fn row(&mut self, now: Nanos, row: RowNews) {
+    pub fn row(&mut self, now: Nanos, row: RecordEvent) {
         let presses = row.kind == Kind::Binding;
         let full = self.held.push(now, row, presses);
         self.changed(full);
@@ -162,7 +162,7 @@
         self.changed(due);
     }
 
-    fn changed(&mut self, rows: Option<Vec<RowNews>>) {
+    fn changed(&mut self, rows: Option<Vec<RecordEvent>>) {
         self.rows_lost |= rows.is_some_and(|rows| !self.say(ToAgent::Changed(rows)));
     }
 
--- a/crates/lilacpitch-edge/src/fleet/record_publisher.rs
+++ b/crates/lilacpitch-edge/src/fleet/record_publisher.rs
@@ -2,8 +2,8 @@
 //! register is another one.
 
 use super::{Agent, Counters, FromAgent};
-use crate::core::RowNews;
-use lilacpitch_fleet::message::{RejectReason, Request, Response, RecordChange};
+use crate::core::RecordEvent;
+use lilacpitch_fleet::message::{RecordChange, RejectReason, Request, Response};
 use lilacpitch_location::{Key, LocationRecord, Number, Owner};
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -46,7 +46,7 @@
 
 impl Agent {
     /// What came and went at the front, to be written in that order.
-    pub(super) fn changed(&self, news: Vec<RowNews>) {
+    pub(super) fn changed(&self, news: Vec<RecordEvent>) {
         let changes = news.into_iter().filter_map(|news| self.change(news));
         let mut rows = self.record_publisher.lock();
         rows.waiting.extend(changes);
@@ -59,13 +59,13 @@
         self.rows_changed.send_modify(|count| *count += 1);
     }
 
-    fn change(&self, news: RowNews) -> Option<RecordChange> {
+    fn change(&self, news: RecordEvent) -> Option<RecordChange> {
         // The front checked it: what is not a number never was one of a call.
         let number = Number::new(&news.number).ok()?;
         let (front, life) = (self.me.name.clone(), self.me.life);
-        let holder = Owner { name: news.holder, front, incarnation: life, serial: news.serial };
+        let holder = Owner { name: news.owner, front, incarnation: life, serial: news.serial };
         let key = Key { number, kind: news.kind, owner: holder };
-        if !news.there {
+        if !news.is_present {
             return Some(RecordChange::Withdraw(key));
         }
         let (class, trunk_group, since_ms) = (news.class, news.trunk_group, news.since_ms);
--- a/crates/lilacpitch-edge/src/net/driver.rs
+++ b/crates/lilacpitch-edge/src/net/driver.rs
@@ -4,7 +4,7 @@
 use super::driver_event::{News, RunError};
 use super::gossip_socket::Talk;
 use super::{metrics, watched_file, Clock};
-use crate::core::{CallerId, Effect, Front, Guards, Input, LinkId};
+use crate::core::{CallerId, EdgeCore, Effect, Input, Safeguards, UpstreamId};
 use crate::fleet::{self, FromAgent, ToAgent};
 use lilacpitch_config::{Edge, Pools};
 use lilacpitch_protocol::frame::Role;
@@ -43,13 +43,13 @@
 }
 
 struct Driver {
-    front: Front,
+    front: EdgeCore,
     clock: Clock,
     rng: StdRng,
     settings: Edge,
     news: mpsc::Sender<News>,
     callers: BTreeMap<CallerId, Peer>,
-    links: BTreeMap<LinkId, Peer>,
+    links: BTreeMap<UpstreamId, Peer>,
     next_caller: CallerId,
     effects: Vec<Effect>,
     talk: Option<Talk>,
@@ -60,7 +60,7 @@
 /// Runs a front until it has stopped, by SIGTERM, SIGINT or `stop`. Must run within a `LocalSet`.
 pub async fn run(
     settings: Edge,
-    guards: Guards,
+    guards: Safeguards,
     ready: impl FnOnce(Ready),
     stop: impl std::future::Future<Output = ()>,
 ) -> Result<(), RunError> {
@@ -71,7 +71,7 @@
 #[doc(hidden)]
 pub async fn run_with(
     settings: Edge,
-    guards: Guards,
+    guards: Safeguards,
     promises: lilacpitch_fleet::Safeguards,
     ready: impl FnOnce(Ready),
     stop: impl std::future::Future<Output = ()>,
@@ -120,7 +120,7 @@
             Some(bound)
         }
     };
-    let mut front = Front::with_guards(settings.clone(), clock.now(), rng.next_u64(), guards);
+    let mut front = EdgeCore::with_safeguards(settings.clone(), clock.now(), rng.next_u64(), guards);
     if !promises.calls_first {
         front.calls_wait();
     }
@@ -206,7 +206,7 @@
             News::Input(input) => {
                 match &input {
                     Input::CallerClosed(caller) => drop(self.callers.remove(caller)),
-                    Input::LinkDown { link, .. } => drop(self.links.remove(link)),
+                    Input::UpstreamClosed { link, .. } => drop(self.links.remove(link)),
                     _ => {}
                 }
                 self.feed(input);
@@ -243,8 +243,8 @@
                 let good = lilacpitch_rpc::steady_ns() < good_until_ns;
                 self.feed(Input::Located(call, pool.filter(|_| good)));
             }
-            FromAgent::InForce(in_force) => self.feed(Input::InForce(in_force)),
-            FromAgent::RowsWanted => self.feed(Input::RowsWanted),
+            FromAgent::InForce(in_force) => self.feed(Input::SettingsInForce(in_force)),
+            FromAgent::RowsWanted => self.feed(Input::RecordsRequested),
         }
     }
 
@@ -274,16 +274,16 @@
             match effect {
                 Said::Send(to, bytes) => self.talk.iter().for_each(|talk| talk.send(to, &bytes)),
                 Said::ReportsRequested(asker) => {
-                    let facts = self.front.facts();
+                    let facts = self.front.server_reports();
                     self.talk(|talk, now, out| talk.peers.answer_request(now, asker, facts, out));
                 }
                 Said::News => {
-                    let facts = self.front.facts();
+                    let facts = self.front.server_reports();
                     self.talk(|talk, now, out| talk.peers.publish_reports(now, &facts, out));
                 }
-                Said::Heard(heard) => self.feed(Input::Heard(heard)),
+                Said::Heard(heard) => self.feed(Input::RumorsReceived(heard)),
                 // By its origin, of which its address is part: two fronts that were given one name by mistake are two voices all the same.
-                Said::ReportsReceived(peer, facts) => self.feed(Input::Told(peer.origin(), facts)),
+                Said::ReportsReceived(peer, facts) => self.feed(Input::PeerReported(peer.origin(), facts)),
                 Said::Joined(peer) => {
                     tracing::info!(peer = peer.name, address = %peer.address, "peer is there")
                 }
@@ -336,11 +336,11 @@
                     self.tell_later(Input::Located(call, None));
                 }
             }
-            Effect::Row(row) => {
+            Effect::RecordChanged(row) => {
                 let Some(agent) = &mut self.agent else { return };
                 agent.row(self.clock.now(), row);
                 if agent.rows_are_due() {
-                    self.tell_later(Input::RowsWanted);
+                    self.tell_later(Input::RecordsRequested);
                 }
             }
             Effect::Stopped => self.stopped = true,
@@ -402,7 +402,7 @@
         self.feed(Input::CallerOpened(caller));
     }
 
-    fn connect(&mut self, link: LinkId, address: SocketAddr) {
+    fn connect(&mut self, link: UpstreamId, address: SocketAddr) {
         let (out, mut queue) = mpsc::channel(self.settings.limits.queue);
         let (news, clock, mut rng) = (self.news.clone(), self.clock, self.rng());
         let limit = Duration::from_nanos(self.settings.timing.connect_ns);
@@ -413,13 +413,13 @@
                 .await
             {
                 Ok(Ok((stream, rest))) => {
-                    if news.send(News::Input(Input::LinkUp(link))).await.is_err() {
+                    if news.send(News::Input(Input::UpstreamConnected(link))).await.is_err() {
                         return;
                     }
                     let pump = Pump { stream, role: Role::Client, clock, rng, quiet: None };
                     let heard = async |heard| {
                         let input = match heard {
-                            Heard::Text(text) => Input::LinkText(link, text),
+                            Heard::Text(text) => Input::UpstreamText(link, text),
                             Heard::NotWritten(message) => Input::NotWritten { link, message },
                         };
                         news.send(News::Input(input)).await.is_ok()
@@ -431,7 +431,7 @@
                 Ok(Err(why)) => tracing::debug!(link, %address, why, "no connection"),
                 Err(_) => tracing::debug!(link, %address, "no connection in time"),
             }
-            let _ = news.send(News::Input(Input::LinkDown { link, written })).await;
+            let _ = news.send(News::Input(Input::UpstreamClosed { link, written })).await;
         });
         self.links.insert(link, Peer { out, task: task.abort_handle() });
     }
--- a/crates/lilacpitch-edge/src/net/metrics.rs
+++ b/crates/lilacpitch-edge/src/net/metrics.rs
@@ -2,7 +2,7 @@
 
 use super::connection::read_head;
 use super::driver_event::News;
-use crate::core::Front;
+use crate::core::EdgeCore;
 use crate::fleet::ToAgent;
 use lilacpitch_protocol::handshake::plain_response;
 use lilacpitch_protocol::http;
@@ -69,7 +69,7 @@
 }
 
 /// The page.
-pub(super) fn page(front: &Front) -> String {
+pub(super) fn page(front: &EdgeCore) -> String {
     let mut out = String::new();
     front.counters().page(&mut out);
     let (owed, standing) = front.calls_now();
--- a/crates/lilacpitch-fleet/src/ack_aggregator.rs
+++ b/crates/lilacpitch-fleet/src/ack_aggregator.rs
@@ -118,7 +118,11 @@
     pub fn ordered(&mut self, now: Nanos, what: CommandAction) -> LogPosition {
         let position = self.window.append(what);
         self.came.push_back((position.index, now));
-        while self.came.front().is_some_and(|(_, at)| now.saturating_sub(*at) > 2 * self.terms.lagging_after_ns) {
+        while self
+            .came
+            .front()
+            .is_some_and(|(_, at)| now.saturating_sub(*at) > 2 * self.terms.lagging_after_ns)
+        {
             self.came.pop_front();
         }
         position
@@ -271,7 +275,11 @@
             }
         }
         self.complete = self.complete.max(upto);
-        AggregatedAck { acknowledged: LogPosition { index: self.complete, ..position }, missing, missing_count }
+        AggregatedAck {
+            acknowledged: LogPosition { index: self.complete, ..position },
+            missing,
+            missing_count,
+        }
     }
 
     /// When a lease runs out next that a sum may wait for.
--- a/crates/lilacpitch-fleet/src/audit.rs
+++ b/crates/lilacpitch-fleet/src/audit.rs
@@ -76,7 +76,14 @@
 impl AuditRecorder {
     /// Of a front's life.
     pub fn new(front: &str, life: u64) -> Self {
-        AuditRecorder { front: front.into(), incarnation: life, serial: 0, waiting: VecDeque::new(), last: None, joined: 0 }
+        AuditRecorder {
+            front: front.into(),
+            incarnation: life,
+            serial: 0,
+            waiting: VecDeque::new(),
+            last: None,
+            joined: 0,
+        }
     }
 
     /// What it acts on now; nothing is noted where nothing has changed.
@@ -245,8 +252,19 @@
         self.versions = kept;
     }
 
-    fn acted<'a>(&'a self, (front, life): &'a (String, u64), span: &'a Span, seen_ms: u64) -> ActiveVersion<'a> {
-        ActiveVersion { front, incarnation: *life, version: &self.versions[span.version as usize], span, seen_ms }
+    fn acted<'a>(
+        &'a self,
+        (front, life): &'a (String, u64),
+        span: &'a Span,
+        seen_ms: u64,
+    ) -> ActiveVersion<'a> {
+        ActiveVersion {
+            front,
+            incarnation: *life,
+            version: &self.versions[span.version as usize],
+            span,
+            seen_ms,
+        }
     }
 
     /// What each front acted on at a moment, as far as it has said; a life that is not known to have lasted until
--- a/crates/lilacpitch-fleet/src/cache.rs
+++ b/crates/lilacpitch-fleet/src/cache.rs
@@ -113,7 +113,8 @@
             return;
         }
         for shard in &self.shards {
-            let out = |n: &Number, answer: &LocateAnswer| wide.iter().any(|scope| withdraws(scope, n, answer));
+            let out =
+                |n: &Number, answer: &LocateAnswer| wide.iter().any(|scope| withdraws(scope, n, answer));
             shard.lock().entries.retain(|number, answer| !out(number, answer));
         }
     }
--- a/crates/lilacpitch-fleet/src/catalogue.rs
+++ b/crates/lilacpitch-fleet/src/catalogue.rs
@@ -70,7 +70,11 @@
     }
 
     /// What each site's summary says of a question.
-    pub fn candidates<'a>(&'a self, now: Nanos, query: &'a Query) -> impl Iterator<Item = (&'a str, SiteVerdict)> {
+    pub fn candidates<'a>(
+        &'a self,
+        now: Nanos,
+        query: &'a Query,
+    ) -> impl Iterator<Item = (&'a str, SiteVerdict)> {
         let hash = match &query.target {
             QueryTarget::Number(number) => Some(number.hash64()),
             // A summary knows whole numbers only.
--- a/crates/lilacpitch-fleet/src/query_dispatcher.rs
+++ b/crates/lilacpitch-fleet/src/query_dispatcher.rs
@@ -119,7 +119,14 @@
     }
 
     /// A question to a site, with at most so long; its number.
-    pub fn ask(&mut self, now: Nanos, site: usize, urgent: bool, budget_ns: Nanos, out: &mut Vec<DispatchAction>) -> u64 {
+    pub fn ask(
+        &mut self,
+        now: Nanos,
+        site: usize,
+        urgent: bool,
+        budget_ns: Nanos,
+        out: &mut Vec<DispatchAction>,
+    ) -> u64 {
         let id = self.next;
         self.next += 1;
         self.attempts.insert(id, 0);
@@ -138,7 +145,13 @@
     }
 
     /// An attempt has ended.
-    pub fn ended(&mut self, now: Nanos, done: DispatchAction, outcome: Outcome, out: &mut Vec<DispatchAction>) {
+    pub fn ended(
+        &mut self,
+        now: Nanos,
+        done: DispatchAction,
+        outcome: Outcome,
+        out: &mut Vec<DispatchAction>,
+    ) {
         let DispatchAction::Ask { question, attempt, site, process, .. } = done else { return };
         let server = server(site, process);
         if outcome == Outcome::Completed {
--- a/crates/lilacpitch-fleet/tests/cache_orders.rs
+++ b/crates/lilacpitch-fleet/tests/cache_orders.rs
@@ -1,7 +1,7 @@
 //! The cache's own source under locks whose orders `shuttle` draws: a fill beside a purge beside a reader. What was read
 //! before a purge is never there after it, whichever lock comes first.
 
-use lilacpitch_fleet::{locate, message, Safeguards, Nanos};
+use lilacpitch_fleet::{locate, message, Nanos, Safeguards};
 
 /// In place of the crate's own locks.
 mod sync {
@@ -22,7 +22,7 @@
 use cache::Cache;
 use lilacpitch_location::{Key, Kind, LocationRecord, Number, Owner};
 use locate::LocateAnswer;
-use message::{FleetCommand, PurgeScope, CommandAction};
+use message::{CommandAction, FleetCommand, PurgeScope};
 use shuttle::sync::atomic::{AtomicU64, Ordering};
 use shuttle::sync::Arc;
 use shuttle::thread;
@@ -40,7 +40,13 @@
         trunk_group: "p".into(),
         since_ms: version,
     };
-    LocateAnswer { records: vec![row], sites: Default::default(), is_complete: true, cursor: None, is_cached: false }
+    LocateAnswer {
+        records: vec![row],
+        sites: Default::default(),
+        is_complete: true,
+        cursor: None,
+        is_cached: false,
+    }
 }
 
 fn play(guards: Safeguards, scope: PurgeScope) {
@@ -76,9 +82,12 @@
 
 #[test]
 fn no_order_of_locks_refills_with_the_old() {
-    for scope in
-        [PurgeScope::Number(number()), PurgeScope::Prefix("1555".into()), PurgeScope::Owner("edge-1".into()), PurgeScope::All]
-    {
+    for scope in [
+        PurgeScope::Number(number()),
+        PurgeScope::Prefix("1555".into()),
+        PurgeScope::Owner("edge-1".into()),
+        PurgeScope::All,
+    ] {
         shuttle::check_random(move || play(Safeguards::default(), scope.clone()), 3_000);
     }
 }
--- a/crates/lilacpitch-fleet/tests/model.rs
+++ b/crates/lilacpitch-fleet/tests/model.rs
@@ -6,7 +6,7 @@
 use lilacpitch_fleet::lease::LeaseTerms;
 use lilacpitch_fleet::lease_holder::{LeaseHolder, LeaseUpdate};
 use lilacpitch_fleet::log_tail::LogTail;
-use lilacpitch_fleet::message::{FleetCommand, LogPosition, Response, PurgeScope, CommandAction};
+use lilacpitch_fleet::message::{CommandAction, FleetCommand, LogPosition, PurgeScope, Response};
 use lilacpitch_fleet::Safeguards;
 use stateright::{Checker, Model, Property};
 use std::collections::BTreeSet;
--- a/crates/lilacpitch-fleet/tests/relay.rs
+++ b/crates/lilacpitch-fleet/tests/relay.rs
@@ -3,7 +3,7 @@
 use lilacpitch_fleet::ack_aggregator::{AckAggregator, AggregatedAck, ChildId};
 use lilacpitch_fleet::lease::LeaseTerms;
 use lilacpitch_fleet::log_tail::LogTail;
-use lilacpitch_fleet::message::{LogPosition, RejectReason, Response, PurgeScope, CommandAction};
+use lilacpitch_fleet::message::{CommandAction, LogPosition, PurgeScope, RejectReason, Response};
 use lilacpitch_fleet::upstream_selection::{renew_gap_ns, UpstreamSelection};
 use lilacpitch_fleet::Safeguards;
 
@@ -70,7 +70,10 @@
     // A process answers for all below it: that it has the order itself is not enough.
     relay.applied(&below, at(1));
     assert_eq!(relay.sum(S).missing, vec!["leaf-0"]);
-    relay.summed(&below, AggregatedAck { acknowledged: at(0), missing: vec!["edge-9".into()], missing_count: 1 });
+    relay.summed(
+        &below,
+        AggregatedAck { acknowledged: at(0), missing: vec!["edge-9".into()], missing_count: 1 },
+    );
     assert_eq!(relay.sum(S).missing, vec!["edge-9"]);
     // The lease, and the clocks' allowance on both sides: not a moment sooner.
     let out = S + TERMS.outlasts(3 * S);
--- a/crates/lilacpitch-net/src/lib.rs
+++ b/crates/lilacpitch-net/src/lib.rs
@@ -14,5 +14,5 @@
 pub use clock::Clock;
 pub use connection::{Codec, Connection, Draining, Ended, Heard, Rest};
 pub use outbox::{End, Outbox, Outgoing, TakenBack, Wrote};
-pub use stall::Stall;
+pub use stall::StallDetector;
 pub use timers::Timers;
--- a/crates/lilacpitch-net/src/stall.rs
+++ b/crates/lilacpitch-net/src/stall.rs
@@ -7,17 +7,17 @@
 
 /// The last stall of this process, and until when it may have kept messages waiting.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct Stall {
+pub struct StallDetector {
     span_ns: Nanos,
     until_ns: Nanos,
 }
 
-impl Stall {
+impl StallDetector {
     /// Notes by how much the first timer is late; up to `usual_ns` is no stall.
     pub fn note(&mut self, now: Nanos, first_due: Option<Nanos>, usual_ns: Nanos) {
         let late_ns = first_due.map_or(0, |due| now.saturating_sub(due));
         if late_ns > usual_ns {
-            *self = Stall { span_ns: late_ns.max(self.span_ns(now)), until_ns: now + CATCH_UP_NS };
+            *self = StallDetector { span_ns: late_ns.max(self.span_ns(now)), until_ns: now + CATCH_UP_NS };
         }
     }
 
--- a/crates/lilacpitch-node/src/core/active_calls.rs
+++ b/crates/lilacpitch-node/src/core/active_calls.rs
@@ -1,7 +1,7 @@
 //! Calls that stand: adopted, released by either side, ended with their server. They outlive both connections.
 
 use super::calls::{Attempt, AttemptState, Call};
-use super::{CallerId, Effect, Node};
+use super::{CallerId, Effect, NodeCore};
 use crate::signal::{self, CAUSE_CUT, CAUSE_NORMAL};
 use lilacpitch::interface::{CallId, LoadReport, Nanos, Outcome, ServerId};
 use lilacpitch_sip::Request;
@@ -9,7 +9,7 @@
 /// Releases kept for a connection that may take them; the oldest go first.
 const MOST_UNSENT: usize = 4096;
 
-impl Node {
+impl NodeCore {
     /// A call that stands at a server already, by its caller's word: no answer is owed.
     pub(super) fn adopt(
         &mut self,
--- a/crates/lilacpitch-node/src/core/callers.rs
+++ b/crates/lilacpitch-node/src/core/callers.rs
@@ -1,7 +1,7 @@
 //! Callers' messages: read, refused where they can't be used, or taken.
 
 use super::calls::Asked;
-use super::{CallerId, Effect, Node};
+use super::{CallerId, Effect, NodeCore};
 use crate::signal::call_id;
 use lilacpitch::interface::{CallId, Nanos};
 use lilacpitch_sip::{Message, Request};
@@ -37,7 +37,7 @@
 /// A refusal of a message: status and reason.
 type Refusal = (u16, &'static str);
 
-impl Node {
+impl NodeCore {
     pub(super) fn on_caller_message(&mut self, id: CallerId, message: Message, effects: &mut Vec<Effect>) {
         let Some(caller) = self.callers.get_mut(&id) else { return };
         (caller.last_ns, caller.evicted) = (self.now, false);
--- a/crates/lilacpitch-node/src/core/calls.rs
+++ b/crates/lilacpitch-node/src/core/calls.rs
@@ -1,6 +1,6 @@
 //! Calls and their attempts: taken, sent, answered once.
 
-use super::{CallerId, Effect, LinkId, Node, Timer};
+use super::{CallerId, Effect, NodeCore, Timer, UpstreamId};
 use crate::signal;
 use lilacpitch::interface::{self, CallId, LoadReport, Nanos, Outcome, ServerId};
 use lilacpitch::Event;
@@ -22,11 +22,11 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum AttemptState {
     /// Waits for this connection to be made.
-    Queued(LinkId),
+    Queued(UpstreamId),
     /// Given to a connection as its message of this number, and no answer yet.
-    Out(LinkId, u64),
+    Out(UpstreamId, u64),
     /// The call stands; the connection of its set-up, which it may outlive.
-    Standing(LinkId),
+    Standing(UpstreamId),
 }
 
 /// The attempt of a call that has not ended.
@@ -61,7 +61,7 @@
     pub attempt: Option<Attempt>,
     pub hops: u32,
     /// Connections that earlier attempts went by: a late answer there is not this one's.
-    pub used: Vec<LinkId>,
+    pub used: Vec<UpstreamId>,
     pub stood_ns: Nanos,
 }
 
@@ -71,7 +71,7 @@
     }
 }
 
-impl Node {
+impl NodeCore {
     pub(super) fn take_call(&mut self, caller: CallerId, asked: Asked) {
         let id = self.next_call;
         self.next_call += 1;
@@ -241,7 +241,13 @@
     }
 
     /// A server's answer: the call stands.
-    pub(super) fn on_answer(&mut self, id: CallId, link: LinkId, body: String, effects: &mut Vec<Effect>) {
+    pub(super) fn on_answer(
+        &mut self,
+        id: CallId,
+        link: UpstreamId,
+        body: String,
+        effects: &mut Vec<Effect>,
+    ) {
         let Some(call) = self.calls.get_mut(&id) else { return };
         let (Some(attempt), Some(set_up)) = (&mut call.attempt, call.set_up.take()) else { return };
         attempt.state = AttemptState::Standing(link);
--- a/crates/lilacpitch-node/src/core/endpoint_list.rs
+++ b/crates/lilacpitch-node/src/core/endpoint_list.rs
@@ -2,13 +2,13 @@
 
 use super::calls::AttemptState;
 use super::upstreams::Server;
-use super::{Effect, Node};
+use super::{Effect, NodeCore};
 use crate::coordinator::{Endpoints, State, Target};
 use lilacpitch::interface::{Availability, Endpoint, EndpointUpdate, LoadReport, Outcome, ServerId};
 use lilacpitch::Event;
 use std::collections::BTreeSet;
 
-impl Node {
+impl NodeCore {
     pub(super) fn on_list(&mut self, endpoints: &Endpoints, effects: &mut Vec<Effect>) {
         let mut listed = BTreeSet::new();
         let mut entries = Vec::new();
@@ -137,7 +137,7 @@
             standing.into_iter().for_each(|call| self.orphaned(call, "listed as gone", effects));
         }
         let Some(row) = self.servers.get(&id) else { return };
-        let out = |link: &super::LinkId| self.upstreams.get(link).is_some_and(|l| !l.set_ups.is_empty());
+        let out = |link: &super::UpstreamId| self.upstreams.get(link).is_some_and(|l| !l.set_ups.is_empty());
         if !row.standing.is_empty() || row.links.iter().any(out) {
             return;
         }
--- a/crates/lilacpitch-node/src/core/mod.rs
+++ b/crates/lilacpitch-node/src/core/mod.rs
@@ -21,7 +21,7 @@
 use lilacpitch::interface::{Action, CallId, LoadReport, Nanos, Outcome, ServerId};
 use lilacpitch::settings::Site;
 use lilacpitch::{Controller, Event};
-use lilacpitch_net::{Stall, Timers};
+use lilacpitch_net::{StallDetector, Timers};
 use lilacpitch_sip::Message;
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
@@ -30,7 +30,7 @@
 /// A caller's connection, by the number the shell gives it. Never given twice.
 pub type CallerId = u64;
 /// A connection to a server, by the number the node gives it. Never given twice.
-pub type LinkId = u64;
+pub type UpstreamId = u64;
 
 /// After SIGTERM, callers' connections and set-ups are taken for so long: new connections come for 0.4 s, requests
 /// on open ones for 0.2 s more, by the platform's page on its figures.
@@ -54,13 +54,13 @@
     /// A message that a caller's connection did not take before its end.
     NotTaken(Vec<u8>),
     /// A connection that was asked for is ready.
-    LinkUp(LinkId),
+    UpstreamConnected(UpstreamId),
     /// A server sent a message.
-    LinkMessage(LinkId, FromServer),
+    UpstreamMessage(UpstreamId, FromServer),
     /// A connection has ended or could not be made.
-    LinkDown {
+    UpstreamClosed {
         /// The connection.
-        link: LinkId,
+        link: UpstreamId,
         /// Of the messages given to it, so many may have reached the server.
         written: u64,
         /// Whether the machine there said at once that nobody listens.
@@ -69,7 +69,7 @@
     /// A message given to a connection was too old to be written, and never will be.
     NotWritten {
         /// The connection.
-        link: LinkId,
+        link: UpstreamId,
         /// Which of its messages, from 0.
         message: u64,
     },
@@ -93,11 +93,11 @@
     /// End a caller's connection, unless something has come on it: `CallerClosed` follows, or `NotEvicted`.
     EvictCaller(CallerId),
     /// Make a connection to a server, and answer with `LinkUp` or `LinkDown`.
-    Connect(LinkId, SocketAddr),
+    Connect(UpstreamId, SocketAddr),
     /// Send a server a message: the connection's messages are numbered from 0 in their order.
     ToServer {
         /// The connection.
-        link: LinkId,
+        link: UpstreamId,
         /// Its number among the connection's messages.
         message: u64,
         /// The message.
@@ -109,7 +109,7 @@
     /// connection ends.
     Withdraw {
         /// The connection.
-        link: LinkId,
+        link: UpstreamId,
         /// The number of the message that is taken back.
         message: u64,
         /// The number of what follows it.
@@ -118,7 +118,7 @@
         bytes: Vec<u8>,
     },
     /// End a connection to a server: what waits there is written, but for set-ups. No `LinkDown` follows.
-    Disconnect(LinkId),
+    Disconnect(UpstreamId),
     /// Nothing is owed any more.
     Stopped,
 }
@@ -138,7 +138,7 @@
 }
 
 /// The core of a node. Same settings, seed and inputs give the same effects.
-pub struct Node {
+pub struct NodeCore {
     site: Site,
     max_links: usize,
     brain: Controller,
@@ -151,12 +151,12 @@
     by_wire: BTreeMap<u64, CallId>,
     servers: BTreeMap<ServerId, Server>,
     by_uid: BTreeMap<String, ServerId>,
-    upstreams: BTreeMap<LinkId, Link>,
+    upstreams: BTreeMap<UpstreamId, Link>,
     timers: Timers<Timer>,
-    stall: Stall,
+    stall: StallDetector,
     next_call: CallId,
     next_server: ServerId,
-    next_link: LinkId,
+    next_link: UpstreamId,
     /// Releases that no connection could take yet, oldest first.
     unsent: VecDeque<Vec<u8>>,
     /// Ids of calls that went to a server and are over, and until when their ends may still be on their way.
@@ -171,11 +171,11 @@
     counters: Counters,
 }
 
-impl Node {
+impl NodeCore {
     /// A node that knows its settings and nothing else. `max_links`: connections to servers, beyond one each.
     /// `now`: nanoseconds since 1970, as all times here.
     pub fn new(site: Site, max_links: usize, now: Nanos, seed: u64) -> Self {
-        let mut node = Node {
+        let mut node = NodeCore {
             brain: Controller::new(site.settings.clone(), seed),
             site,
             max_links,
@@ -188,7 +188,7 @@
             by_uid: BTreeMap::new(),
             upstreams: BTreeMap::new(),
             timers: Timers::default(),
-            stall: Stall::default(),
+            stall: StallDetector::default(),
             next_call: 1,
             next_server: 1,
             next_link: 1,
@@ -218,9 +218,11 @@
             Input::CallerLeft(caller) => self.on_caller_left(caller, effects),
             Input::CallerClosed(caller) => self.on_caller_closed(caller, effects),
             Input::NotTaken(bytes) => self.on_not_taken(bytes, effects),
-            Input::LinkUp(link) => self.on_link_up(link, effects),
-            Input::LinkMessage(link, message) => self.on_link_message(link, message, effects),
-            Input::LinkDown { link, written, refused } => self.on_link_down(link, written, refused, effects),
+            Input::UpstreamConnected(link) => self.on_link_up(link, effects),
+            Input::UpstreamMessage(link, message) => self.on_link_message(link, message, effects),
+            Input::UpstreamClosed { link, written, refused } => {
+                self.on_link_down(link, written, refused, effects)
+            }
             Input::NotWritten { link, message } => self.on_not_written(link, message, effects),
             Input::List(endpoints) => self.on_list(&endpoints, effects),
             Input::Evict => self.evict(effects),
--- a/crates/lilacpitch-node/src/core/upstreams.rs
+++ b/crates/lilacpitch-node/src/core/upstreams.rs
@@ -1,7 +1,7 @@
 //! Servers and the connections to them.
 
 use super::calls::AttemptState;
-use super::{Effect, LinkId, Node, Timer};
+use super::{Effect, NodeCore, Timer, UpstreamId};
 use crate::signal::{refused, FromServer, Load};
 use lilacpitch::interface::{CallId, Endpoint, LoadReport, Nanos, Outcome, ServerId};
 use lilacpitch::Event;
@@ -44,7 +44,7 @@
     pub address: SocketAddr,
     pub entry: Endpoint,
     pub boot_ms: u64,
-    pub links: Vec<LinkId>,
+    pub links: Vec<UpstreamId>,
     /// Calls that stand there.
     pub standing: BTreeSet<CallId>,
     /// When a message or a new connection last showed that it is there.
@@ -53,15 +53,15 @@
     pub unreached_ns: Option<Nanos>,
 }
 
-impl Node {
+impl NodeCore {
     /// A connection for one more set-up, not one of `used`: the one with the fewest set-ups, or a new one. A mute
     /// one only where no other may be made.
     pub(super) fn link_for(
         &mut self,
         server: ServerId,
-        used: &[LinkId],
+        used: &[UpstreamId],
         effects: &mut Vec<Effect>,
-    ) -> Option<LinkId> {
+    ) -> Option<UpstreamId> {
         let row = self.servers.get(&server)?;
         let free = row.links.iter().filter(|id| !used.contains(id));
         let ranked =
@@ -94,7 +94,7 @@
 
     /// A set-up given to this connection then went unanswered. Where nothing has been answered there since, the
     /// connection may be cut off: the next set-ups take others.
-    pub(super) fn doubt(&mut self, id: LinkId, sent_ns: Nanos, effects: &mut Vec<Effect>) {
+    pub(super) fn doubt(&mut self, id: UpstreamId, sent_ns: Nanos, effects: &mut Vec<Effect>) {
         let Some(link) = self.upstreams.get_mut(&id) else { return };
         if link.mute || link.answered_ns >= sent_ns {
             return;
@@ -120,13 +120,13 @@
         if !self.answers_elsewhere(row) && row.links.len() < LINKS_PER_SERVER {
             return;
         }
-        let idle = |id: &&LinkId| self.upstreams.get(id).is_some_and(|l| l.mute && l.set_ups.is_empty());
+        let idle = |id: &&UpstreamId| self.upstreams.get(id).is_some_and(|l| l.mute && l.set_ups.is_empty());
         let idle: Vec<_> = row.links.iter().filter(idle).copied().collect();
         idle.into_iter().for_each(|link| self.drop_link(link, effects));
         self.keep_reachable(id, effects);
     }
 
-    fn open_link(&mut self, server: ServerId, effects: &mut Vec<Effect>) -> Option<LinkId> {
+    fn open_link(&mut self, server: ServerId, effects: &mut Vec<Effect>) -> Option<UpstreamId> {
         let row = self.servers.get_mut(&server)?;
         let id = self.next_link;
         self.next_link += 1;
@@ -149,7 +149,7 @@
     /// Gives a message to a connection that is up; its number there.
     pub(super) fn transmit(
         &mut self,
-        id: LinkId,
+        id: UpstreamId,
         bytes: Vec<u8>,
         not_after_ns: Option<Nanos>,
         effects: &mut Vec<Effect>,
@@ -161,7 +161,7 @@
         Some(message)
     }
 
-    pub(super) fn on_link_up(&mut self, id: LinkId, effects: &mut Vec<Effect>) {
+    pub(super) fn on_link_up(&mut self, id: UpstreamId, effects: &mut Vec<Effect>) {
         let Some(link) = self.upstreams.get_mut(&id) else { return };
         link.up = true;
         let (server, waiting) = (link.server, link.set_ups.clone());
@@ -176,7 +176,7 @@
         self.servers.entry(server).and_modify(|s| (s.heard_ns, s.unreached_ns) = (now, None));
     }
 
-    pub(super) fn on_link_message(&mut self, id: LinkId, message: FromServer, effects: &mut Vec<Effect>) {
+    pub(super) fn on_link_message(&mut self, id: UpstreamId, message: FromServer, effects: &mut Vec<Effect>) {
         let Some(link) = self.upstreams.get_mut(&id) else { return };
         let server = link.server;
         if matches!(message, FromServer::Running { .. } | FromServer::Stop { .. }) {
@@ -221,7 +221,7 @@
     }
 
     /// The call whose set-up is out on this connection under this id.
-    fn out_here(&self, wire: u64, link: LinkId) -> Option<CallId> {
+    fn out_here(&self, wire: u64, link: UpstreamId) -> Option<CallId> {
         let id = self.by_wire.get(&wire).copied()?;
         let attempt = self.calls.get(&id)?.attempt?;
         matches!(attempt.state, AttemptState::Out(l, _) if l == link).then_some(id)
@@ -234,7 +234,7 @@
     }
 
     /// An answer to what was given up is released there; one to what was never sent means nothing.
-    fn on_stray_answer(&mut self, id: LinkId, server: ServerId, wire: u64, effects: &mut Vec<Effect>) {
+    fn on_stray_answer(&mut self, id: UpstreamId, server: ServerId, wire: u64, effects: &mut Vec<Effect>) {
         self.counters.strays += 1;
         let uid = self.servers.get(&server).map_or("", |row| &row.uid);
         tracing::trace!("late: an answer to {wire:016x}, which is not out on that connection, server={uid}");
@@ -252,7 +252,7 @@
         self.site.report(value).unwrap_or_default()
     }
 
-    pub(super) fn on_not_written(&mut self, id: LinkId, message: u64, effects: &mut Vec<Effect>) {
+    pub(super) fn on_not_written(&mut self, id: UpstreamId, message: u64, effects: &mut Vec<Effect>) {
         let Some(link) = self.upstreams.get(&id) else { return };
         let out = |call: &&CallId| {
             let attempt = self.calls.get(call).and_then(|call| call.attempt);
@@ -266,7 +266,7 @@
 
     pub(super) fn on_link_down(
         &mut self,
-        id: LinkId,
+        id: UpstreamId,
         written: u64,
         refused: bool,
         effects: &mut Vec<Effect>,
@@ -340,14 +340,14 @@
             return;
         }
         if row.links.len() >= LINKS_PER_SERVER {
-            let idle = |link: &&LinkId| self.upstreams.get(link).is_some_and(|l| l.set_ups.is_empty());
+            let idle = |link: &&UpstreamId| self.upstreams.get(link).is_some_and(|l| l.set_ups.is_empty());
             let Some(idle) = row.links.iter().find(idle).copied() else { return };
             self.drop_link(idle, effects);
         }
         self.open_link(id, effects);
     }
 
-    pub(super) fn drop_link(&mut self, id: LinkId, effects: &mut Vec<Effect>) {
+    pub(super) fn drop_link(&mut self, id: UpstreamId, effects: &mut Vec<Effect>) {
         let Some(link) = self.upstreams.remove(&id) else { return };
         self.servers.entry(link.server).and_modify(|s| s.links.retain(|other| *other != id));
         effects.push(Effect::Disconnect(id));
--- a/crates/lilacpitch-node/src/net/driver.rs
+++ b/crates/lilacpitch-node/src/net/driver.rs
@@ -2,7 +2,7 @@
 
 use super::coordinator_client::follow;
 use crate::config::{Budget, Config, ConfigError};
-use crate::core::{CallerId, Effect, Input, LinkId, Node};
+use crate::core::{CallerId, Effect, Input, NodeCore, UpstreamId};
 use crate::signal::{FromServer, LineError, Lines};
 use lilacpitch_net::{Clock, Codec, Connection, Draining, End, Heard, Outbox, Outgoing, TakenBack};
 use lilacpitch_sip::{Decoder, Message, SipError};
@@ -67,7 +67,7 @@
 }
 
 struct Driver {
-    node: Node,
+    node: NodeCore,
     clock: Clock,
     connect_timeout: Duration,
     news: mpsc::Sender<News>,
@@ -75,7 +75,7 @@
     left: mpsc::UnboundedSender<CallerId>,
     departures: mpsc::UnboundedReceiver<CallerId>,
     callers: BTreeMap<CallerId, Peer>,
-    links: BTreeMap<LinkId, Peer>,
+    links: BTreeMap<UpstreamId, Peer>,
     /// Callers that go unless something comes from them.
     evicted: BTreeSet<CallerId>,
     draining: Rc<Draining>,
@@ -103,7 +103,7 @@
     let (moved, coordinator) = watch::channel(config.coordinator);
     let connect_timeout = Duration::from_nanos(config.site.connect_timeout_ns);
     let clock = Clock::start();
-    let node = Node::new(config.site, max_links, clock.now(), config.seed);
+    let node = NodeCore::new(config.site, max_links, clock.now(), config.seed);
     let (callers, links, effects) = (BTreeMap::new(), BTreeMap::new(), Vec::new());
     let mut driver = Driver {
         node,
@@ -198,7 +198,7 @@
                 self.evicted.remove(caller);
                 not_taken = self.callers.remove(caller).map_or(not_taken, |peer| peer.outbox.unwritten());
             }
-            Input::LinkDown { link, .. } => drop(self.links.remove(link)),
+            Input::UpstreamClosed { link, .. } => drop(self.links.remove(link)),
             _ => {}
         }
         self.feed(input);
@@ -323,7 +323,7 @@
         self.feed(Input::CallerOpened(caller));
     }
 
-    fn connect(&mut self, link: LinkId, address: SocketAddr) {
+    fn connect(&mut self, link: UpstreamId, address: SocketAddr) {
         let outbox = Outbox::default();
         let (news, clock, limit) = (self.news.clone(), self.clock, self.connect_timeout);
         let (own, draining) = (outbox.clone(), self.draining.clone());
@@ -336,12 +336,12 @@
             };
             match connected {
                 Ok(Ok(stream)) => {
-                    if news.send(News::Input(Input::LinkUp(link))).await.is_err() {
+                    if news.send(News::Input(Input::UpstreamConnected(link))).await.is_err() {
                         return;
                     }
                     let heard = async |heard| {
                         let input = match heard {
-                            Heard::Message(message) => Input::LinkMessage(link, message),
+                            Heard::Message(message) => Input::UpstreamMessage(link, message),
                             Heard::NotWritten(message) => Input::NotWritten { link, message },
                         };
                         news.send(News::Input(input)).await.is_ok()
@@ -362,7 +362,7 @@
                 }
                 Err(_) => tracing::debug!(link, %address, "no connection in time"),
             }
-            let _ = news.send(News::Input(Input::LinkDown { link, written, refused })).await;
+            let _ = news.send(News::Input(Input::UpstreamClosed { link, written, refused })).await;
             if let Some(rest) = left {
                 rest.drain(&draining).await;
             }
--- a/crates/lilacpitch-node/tests/ends.rs
+++ b/crates/lilacpitch-node/tests/ends.rs
@@ -4,12 +4,12 @@
 
 use common::{config, request, MS};
 use lilacpitch_node::coordinator::told;
-use lilacpitch_node::core::{Effect, Input, LinkId, Node};
+use lilacpitch_node::core::{Effect, Input, NodeCore, UpstreamId};
 use lilacpitch_node::signal::FromServer;
 use serde_json::{json, Value};
 
 struct Scene {
-    node: Node,
+    node: NodeCore,
     now: u64,
 }
 
@@ -17,7 +17,7 @@
     /// A node with one server.
     fn new() -> Scene {
         let now = 1_000_000 * MS;
-        let mut scene = Scene { node: Node::new(config().site, 4, now, 3), now };
+        let mut scene = Scene { node: NodeCore::new(config().site, 4, now, 3), now };
         let target = json!({"uid": "s-0", "endpoint": "127.0.0.1:1000", "az": "a", "pod_group": 0,
             "state": "in_service", "boot_ms": 0});
         let event = json!({"index": 1, "endpoints": {"rev": 1, "all": true, "targets": [target]}});
@@ -36,17 +36,19 @@
         self.feed(Input::CallerOpened(caller));
     }
 
-    fn say(&mut self, link: LinkId, line: Value) -> Vec<Effect> {
+    fn say(&mut self, link: UpstreamId, line: Value) -> Vec<Effect> {
         let line = FromServer::decode(line.to_string().as_bytes()).unwrap();
-        self.feed(Input::LinkMessage(link, line))
+        self.feed(Input::UpstreamMessage(link, line))
     }
 
     /// A call that stands; its connection.
-    fn stands(&mut self, caller: u64, call: u64) -> LinkId {
+    fn stands(&mut self, caller: u64, call: u64) -> UpstreamId {
         let mut link = None;
         for effect in self.feed(Input::CallerMessage(caller, request("INVITE", call))) {
             if let Effect::Connect(id, _) = effect {
-                self.feed(Input::LinkUp(id)).iter().for_each(|effect| link = link.or(launched(effect)));
+                self.feed(Input::UpstreamConnected(id))
+                    .iter()
+                    .for_each(|effect| link = link.or(launched(effect)));
             }
             link = link.or(launched(&effect));
         }
@@ -56,12 +58,12 @@
         link
     }
 
-    fn end_of(&mut self, link: LinkId, call: u64) -> Vec<Effect> {
+    fn end_of(&mut self, link: UpstreamId, call: u64) -> Vec<Effect> {
         self.say(link, json!({"kind": "stop", "uid": format!("{call:016x}"), "meta": {}, "reason": 16}))
     }
 }
 
-fn launched(effect: &Effect) -> Option<LinkId> {
+fn launched(effect: &Effect) -> Option<UpstreamId> {
     match effect {
         Effect::ToServer { link, bytes, .. } if bytes.starts_with(b"{\"body\"") => Some(*link),
         _ => None,
@@ -125,13 +127,17 @@
     scene.caller(1);
     let link = scene.stands(1, 1);
     // The only connections are lost; what is made anew does not come up for a while.
-    let made = |effects: &[Effect]| -> Vec<LinkId> {
+    let made = |effects: &[Effect]| -> Vec<UpstreamId> {
         let made = |effect: &Effect| if let Effect::Connect(id, _) = effect { Some(*id) } else { None };
         effects.iter().filter_map(made).collect()
     };
     let mut connecting = Vec::new();
     for lost in 1..=link.max(2) {
-        connecting.extend(made(&scene.feed(Input::LinkDown { link: lost, written: 9, refused: false })));
+        connecting.extend(made(&scene.feed(Input::UpstreamClosed {
+            link: lost,
+            written: 9,
+            refused: false,
+        })));
     }
     let effects = scene.feed(Input::CallerMessage(1, request("BYE", 1)));
     connecting.extend(made(&effects));
@@ -142,10 +148,15 @@
     assert!(matches!(&effects[..], [Effect::ToCaller(1, bytes)] if bytes.starts_with(b"SIP/2.0 482 ")));
     for _ in 0..2 {
         let first = connecting.remove(0);
-        connecting.extend(made(&scene.feed(Input::LinkDown { link: first, written: 0, refused: false })));
+        connecting.extend(made(&scene.feed(Input::UpstreamClosed {
+            link: first,
+            written: 0,
+            refused: false,
+        })));
         assert!(!connecting.is_empty(), "tried again");
     }
-    let effects: Vec<_> = connecting.into_iter().flat_map(|link| scene.feed(Input::LinkUp(link))).collect();
+    let effects: Vec<_> =
+        connecting.into_iter().flat_map(|link| scene.feed(Input::UpstreamConnected(link))).collect();
     assert_eq!(lines(&effects), ["stop"]);
 }
 
@@ -162,11 +173,11 @@
     while released.is_none() && scene.now < from + 20_000 * MS {
         scene.now += 50 * MS;
         let mut effects = scene.feed(Input::Timeout);
-        let due = |(at, _): &(u64, LinkId)| *at <= scene.now;
+        let due = |(at, _): &(u64, UpstreamId)| *at <= scene.now;
         let (gone, waiting): (Vec<_>, Vec<_>) = connecting.into_iter().partition(due);
         connecting = waiting;
         for (_, link) in gone {
-            effects.extend(scene.feed(Input::LinkDown { link, written: 0, refused: false }));
+            effects.extend(scene.feed(Input::UpstreamClosed { link, written: 0, refused: false }));
         }
         if scene.now == from + 4_000 * MS {
             // The answer to it was on its way for that long, on whatever connections there were.
--- a/crates/lilacpitch-node/tests/orders.rs
+++ b/crates/lilacpitch-node/tests/orders.rs
@@ -5,7 +5,7 @@
 
 use common::{config, request, MS};
 use lilacpitch_node::coordinator::told;
-use lilacpitch_node::core::{CallerId, Effect, Input, LinkId, Node};
+use lilacpitch_node::core::{CallerId, Effect, Input, NodeCore, UpstreamId};
 use lilacpitch_node::signal::FromServer;
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
@@ -32,7 +32,7 @@
 }
 
 struct World {
-    node: Node,
+    node: NodeCore,
     now: u64,
     next_caller: CallerId,
     next_call: u64,
@@ -41,9 +41,9 @@
     callers: BTreeSet<CallerId>,
     left: BTreeSet<CallerId>,
     calls: BTreeMap<u64, Asked>,
-    links: BTreeMap<LinkId, Link>,
+    links: BTreeMap<UpstreamId, Link>,
     /// The connection that a call's attempt is out on.
-    out: BTreeMap<u64, LinkId>,
+    out: BTreeMap<u64, UpstreamId>,
     servers: Vec<(u64, &'static str, u64)>,
     evicted: Vec<CallerId>,
     stopped: bool,
@@ -53,7 +53,7 @@
     fn new() -> World {
         let now = 1_000_000 * MS;
         let mut world = World {
-            node: Node::new(config().site, 4, now, 11),
+            node: NodeCore::new(config().site, 4, now, 11),
             now,
             next_caller: 1,
             next_call: 1,
@@ -156,7 +156,7 @@
         }
     }
 
-    fn end_link(&mut self, link: LinkId) {
+    fn end_link(&mut self, link: UpstreamId) {
         self.links.remove(&link);
         self.out.retain(|_, on| *on != link);
     }
@@ -185,9 +185,9 @@
         self.now = until;
     }
 
-    fn say(&mut self, link: LinkId, line: Value) {
+    fn say(&mut self, link: UpstreamId, line: Value) {
         if self.links.get(&link).is_some_and(|row| row.up) {
-            self.feed(Input::LinkMessage(link, FromServer::decode(line.to_string().as_bytes()).unwrap()));
+            self.feed(Input::UpstreamMessage(link, FromServer::decode(line.to_string().as_bytes()).unwrap()));
         }
     }
 
@@ -242,7 +242,7 @@
                 let down: Vec<_> = self.links.iter().filter(|(_, l)| !l.up).map(|(id, _)| *id).collect();
                 if let Some(link) = Self::one(down, drawn) {
                     self.links.get_mut(&link).unwrap().up = true;
-                    self.feed(Input::LinkUp(link));
+                    self.feed(Input::UpstreamConnected(link));
                 }
             }
             13 => {
@@ -251,7 +251,7 @@
                     let written = given.iter().filter(|(_, left, _)| *left).map(|(n, ..)| n + 1).max();
                     self.end_link(link);
                     let refused = more.is_multiple_of(2);
-                    self.feed(Input::LinkDown { link, written: written.unwrap_or(0), refused });
+                    self.feed(Input::UpstreamClosed { link, written: written.unwrap_or(0), refused });
                 }
             }
             14 => {
@@ -356,7 +356,7 @@
         self.list(true);
         for link in self.links.keys().copied().collect::<Vec<_>>() {
             self.end_link(link);
-            self.feed(Input::LinkDown { link, written: 0, refused: true });
+            self.feed(Input::UpstreamClosed { link, written: 0, refused: true });
         }
         self.pass(60_000 * MS);
         let counted = self.node.counters();
--- a/crates/lilacpitch-node/tests/soak.rs
+++ b/crates/lilacpitch-node/tests/soak.rs
@@ -1,7 +1,7 @@
 //! Thousands of replaced servers and ever new ids: each map returns to its size, the module's too.
 
 use lilacpitch_node::coordinator::told;
-use lilacpitch_node::core::{Effect, Input, LinkId, Node};
+use lilacpitch_node::core::{Effect, Input, NodeCore, UpstreamId};
 use lilacpitch_node::signal::FromServer;
 use serde_json::json;
 
@@ -10,11 +10,11 @@
 
 /// A node in virtual time, and servers that answer as they are told.
 struct Soak {
-    node: Node,
+    node: NodeCore,
     now: u64,
-    links: Vec<LinkId>,
+    links: Vec<UpstreamId>,
     /// Set-ups that are out: connection and id.
-    out: Vec<(LinkId, String)>,
+    out: Vec<(UpstreamId, String)>,
     answered: usize,
     stood: usize,
     released: usize,
@@ -22,7 +22,7 @@
 
 impl Soak {
     fn new() -> Self {
-        let node = Node::new(config().site, 32, 1_000_000 * MS, 7);
+        let node = NodeCore::new(config().site, 32, 1_000_000 * MS, 7);
         let now = 1_000_000 * MS;
         Soak { node, now, links: Vec::new(), out: Vec::new(), answered: 0, stood: 0, released: 0 }
     }
@@ -34,7 +34,7 @@
             match effect {
                 Effect::Connect(link, _) => {
                     self.links.push(link);
-                    self.feed(Input::LinkUp(link));
+                    self.feed(Input::UpstreamConnected(link));
                 }
                 Effect::Disconnect(link) => self.links.retain(|l| *l != link),
                 // What is taken back had left: its server is told.
@@ -65,8 +65,8 @@
         self.now = until;
     }
 
-    fn say(&mut self, link: LinkId, line: serde_json::Value) {
-        self.feed(Input::LinkMessage(link, FromServer::decode(line.to_string().as_bytes()).unwrap()));
+    fn say(&mut self, link: UpstreamId, line: serde_json::Value) {
+        self.feed(Input::UpstreamMessage(link, FromServer::decode(line.to_string().as_bytes()).unwrap()));
     }
 
     fn list(&mut self, index: u64, all: bool, servers: &[(u64, &str)]) {
@@ -110,7 +110,7 @@
                 }
                 3 => {
                     soak.links.retain(|l| *l != link);
-                    soak.feed(Input::LinkDown { link, written: u64::MAX, refused: false });
+                    soak.feed(Input::UpstreamClosed { link, written: u64::MAX, refused: false });
                 }
                 _ => {}
             }
--- a/crates/lilacpitch-site/src/admin_pages.rs
+++ b/crates/lilacpitch-site/src/admin_pages.rs
@@ -2,7 +2,7 @@
 
 use crate::process::{now, Process};
 use lilacpitch_fleet::error::AuditError;
-use lilacpitch_fleet::message::{Request, Response, PurgeScope, CommandAction};
+use lilacpitch_fleet::message::{CommandAction, PurgeScope, Request, Response};
 use lilacpitch_location::Number;
 use lilacpitch_protocol::handshake::plain_response;
 use lilacpitch_protocol::http;
--- a/crates/lilacpitch-site/src/lease_client.rs
+++ b/crates/lilacpitch-site/src/lease_client.rs
@@ -278,7 +278,8 @@
         };
         let waits = sum.missing_count > 0;
         // Each renewal counts as news: the process above may be another one by now.
-        let news = said.is_none_or(|(upto, missing, _)| (upto, missing) != (sum.acknowledged, sum.missing_count));
+        let news =
+            said.is_none_or(|(upto, missing, _)| (upto, missing) != (sum.acknowledged, sum.missing_count));
         if let Some(way) = to.filter(|_| news || said.is_none_or(|(.., at)| at != round)) {
             let (upto, missing_count) = (sum.acknowledged, sum.missing_count);
             let say = Request::ReportAcknowledged { acknowledged: upto, missing: sum.missing, missing_count };
--- a/crates/lilacpitch-site/src/log/join.rs
+++ b/crates/lilacpitch-site/src/log/join.rs
@@ -123,7 +123,9 @@
                 node: 0,
                 committed: false,
             }))),
-            Err(error) => Response::Rejected(lilacpitch_fleet::message::RejectReason::Failed(error.to_string())),
+            Err(error) => {
+                Response::Rejected(lilacpitch_fleet::message::RejectReason::Failed(error.to_string()))
+            }
         }
     }
 }
--- a/crates/lilacpitch-site/src/log/mod.rs
+++ b/crates/lilacpitch-site/src/log/mod.rs
@@ -12,7 +12,7 @@
 pub mod store;
 
 use lilacpitch_fleet::audit::AuditRecord;
-use lilacpitch_fleet::message::{LogPosition, RecordChange, CommandAction};
+use lilacpitch_fleet::message::{CommandAction, LogPosition, RecordChange};
 use openraft::{BasicNode, Config, SnapshotPolicy};
 use serde::{Deserialize, Serialize};
 use std::io::Cursor;
--- a/crates/lilacpitch-site/src/log/state.rs
+++ b/crates/lilacpitch-site/src/log/state.rs
@@ -4,7 +4,7 @@
 use super::{Applied, Command, Written};
 use lilacpitch_fleet::audit::AuditLog;
 use lilacpitch_fleet::log_tail::LogTail;
-use lilacpitch_fleet::message::{PendingPurges, LogPosition, RecordChange, CommandAction, MAX_SCOPES};
+use lilacpitch_fleet::message::{CommandAction, LogPosition, PendingPurges, RecordChange, MAX_SCOPES};
 use lilacpitch_location::{Key, Kind, LocationError, LocationRecord, LocationStore, Number};
 use parking_lot::Mutex;
 use serde::{Deserialize, Serialize};
@@ -82,8 +82,9 @@
             }
             Command::Order(all) => {
                 let mut beside = self.beside.lock();
-                let wrong =
-                    all.iter().any(|what| matches!(what, CommandAction::Purge(scopes) if scopes.len() > MAX_SCOPES));
+                let wrong = all
+                    .iter()
+                    .any(|what| matches!(what, CommandAction::Purge(scopes) if scopes.len() > MAX_SCOPES));
                 if wrong || beside.window.position().log == 0 {
                     return Applied::Refused("an order with too many scopes, or no log to order in".into());
                 }
--- a/crates/lilacpitch-site/src/process.rs
+++ b/crates/lilacpitch-site/src/process.rs
@@ -6,7 +6,7 @@
 use crate::log::{join, Raft};
 use crate::{admin_pages, lease_client, record_store, summaries};
 use lilacpitch_config::Site;
-use lilacpitch_fleet::ack_aggregator::{ChildId, AckAggregator};
+use lilacpitch_fleet::ack_aggregator::{AckAggregator, ChildId};
 use lilacpitch_fleet::catalogue::Catalogue;
 use lilacpitch_fleet::concurrency_limit::ConcurrencyLimit;
 use lilacpitch_fleet::disk_loss_recovery::DiskLossRecovery;
--- a/crates/lilacpitch-site/src/record_store.rs
+++ b/crates/lilacpitch-site/src/record_store.rs
@@ -4,7 +4,7 @@
 use crate::process::{now, wall_ms, Process};
 use lilacpitch_fleet::ack_aggregator::ChildId;
 use lilacpitch_fleet::audit::AuditRecord;
-use lilacpitch_fleet::message::{RejectReason, Request, Response, RecordChange, PurgeScope, CommandAction};
+use lilacpitch_fleet::message::{CommandAction, PurgeScope, RecordChange, RejectReason, Request, Response};
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::atomic::Ordering::Relaxed;
 use std::sync::Arc;
--- a/crates/lilacpitch-site/src/request_handler.rs
+++ b/crates/lilacpitch-site/src/request_handler.rs
@@ -3,7 +3,9 @@
 use crate::log::Types;
 use crate::process::{now, Process};
 use lilacpitch_fleet::ack_aggregator::{AggregatedAck, ChildId};
-use lilacpitch_fleet::message::{LogMessage, RejectReason, Request, Response, Role, RecordChange, MAX_RECORDS};
+use lilacpitch_fleet::message::{
+    LogMessage, RecordChange, RejectReason, Request, Response, Role, MAX_RECORDS,
+};
 use lilacpitch_location::{Key, Query, QueryTarget};
 use lilacpitch_rpc::{RequestHandler, ResponseFuture, RpcConnection};
 use openraft::raft::{AppendEntriesRequest, InstallSnapshotRequest, VoteRequest};
@@ -191,7 +193,9 @@
         match request {
             // The sibling that took it has looked at the front's lease.
             Request::Write { first, changes } => self.writes.rows(who, first, changes).await,
-            Request::RemoveOlderIncarnations(front, before) => self.writes.withdraw_front(front, before).await,
+            Request::RemoveOlderIncarnations(front, before) => {
+                self.writes.withdraw_front(front, before).await
+            }
             other if self.is_root() => self.at_root(other).await,
             other => {
                 tracing::debug!(who = who.name, ?other, "forwarded, and not wanted");
@@ -202,7 +206,10 @@
 
     async fn write(self: &Arc<Self>, who: ChildId, first: u64, changes: Vec<RecordChange>) -> Response {
         if changes.len() > MAX_RECORDS {
-            return refused(RejectReason::Malformed(format!("{} rows, {MAX_RECORDS} at most", changes.len())));
+            return refused(RejectReason::Malformed(format!(
+                "{} rows, {MAX_RECORDS} at most",
+                changes.len()
+            )));
         }
         for change in &changes {
             let (key, wrong) = match change {
@@ -222,8 +229,11 @@
         match self.leader() {
             Some(place) if place == self.settings.place => self.writes.rows(who, first, changes).await,
             Some(place) => {
-                let forward =
-                    Request::Forwarded(who.name, who.incarnation, Box::new(Request::Write { first, changes }));
+                let forward = Request::Forwarded(
+                    who.name,
+                    who.incarnation,
+                    Box::new(Request::Write { first, changes }),
+                );
                 self.ask(place, forward).await
             }
             None => refused(RejectReason::NoLeader),
--- a/crates/lilacpitch-testbed/src/cli.rs
+++ b/crates/lilacpitch-testbed/src/cli.rs
@@ -1,7 +1,7 @@
 //! The command line of the laboratory.
 
 use clap::{Parser, Subcommand};
-use lilacpitch_edge::core::Guards;
+use lilacpitch_edge::core::Safeguards;
 use lilacpitch_testbed::baseline::Baseline;
 use lilacpitch_testbed::call_rules_checker::{Breach, Rule};
 use lilacpitch_testbed::compare::{compare, HEADING};
@@ -291,7 +291,7 @@
     let mut kept = true;
     for _ in 0..seeds {
         let begun = std::time::Instant::now();
-        let played = simulated_run::play(&day, Guards::default()).map_err(|e| e.to_string())?;
+        let played = simulated_run::play(&day, Safeguards::default()).map_err(|e| e.to_string())?;
         println!("seed {}, {} fronts, played in {:.1} s", day.seed, day.edges, begun.elapsed().as_secs_f64());
         println!("{}", played.report);
         if day.peers {
--- a/crates/lilacpitch-testbed/src/compare.rs
+++ b/crates/lilacpitch-testbed/src/compare.rs
@@ -9,7 +9,7 @@
 use indicatif::{ProgressBar, ProgressStyle};
 use lilacpitch::interface::Nanos;
 use lilacpitch_config::ConfigError;
-use lilacpitch_edge::core::Guards;
+use lilacpitch_edge::core::Safeguards;
 use rayon::prelude::*;
 use std::collections::BTreeMap;
 use std::fmt;
@@ -67,7 +67,7 @@
         .map(|(index, policy, seed)| {
             let mut day = days[*index].1.clone();
             day.seed += seed;
-            let played = play_with(&day, Guards::default(), *policy)?;
+            let played = play_with(&day, Safeguards::default(), *policy)?;
             bar.inc(1);
             let mut broken: Vec<Rule> = played.breaches.iter().map(|b| b.rule).collect();
             broken.sort();
--- a/crates/lilacpitch-testbed/src/edges.rs
+++ b/crates/lilacpitch-testbed/src/edges.rs
@@ -1,7 +1,7 @@
 //! Fronts to be tried: real processes, or the same front on a thread with a guard switched off.
 
 use lilacpitch_config::Edge;
-use lilacpitch_edge::core::Guards;
+use lilacpitch_edge::core::Safeguards;
 use lilacpitch_edge::net::{run, serve_handshake, Clock, Heard, Outgoing, Pump, Ready};
 use lilacpitch_protocol::frame::Role;
 use lilacpitch_protocol::handshake::CALL_PROTOCOL;
@@ -29,7 +29,7 @@
     /// A program that takes the arguments of `lilacpitch-edge`, behind these.
     Process(PathBuf, Vec<String>),
     /// The same front on a thread of this process, with these guards.
-    Thread(Guards),
+    Thread(Safeguards),
     /// No front: whatever is asked for stands at once. For telling the laboratory's own cost.
     Null,
 }
@@ -107,7 +107,7 @@
     Ok(Running { callers, what: What::Process(child) })
 }
 
-fn start_thread(guards: Guards, config: &Path) -> Result<Running, EdgeError> {
+fn start_thread(guards: Safeguards, config: &Path) -> Result<Running, EdgeError> {
     let settings = Edge::load(config).map_err(|e| EdgeError::NotReady(e.to_string()))?.value;
     let (stop, stopped) = oneshot::channel();
     let (tell, told) = std::sync::mpsc::channel();
--- a/crates/lilacpitch-testbed/src/fleet/promises_checker.rs
+++ b/crates/lilacpitch-testbed/src/fleet/promises_checker.rs
@@ -2,7 +2,9 @@
 //! code with what it judges but the form of the messages.
 
 use super::fault_proxy::{Crossed, NOT_KNOWN};
-use lilacpitch_fleet::message::{Body, LogPosition, Request, Response, RecordChange, PurgeScope, CommandAction};
+use lilacpitch_fleet::message::{
+    Body, CommandAction, LogPosition, PurgeScope, RecordChange, Request, Response,
+};
 use lilacpitch_location::{Key, Kind, Number};
 use std::collections::{BTreeMap, BTreeSet};
 
--- a/crates/lilacpitch-testbed/src/fleet/simulated_cluster.rs
+++ b/crates/lilacpitch-testbed/src/fleet/simulated_cluster.rs
@@ -2,18 +2,19 @@
 //! a disk that outlives it; links hold what they are cut for, messages take their time, clocks run at different speeds.
 //! Promises are judged with sight of every node.
 
-use lilacpitch_fleet::ack_aggregator::{ChildId, AckAggregator, AggregatedAck};
+use lilacpitch_fleet::ack_aggregator::{AckAggregator, AggregatedAck, ChildId};
 use lilacpitch_fleet::cache::Cache;
 use lilacpitch_fleet::catalogue::{news_of, Catalogue, MAX_UPDATE_BYTES};
 use lilacpitch_fleet::lease::LeaseTerms;
 use lilacpitch_fleet::lease_holder::{LeaseHolder, LeaseUpdate};
-use lilacpitch_fleet::locate::{LocateAnswer, Locate, SiteOutcome as SiteSaid};
+use lilacpitch_fleet::locate::{Locate, LocateAnswer, SiteOutcome as SiteSaid};
 use lilacpitch_fleet::log_tail::LogTail;
 use lilacpitch_fleet::message::{
-    FleetCommand, LogPosition, RejectReason, Request, Response, RecordChange, PurgeScope, SiteSummaryUpdate, CommandAction,
+    CommandAction, FleetCommand, LogPosition, PurgeScope, RecordChange, RejectReason, Request, Response,
+    SiteSummaryUpdate,
 };
 use lilacpitch_fleet::upstream_selection::renew_gap_ns;
-use lilacpitch_fleet::{Safeguards, Nanos};
+use lilacpitch_fleet::{Nanos, Safeguards};
 use lilacpitch_location::{Key, Kind, LocationRecord, Number, Owner as RowHolder, Query};
 use lilacpitch_site::log::state::State;
 use lilacpitch_site::log::{Command, Written};
@@ -509,8 +510,10 @@
         };
         let purge = matches!(
             &what,
-            Carried::Ask(_, Request::Commands { .. } | Request::ReportAcknowledged { .. } | Request::Submit(_))
-                | Carried::Answer(_, Response::Applied(_) | Response::Committed(_))
+            Carried::Ask(
+                _,
+                Request::Commands { .. } | Request::ReportAcknowledged { .. } | Request::Submit(_)
+            ) | Carried::Answer(_, Response::Applied(_) | Response::Committed(_))
         );
         self.played.messages = (self.played.messages.0 + 1, self.played.messages.1 + bytes);
         if purge {
@@ -561,7 +564,11 @@
                 self.write(of);
             }
             Some(Then::Pass { to, id }) => {
-                self.carry(of, to, Carried::Answer(id, Response::Rejected(RejectReason::Failed("late".into()))));
+                self.carry(
+                    of,
+                    to,
+                    Carried::Answer(id, Response::Rejected(RejectReason::Failed("late".into()))),
+                );
             }
             Some(Then::Find { look, site }) => {
                 self.found(look, site, Err(lilacpitch_fleet::error::LocateError::Late));
@@ -603,7 +610,17 @@
                     let (news, total, more) =
                         news_of(known, life, total, register.shards(), &mut room, shard);
                     let (shards, site) = (register.shards() as u32, own.clone());
-                    all.push(SiteSummaryUpdate { site, incarnation: life, shards, total, age_ns: 0, pending, ordered, shard_updates: news, has_more: more });
+                    all.push(SiteSummaryUpdate {
+                        site,
+                        incarnation: life,
+                        shards,
+                        total,
+                        age_ns: 0,
+                        pending,
+                        ordered,
+                        shard_updates: news,
+                        has_more: more,
+                    });
                 }
                 all.extend(site.catalogue.news(now, &known, |site| *site == own));
                 Some(Response::Summaries(all))
@@ -694,7 +711,8 @@
                 }
             }
             Then::Orders { child } => {
-                let who = ChildId { name: self.nodes[child].name.clone(), incarnation: self.nodes[child].life };
+                let who =
+                    ChildId { name: self.nodes[child].name.clone(), incarnation: self.nodes[child].life };
                 if let Kindly::Site(site) = &mut self.nodes[of].kind {
                     site.sending.remove(&child);
                     if let (Response::Applied(upto), Some(life)) = (response, site.links.get(&child)) {
@@ -741,7 +759,8 @@
                 if let Kindly::Front(front) = &mut self.nodes[of].kind {
                     if front.register != Some(*store_id) {
                         front.register = Some(*store_id);
-                        let all: Vec<RecordChange> = front.rows.values().cloned().map(RecordChange::Upsert).collect();
+                        let all: Vec<RecordChange> =
+                            front.rows.values().cloned().map(RecordChange::Upsert).collect();
                         front.waiting.extend(all);
                     }
                 }
@@ -848,7 +867,12 @@
         match above {
             Some(above) => {
                 let AggregatedAck { acknowledged, missing, missing_count } = sum;
-                self.ask(of, above, Request::ReportAcknowledged { acknowledged, missing, missing_count }, Then::Nothing);
+                self.ask(
+                    of,
+                    above,
+                    Request::ReportAcknowledged { acknowledged, missing, missing_count },
+                    Then::Nothing,
+                );
             }
             None => self.completed(sum.acknowledged),
         }
--- a/crates/lilacpitch-testbed/src/newcomers.rs
+++ b/crates/lilacpitch-testbed/src/newcomers.rs
@@ -8,7 +8,7 @@
 use crate::simulation::server::By;
 use lilacpitch::interface::Nanos;
 use lilacpitch_config::ConfigError;
-use lilacpitch_edge::core::Guards;
+use lilacpitch_edge::core::Safeguards;
 use std::fmt;
 
 /// What counts as a front's beginning.
@@ -59,7 +59,7 @@
     let starts: Vec<(Nanos, usize)> = script.restart.iter().map(|(_, to, edge)| (*to, *edge)).collect();
     let mut sum = Beginning { new: 0.0, warm: 0.0, breaches: 0 };
     for _ in 0..seeds {
-        let played = play(&day, Guards::default())?;
+        let played = play(&day, Safeguards::default())?;
         let in_first = |at: Nanos, from: Nanos| (from..from + FIRST_NS).contains(&at);
         let new = |edge: usize, at: Nanos| starts.iter().any(|(from, e)| *e == edge && in_first(at, *from));
         let warm = |edge: usize, at: Nanos| {
--- a/crates/lilacpitch-testbed/src/simulated_run.rs
+++ b/crates/lilacpitch-testbed/src/simulated_run.rs
@@ -14,7 +14,7 @@
 use crate::simulation::server::{Does, Server};
 use lilacpitch::interface::Nanos;
 use lilacpitch_config::{ConfigError, Edge, Pools, ServerState};
-use lilacpitch_edge::core::{CallerId, Effect, Front, Guards, Input, LinkId};
+use lilacpitch_edge::core::{CallerId, EdgeCore, Effect, Input, Safeguards, UpstreamId};
 use lilacpitch_gossip::{Effect as Said, Keys, Peers, ServerReport, Settings as PeersSettings};
 use lilacpitch_protocol::message::call::{Answer, FromCaller, ToCaller};
 use lilacpitch_protocol::message::signal::{FromServer, ToServer};
@@ -37,9 +37,9 @@
 enum Happens {
     ToFront(usize, Input),
     Wake(usize),
-    Connect { front: usize, link: LinkId, server: usize },
-    ToServer { front: usize, link: LinkId, server: usize, text: String },
-    Hangup { front: usize, link: LinkId, server: usize },
+    Connect { front: usize, link: UpstreamId, server: usize },
+    ToServer { front: usize, link: UpstreamId, server: usize, text: String },
+    Hangup { front: usize, link: UpstreamId, server: usize },
     Work(usize),
     ToCaller { front: usize, caller: CallerId, text: String },
     Arrival(usize),
@@ -57,7 +57,7 @@
 }
 
 struct FrontRow {
-    front: Front,
+    front: EdgeCore,
     peers: Option<Peers>,
     peers_wake_ns: Option<Nanos>,
     /// Killed, and not started anew yet.
@@ -78,7 +78,7 @@
     model: Server,
     dead: bool,
     stopped: bool,
-    conns: BTreeMap<usize, LinkId>,
+    conns: BTreeMap<usize, UpstreamId>,
     work_ns: Option<Nanos>,
 }
 
@@ -100,7 +100,7 @@
     /// Calls at each front over time.
     rates: Vec<Rate>,
     connect_ns: Nanos,
-    guards: Guards,
+    guards: Safeguards,
     policy: Baseline,
     records: Vec<Record>,
     effects: Vec<Effect>,
@@ -110,12 +110,12 @@
 }
 
 /// Plays a day in virtual time.
-pub fn play(day: &Day, guards: Guards) -> Result<Played, ConfigError> {
+pub fn play(day: &Day, guards: Safeguards) -> Result<Played, ConfigError> {
     play_with(day, guards, Baseline::Module)
 }
 
 /// The same with another policy in the module's place.
-pub fn play_with(day: &Day, guards: Guards, policy: Baseline) -> Result<Played, ConfigError> {
+pub fn play_with(day: &Day, guards: Safeguards, policy: Baseline) -> Result<Played, ConfigError> {
     let script = day.script();
     let mut world = World::new(day, &script, guards, policy)?;
     let end_ns = START_NS + day.length_ns + AFTERMATH_NS;
@@ -135,7 +135,12 @@
 }
 
 impl<'a> World<'a> {
-    fn new(day: &'a Day, script: &'a Script, guards: Guards, policy: Baseline) -> Result<Self, ConfigError> {
+    fn new(
+        day: &'a Day,
+        script: &'a Script,
+        guards: Safeguards,
+        policy: Baseline,
+    ) -> Result<Self, ConfigError> {
         let mut world = World {
             day,
             script,
@@ -339,7 +344,7 @@
     fn carry_out(&mut self, front: usize, effect: Effect) {
         match effect {
             // Virtual days play fronts without a fleet.
-            Effect::Locate { .. } | Effect::Row(_) => {}
+            Effect::Locate { .. } | Effect::RecordChanged(_) => {}
             Effect::ToCaller(caller, text) => {
                 let at = self.arrives((0, front, 0));
                 self.at(at, Happens::ToCaller { front, caller, text });
@@ -365,20 +370,20 @@
         }
     }
 
-    fn connected(&mut self, front: usize, link: LinkId, server: usize) {
+    fn connected(&mut self, front: usize, link: UpstreamId, server: usize) {
         let row = &mut self.servers[server];
         if row.dead && !row.stopped {
             // Taken by the machine, answered by nobody: the front's own patience ends it.
             return self.at(
                 self.now + self.connect_ns,
-                Happens::ToFront(front, Input::LinkDown { link, written: 0 }),
+                Happens::ToFront(front, Input::UpstreamClosed { link, written: 0 }),
             );
         }
         let input = if row.stopped {
-            Input::LinkDown { link, written: 0 }
+            Input::UpstreamClosed { link, written: 0 }
         } else {
             row.conns.insert(front, link);
-            Input::LinkUp(link)
+            Input::UpstreamConnected(link)
         };
         let at = self.arrives((2, server, front));
         self.at(at, Happens::ToFront(front, input));
@@ -417,7 +422,7 @@
 
     // ---- Servers ----
 
-    fn server_reads(&mut self, front: usize, link: LinkId, server: usize, text: &str) {
+    fn server_reads(&mut self, front: usize, link: UpstreamId, server: usize, text: &str) {
         if self.servers[server].conns.get(&front) != Some(&link) {
             return;
         }
@@ -462,7 +467,7 @@
         let Some(link) = self.servers[server].conns.get(&front).copied() else { return };
         self.record(Seen::said(&self.servers[server].name.clone(), front, message));
         let at = self.arrives((2, server, front));
-        self.at(at, Happens::ToFront(front, Input::LinkText(link, message.encode())));
+        self.at(at, Happens::ToFront(front, Input::UpstreamText(link, message.encode())));
     }
 
     fn drop_conn(&mut self, server: usize, front: usize) {
@@ -472,7 +477,7 @@
         let server_name = row.name.clone();
         self.record(Seen::LinkEnded { server: server_name, edge: front });
         let at = self.arrives((2, server, front));
-        self.at(at, Happens::ToFront(front, Input::LinkDown { link, written: u64::MAX }));
+        self.at(at, Happens::ToFront(front, Input::UpstreamClosed { link, written: u64::MAX }));
     }
 
     fn drop_all(&mut self, server: usize) {
@@ -616,13 +621,13 @@
         self.start_peers(front);
     }
 
-    fn new_front(&mut self, edge: usize) -> Result<Front, ConfigError> {
+    fn new_front(&mut self, edge: usize) -> Result<EdgeCore, ConfigError> {
         let text = self.day.edge_settings(edge, "-", "127.0.0.1:1");
         let settings = Edge::from_text("a day's front", &text)?.value;
         self.connect_ns = settings.timing.connect_ns;
         let policy = self.policy;
         let (seed, make) = (self.rng.next_u64(), |told, seed| policy.make(told, seed));
-        Ok(Front::with_policy(settings, self.now, seed, self.guards, &make))
+        Ok(EdgeCore::with_policy(settings, self.now, seed, self.guards, &make))
     }
 
     // ---- The talk among fronts ----
@@ -670,12 +675,14 @@
                     let facts = self.facts(front);
                     self.with_peers(front, |peers, now, out| peers.publish_reports(now, &facts, out));
                 }
-                Said::Heard(heard) => self.feed(front, Input::Heard(heard)),
+                Said::Heard(heard) => self.feed(front, Input::RumorsReceived(heard)),
                 Said::ReportsRequested(asker) => {
                     let facts = self.facts(front);
                     self.with_peers(front, |peers, now, out| peers.answer_request(now, asker, facts, out));
                 }
-                Said::ReportsReceived(peer, facts) => self.feed(front, Input::Told(peer.origin(), facts)),
+                Said::ReportsReceived(peer, facts) => {
+                    self.feed(front, Input::PeerReported(peer.origin(), facts))
+                }
                 Said::Joined(_) | Said::Left(_) => {}
             }
         }
@@ -684,7 +691,7 @@
     /// What a front says that it knows.
     fn facts(&self, front: usize) -> Vec<ServerReport> {
         let row = &self.fronts[front];
-        let mut facts = row.front.facts();
+        let mut facts = row.front.server_reports();
         if row.confused {
             for fact in &mut facts {
                 (fact.is_unresponsive, fact.is_draining, fact.warming_up_for_ms) = (true, true, Some(0));
--- a/crates/lilacpitch-testbed/tests/fleet_measures.rs
+++ b/crates/lilacpitch-testbed/tests/fleet_measures.rs
@@ -2,7 +2,7 @@
 //! `cargo test --release -p lilacpitch-testbed --test fleet_measures -- --ignored --nocapture --test-threads 1`
 
 use lilacpitch_edge::net::fetch;
-use lilacpitch_fleet::message::{Request, Response, Role, RecordChange};
+use lilacpitch_fleet::message::{RecordChange, Request, Response, Role};
 use lilacpitch_gossip::Keys;
 use lilacpitch_location::{Key, Kind, LocationRecord, LocationStore, Number, Owner, Query, ShardSummary};
 use lilacpitch_rpc::{connect, LocalIdentity, RequestHandler, ResponseFuture, RpcConnection};
@@ -185,7 +185,8 @@
                     other => panic!("{other:?}"),
                 }
             }
-            let rows = (first..(first + 512).min(from + count)).map(|n| RecordChange::Upsert(row(n, &front, 1)));
+            let rows =
+                (first..(first + 512).min(from + count)).map(|n| RecordChange::Upsert(row(n, &front, 1)));
             let write = Request::Write { first: nth as u64 * 512 + 1, changes: rows.collect() };
             assert_eq!(link.request(write, SOON).await.unwrap(), Response::Written);
         }
--- a/crates/lilacpitch-testbed/tests/guards.rs
+++ b/crates/lilacpitch-testbed/tests/guards.rs
@@ -1,6 +1,6 @@
 //! A front with a guard switched off, on real sockets: the judge must notice. With all guards on, it must not.
 
-use lilacpitch_edge::core::Guards;
+use lilacpitch_edge::core::Safeguards;
 use lilacpitch_testbed::call_rules_checker::Rule;
 use lilacpitch_testbed::day::Day;
 use lilacpitch_testbed::edges::Program;
@@ -30,13 +30,13 @@
     .unwrap()
 }
 
-fn with(guards: Guards) -> Played {
+fn with(guards: Safeguards) -> Played {
     play(&day(), &Program::Thread(guards)).unwrap()
 }
 
 #[test]
 fn all_guards_on_keep_all_rules() {
-    let played = with(Guards::default());
+    let played = with(Safeguards::default());
     assert_eq!(played.breaches, vec![]);
     assert!(played.report.setups > 200, "the day must be a day: {}", played.report);
     assert!(played.report.service > 0.5, "{}", played.report);
@@ -44,24 +44,24 @@
 
 #[test]
 fn a_second_attempt_out_is_noticed() {
-    let broken = with(Guards { one_attempt: false, ..Guards::default() });
+    let broken = with(Safeguards { one_attempt: false, ..Safeguards::default() });
     assert!(broken.breaches.iter().any(|b| b.rule == Rule::OneAttempt), "{:?}", broken.breaches.first());
 }
 
 #[test]
 fn a_send_after_a_drain_is_noticed() {
-    let broken = with(Guards { drains: false, ..Guards::default() });
+    let broken = with(Safeguards { drain_deadline: false, ..Safeguards::default() });
     assert!(broken.breaches.iter().any(|b| b.rule == Rule::Drains), "{:?}", broken.breaches.first());
 }
 
 #[test]
 fn a_second_answer_is_noticed() {
-    let broken = with(Guards { one_answer: false, ..Guards::default() });
+    let broken = with(Safeguards { one_answer: false, ..Safeguards::default() });
     assert!(broken.breaches.iter().any(|b| b.rule == Rule::OneAnswer), "{:?}", broken.breaches.first());
 }
 
 #[test]
 fn a_release_not_awaited_is_noticed() {
-    let broken = with(Guards { release: false, ..Guards::default() });
+    let broken = with(Safeguards { release: false, ..Safeguards::default() });
     assert!(broken.breaches.iter().any(|b| b.rule == Rule::Release), "{:?}", broken.breaches.first());
 }
--- a/crates/lilacpitch-testbed/tests/ramps.rs
+++ b/crates/lilacpitch-testbed/tests/ramps.rs
@@ -1,7 +1,7 @@
 //! The ramp of a cold server holds for all fronts together: drawn days of few to many fronts, with even and uneven
 //! traffic, lists that come late or not at all to a third, and a third that starts anew meanwhile.
 
-use lilacpitch_edge::core::Guards;
+use lilacpitch_edge::core::Safeguards;
 use lilacpitch_testbed::baseline::Baseline;
 use lilacpitch_testbed::call_rules_checker::Rule;
 use lilacpitch_testbed::day::Day;
@@ -127,7 +127,7 @@
     TestRunner::new_with_rng(config, TestRng::from_seed(RngAlgorithm::ChaCha, &[seed; 32]))
         .run(&drawn(), |drawn| {
             let day = Day::from_text("drawn", &drawn.text()).unwrap();
-            let played = play(&day, Guards::default()).unwrap();
+            let played = play(&day, Safeguards::default()).unwrap();
             if days.is_some() {
                 println!("{:.3} {:?}", played.ramp, drawn);
             }
@@ -179,9 +179,9 @@
         seed: 5,
     };
     let day = Day::from_text("without a ramp", &drawn.text()).unwrap();
-    let without = play_with(&day, Guards::default(), Baseline::Random).unwrap();
+    let without = play_with(&day, Safeguards::default(), Baseline::Random).unwrap();
     assert!(without.ramp > 1.0, "{} {:?}", without.ramp, without.breaches);
     assert!(without.breaches.iter().any(|breach| breach.rule == Rule::ColdServers));
-    let with = play(&day, Guards::default()).unwrap();
+    let with = play(&day, Safeguards::default()).unwrap();
     assert!(with.ramp < 1.0 && with.breaches.is_empty(), "{} {:?}", with.ramp, with.breaches);
 }
--- a/crates/lilacpitch-testbed/tests/restarts.rs
+++ b/crates/lilacpitch-testbed/tests/restarts.rs
@@ -58,7 +58,7 @@
 
 #[test]
 fn what_cannot_be_played_on_sockets_is_said() {
-    let threads = Program::Thread(lilacpitch_edge::core::Guards::default());
+    let threads = Program::Thread(lilacpitch_edge::core::Safeguards::default());
     let restarts = Day::from_text("day.cue", DAY).unwrap();
     assert!(matches!(play(&restarts, &threads), Err(PlayError::ProcessesOnly)));
     let confused = DAY.replace("peers_damaged", "peers_confused");
--- a/crates/lilacpitch-testbed/tests/virtual_days.rs
+++ b/crates/lilacpitch-testbed/tests/virtual_days.rs
@@ -1,6 +1,6 @@
 //! Days in virtual time: the rules on drawn days, the same day twice, guards switched off.
 
-use lilacpitch_edge::core::Guards;
+use lilacpitch_edge::core::Safeguards;
 use lilacpitch_testbed::call_rules_checker::Rule;
 use lilacpitch_testbed::day::Day;
 use lilacpitch_testbed::report::Report;
@@ -103,7 +103,7 @@
     TestRunner::new_with_rng(config, TestRng::from_seed(RngAlgorithm::ChaCha, &[11; 32]))
         .run(&days, |text| {
             let day = Day::from_text("drawn", &text).unwrap();
-            let played = play(&day, Guards::default()).unwrap();
+            let played = play(&day, Safeguards::default()).unwrap();
             prop_assert!(played.breaches.is_empty(), "{:#?}\n{}", played.breaches, text);
             setups.set(setups.get() + played.report.setups);
             Ok(())
@@ -135,7 +135,7 @@
     ] {
         for seed in 1..=3 {
             let day = Day { seed, ..Day::from_text("evidence", text).unwrap() };
-            let breaches = play(&day, Guards::default()).unwrap().breaches;
+            let breaches = play(&day, Safeguards::default()).unwrap().breaches;
             assert!(breaches.is_empty(), "{breaches:?}");
         }
     }
@@ -155,7 +155,7 @@
          troubles: [{{kind: \"silent\", at: \"1844ms\", for: \"1582ms\", servers: [\"r3\"]}}]\n"
     );
     let day = Day::from_text("back before the list", &text).unwrap();
-    let breaches = play(&day, Guards::default()).unwrap().breaches;
+    let breaches = play(&day, Safeguards::default()).unwrap().breaches;
     assert!(breaches.is_empty(), "{breaches:?}");
 }
 
@@ -170,7 +170,7 @@
         (include_str!("../../../days/evidence/first-unanswered.cue"), 0.6),
     ];
     for (text, least) in cases {
-        let report = play(&Day::from_text("evidence", text).unwrap(), Guards::default()).unwrap().report;
+        let report = play(&Day::from_text("evidence", text).unwrap(), Safeguards::default()).unwrap().report;
         assert!(report.service > least, "{least}: {report}\n{text}");
     }
 }
@@ -199,7 +199,7 @@
     assert_eq!(script.restart, vec![(s(2), s(8), 0)]);
     // The one from 1 s on ended with its life; the one from 6 s on met nobody, and took the one from 9 s on with it.
     assert_eq!(script.freeze, vec![(s(1), s(2), 0)]);
-    assert_eq!(play(&day, Guards::default()).unwrap().breaches, vec![]);
+    assert_eq!(play(&day, Safeguards::default()).unwrap().breaches, vec![]);
 }
 
 fn bad_day() -> Day {
@@ -209,20 +209,20 @@
 #[test]
 fn the_same_day_gives_the_same_records_and_another_seed_others() {
     let (one, two) =
-        (play(&bad_day(), Guards::default()).unwrap(), play(&bad_day(), Guards::default()).unwrap());
+        (play(&bad_day(), Safeguards::default()).unwrap(), play(&bad_day(), Safeguards::default()).unwrap());
     assert!(one.records == two.records, "{} and {} records", one.records.len(), two.records.len());
     assert_eq!(one.breaches, vec![]);
-    let other = play(&Day { seed: 99, ..bad_day() }, Guards::default()).unwrap();
+    let other = play(&Day { seed: 99, ..bad_day() }, Safeguards::default()).unwrap();
     assert!(one.records != other.records);
 }
 
 #[test]
 fn each_guard_switched_off_is_noticed() {
     let cases = [
-        (Guards { one_attempt: false, ..Guards::default() }, Rule::OneAttempt),
-        (Guards { drains: false, ..Guards::default() }, Rule::Drains),
-        (Guards { one_answer: false, ..Guards::default() }, Rule::OneAnswer),
-        (Guards { release: false, ..Guards::default() }, Rule::Release),
+        (Safeguards { one_attempt: false, ..Safeguards::default() }, Rule::OneAttempt),
+        (Safeguards { drain_deadline: false, ..Safeguards::default() }, Rule::Drains),
+        (Safeguards { one_answer: false, ..Safeguards::default() }, Rule::OneAnswer),
+        (Safeguards { release: false, ..Safeguards::default() }, Rule::Release),
     ];
     for (guards, rule) in cases {
         let played = play(&bad_day(), guards).unwrap();
@@ -233,12 +233,12 @@
 #[test]
 fn troubles_do_what_their_names_say() {
     let quiet = Day { troubles: vec![], ..bad_day() };
-    let calm = play(&quiet, Guards::default()).unwrap().report;
+    let calm = play(&quiet, Safeguards::default()).unwrap().report;
     assert!(calm.service > 0.97, "{calm}");
     let p99 = |report: &Report| report.classes.iter().map(|c| c.setup_us.value_at_quantile(0.99)).max();
     for trouble in bad_day().troubles {
         let one = Day { troubles: vec![trouble.clone()], ..bad_day() };
-        let report = play(&one, Guards::default()).unwrap().report;
+        let report = play(&one, Safeguards::default()).unwrap().report;
         let worse = report.worst.0 < calm.worst.0 || p99(&report) > p99(&calm);
         assert!(worse, "{:?} does nothing: {report}", trouble.kind);
     }
