--- /dev/null
+++ b/crates/lilacpitch-fleet/tests/pinned_stored.rs
@@ -0,0 +1,87 @@
+//! Pins what sites store and pass on: rows, records of the audit and its ledger, and the Golomb-coded set of a summary
+//! with the hash that it rests on. A disk and a summary outlive the build that wrote them.
+//!
+//! `tests/data/stored.txt` was written by the build of version 0.2.0. After a change of the format that is meant:
+//! `cargo test -p lilacpitch-fleet --test pinned_stored -- --ignored`.
+
+mod pinned;
+
+use lilacpitch_fleet::audit::{Change, Ledger, Record, Version};
+use lilacpitch_fleet::message::Position;
+use lilacpitch_register::summary::fingerprint;
+use lilacpitch_register::{gcs, Holder, Key, Kind, Number, Row};
+use pinned::{assert_pinned, read, Sample};
+use serde::de::DeserializeOwned;
+use std::fmt::Debug;
+
+const FILE: &str = "stored.txt";
+const VALUES: usize = 40;
+
+fn row(kind: Kind) -> Row {
+    let holder = Holder { name: "server-3".into(), front: "edge-1".into(), life: 1_700_000_001, serial: 77 };
+    let key = Key { number: Number::new("+4930123").unwrap(), kind, holder };
+    Row { key, class: "emergency".into(), trunk_group: "north".into(), since_ms: 1_700_000_002_345 }
+}
+
+fn record() -> Record {
+    let position = Position { log: 1_700_000_003, order: 6 };
+    let version = Version { settings: 301, list: 302, build: "b1".into(), caches: true, takes_calls: false };
+    let first = Change { serial: 5, at_ms: 1_700_000_005, version, position, moved_to: 8 };
+    let mut second = Change { serial: 6, at_ms: 1_700_000_105, moved_to: 9, ..first.clone() };
+    second.version.takes_calls = true;
+    Record { front: "edge-1".into(), life: 9, seen_ms: 1_700_000_206, changes: vec![first, second] }
+}
+
+fn ledger() -> Ledger {
+    let mut ledger = Ledger::default();
+    ledger.take(record()).unwrap();
+    ledger
+}
+
+fn fingerprints() -> Vec<u32> {
+    let number = |n: usize| Number::new(&format!("+4930{n}")).unwrap();
+    (0..VALUES).map(|n| fingerprint(number(n).hash64())).collect()
+}
+
+fn samples() -> Vec<Sample> {
+    let samples = [
+        ("row-reached", postcard::to_allocvec(&row(Kind::Reached)).unwrap()),
+        ("row-standing", postcard::to_allocvec(&row(Kind::Standing)).unwrap()),
+        ("audit-record", postcard::to_allocvec(&record()).unwrap()),
+        ("audit-ledger", postcard::to_allocvec(&ledger()).unwrap()),
+        ("number-hash", Number::new("+4930123").unwrap().hash64().to_be_bytes().to_vec()),
+        ("summary-empty", gcs::write(&[])),
+        ("summary-set", gcs::write(&fingerprints())),
+    ];
+    samples.into_iter().map(|(label, bytes)| (label.to_string(), bytes)).collect()
+}
+
+fn pinned_bytes(label: &str) -> Vec<u8> {
+    read(FILE).into_iter().find(|(found, _)| found == label).expect("a pinned sample").1
+}
+
+fn assert_decodes<T: DeserializeOwned + PartialEq + Debug>(label: &str, value: &T) {
+    assert_eq!(&postcard::from_bytes::<T>(&pinned_bytes(label)).unwrap(), value, "{label}");
+}
+
+#[test]
+fn encodes_everything_stored_as_pinned() {
+    assert_pinned(FILE, &samples());
+}
+
+#[test]
+fn decodes_everything_pinned_to_the_same_value() {
+    assert_decodes("row-reached", &row(Kind::Reached));
+    assert_decodes("row-standing", &row(Kind::Standing));
+    assert_decodes("audit-record", &record());
+    assert_decodes("audit-ledger", &ledger());
+    let mut values: Vec<u32> = fingerprints().iter().map(|found| gcs::scaled(*found, VALUES)).collect();
+    values.sort_unstable();
+    assert_eq!(gcs::read(&pinned_bytes("summary-set"), VALUES), Some(values));
+}
+
+#[test]
+#[ignore = "writes the pinned file anew"]
+fn write_pinned_stored() {
+    pinned::write(FILE, &samples());
+}
