--- a/crates/lilacpitch-fleet/tests/pinned_frames.rs
+++ b/crates/lilacpitch-fleet/tests/pinned_frames.rs
@@ -6,15 +6,15 @@
 
 mod pinned;
 
-use lilacpitch_fleet::audit::{Change, Record, Version};
+use lilacpitch_fleet::audit::{Change, AuditRecord, Version};
 use lilacpitch_fleet::frame::{peek, Writer};
 use lilacpitch_fleet::message::{
-    Body, Hello, Known, LogMessage, Order, Pending, Position, Refusal, Request, Response, Role, RowChange,
-    Scope, SiteNews, What,
+    Body, Hello, KnownSummary, LogMessage, FleetCommand, PendingPurges, LogPosition, RejectReason, Request, Response, Role, RecordChange,
+    PurgeScope, SiteSummaryUpdate, QueryTarget,
 };
-use lilacpitch_fleet::rejoin::LogVote;
-use lilacpitch_peers::Keys;
-use lilacpitch_register::{Holder, Key, Kind, Number, Page, Query, Row, ShardNews, What as Wanted};
+use lilacpitch_fleet::disk_loss_recovery::LogVote;
+use lilacpitch_gossip::Keys;
+use lilacpitch_location::{Owner, Key, Kind, Number, Page, Query, LocationRecord, ShardUpdate, QueryTarget as Wanted};
 use pinned::{assert_pinned, read, Sample};
 
 const FILE: &str = "frames.txt";
@@ -28,66 +28,66 @@
 }
 
 fn key() -> Key {
-    let holder = Holder { name: "server-3".into(), front: "edge-1".into(), life: 1_700_000_001, serial: 77 };
-    Key { number: Number::new("+4930123").unwrap(), kind: Kind::Standing, holder }
+    let holder = Owner { name: "server-3".into(), front: "edge-1".into(), incarnation: 1_700_000_001, serial: 77 };
+    Key { number: Number::new("+4930123").unwrap(), kind: Kind::CallEstablished, owner: holder }
 }
 
-fn row() -> Row {
+fn row() -> LocationRecord {
     let mut key = key();
-    key.kind = Kind::Reached;
-    Row { key, class: "emergency".into(), trunk_group: "north".into(), since_ms: 1_700_000_002_345 }
+    key.kind = Kind::Binding;
+    LocationRecord { key, class: "emergency".into(), trunk_group: "north".into(), since_ms: 1_700_000_002_345 }
 }
 
-fn at(order: u64) -> Position {
-    Position { log: 1_700_000_003, order }
+fn at(order: u64) -> LogPosition {
+    LogPosition { log: 1_700_000_003, index: order }
 }
 
 fn hello(role: Role) -> Hello {
-    Hello { version: 1, name: "north-1".into(), life: 1_700_000_004, role, nonce: OTHER_END }
+    Hello { version: 1, name: "north-1".into(), incarnation: 1_700_000_004, role, nonce: OTHER_END }
 }
 
-fn record() -> Record {
-    let version = Version { settings: 301, list: 302, build: "b1".into(), caches: true, takes_calls: false };
+fn record() -> AuditRecord {
+    let version = Version { settings: 301, endpoint_list: 302, build: "b1".into(), caches: true, takes_calls: false };
     let change = Change { serial: 5, at_ms: 1_700_000_005, version, position: at(6), moved_to: 8 };
-    Record { front: "edge-1".into(), life: 9, seen_ms: 1_700_000_006, changes: vec![change] }
+    AuditRecord { front: "edge-1".into(), incarnation: 9, seen_ms: 1_700_000_006, changes: vec![change] }
 }
 
-fn orders() -> Vec<Order> {
-    let number = Scope::Number(Number::new("*31#").unwrap());
-    let scopes = vec![number, Scope::Prefix("+49".into()), Scope::Holder("server-3".into()), Scope::All];
-    let all = [What::Purge(scopes), What::Withdraw(401), What::Reinstate(402)];
-    all.into_iter().zip(11..).map(|(what, number)| Order { number, what }).collect()
+fn orders() -> Vec<FleetCommand> {
+    let number = PurgeScope::Number(Number::new("*31#").unwrap());
+    let scopes = vec![number, PurgeScope::Prefix("+49".into()), PurgeScope::Owner("server-3".into()), PurgeScope::All];
+    let all = [QueryTarget::Purge(scopes), QueryTarget::Withdraw(401), QueryTarget::Reinstate(402)];
+    all.into_iter().zip(11..).map(|(what, number)| FleetCommand { number, what }).collect()
 }
 
-fn site_news(pending: Pending) -> SiteNews {
+fn site_news(pending: PendingPurges) -> SiteSummaryUpdate {
     let base = Some((2, vec![0xab, 0xcd, 0xef]));
-    let news = vec![ShardNews { shard: 3, version: 9, base, added: vec![70_000, 5] }];
+    let news = vec![ShardUpdate { shard: 3, version: 9, base, added: vec![70_000, 5] }];
     let (site, life, shards, total) = ("north".into(), 21, 8, 33);
-    SiteNews { site, life, shards, total, age_ns: 900_000, pending, ordered: at(4), news, more: true }
+    SiteSummaryUpdate { site, incarnation: life, shards, total, age_ns: 900_000, pending, ordered: at(4), shard_updates: news, has_more: true }
 }
 
 fn queries() -> [Query; 2] {
     let what = Wanted::Prefix("+4930".into());
     let (class, trunk_group) = (Some("emergency".into()), Some("north".into()));
-    let full = Query { what, kind: Some(Kind::Standing), class, trunk_group, since_ms: Some((500, 600)) };
+    let full = Query { target: what, kind: Some(Kind::CallEstablished), class, trunk_group, since_ms: Some((500, 600)) };
     [full, Query::reached(Number::new("112").unwrap())]
 }
 
 fn requests() -> Vec<(&'static str, Request)> {
     let [by_prefix, by_number] = queries();
-    let find = |query, after| Request::Find { query, after, limit: 300, urgent: true };
-    let known = Known { site: "north".into(), life: 21, shards: vec![4, 500], total: 504 };
+    let find = |query, after| Request::FindRecords { query, after, limit: 300, urgent: true };
+    let known = KnownSummary { site: "north".into(), incarnation: 21, shards: vec![4, 500], total: 504 };
     let sum =
-        Request::Sum { upto: at(12), missing: vec!["edge-2".into(), "edge-3".into()], missing_count: 40 };
-    let changes = vec![RowChange::Put(row()), RowChange::Withdraw(key())];
+        Request::ReportAcknowledged { acknowledged: at(12), missing: vec!["edge-2".into(), "edge-3".into()], missing_count: 40 };
+    let changes = vec![RecordChange::Upsert(row()), RecordChange::Withdraw(key())];
     let log = Request::Log;
     vec![
-        ("renew-none", Request::Renew(None)),
-        ("renew", Request::Renew(Some(at(300)))),
+        ("renew-none", Request::RenewLease(None)),
+        ("renew", Request::RenewLease(Some(at(300)))),
         ("sum", sum),
-        ("leave", Request::Leave),
-        ("orders", Request::Orders { log: 1_700_000_003, orders: orders() }),
-        ("submit", Request::Submit(What::Withdraw(401))),
+        ("leave", Request::ReleaseLease),
+        ("orders", Request::Commands { log: 1_700_000_003, orders: orders() }),
+        ("submit", Request::Submit(QueryTarget::Withdraw(401))),
         ("progress", Request::Progress),
         ("audit", Request::Audit(vec![record()])),
         ("write", Request::Write { first: 31, changes }),
@@ -95,8 +95,8 @@
         ("find-number", find(by_number, None)),
         ("summaries", Request::Summaries(vec![known])),
         ("read-index", Request::ReadIndex),
-        ("standing", Request::Standing),
-        ("sweep", Request::Sweep("edge-1".into(), 1_700_000_001)),
+        ("standing", Request::CallEstablished),
+        ("sweep", Request::RemoveOlderIncarnations("edge-1".into(), 1_700_000_001)),
         ("forwarded", Request::Forwarded("edge-1".into(), 13, Box::new(Request::Progress))),
         ("log-append", log(LogMessage::Append(vec![1, 2, 3]))),
         ("log-vote", log(LogMessage::Vote(vec![4, 5]))),
@@ -104,49 +104,49 @@
     ]
 }
 
-fn refusals() -> Vec<(&'static str, Refusal)> {
+fn refusals() -> Vec<(&'static str, RejectReason)> {
     vec![
-        ("full", Refusal::Full { wait_ms: 250 }),
-        ("behind", Refusal::Behind),
-        ("no-lease", Refusal::NoLease),
-        ("superseded", Refusal::Superseded),
-        ("fenced", Refusal::Fenced),
-        ("straggler", Refusal::Straggler),
-        ("ahead", Refusal::Ahead),
-        ("no-leader", Refusal::NoLeader),
-        ("unwanted", Refusal::Unwanted),
-        ("malformed", Refusal::Malformed("a row".into())),
-        ("failed", Refusal::Failed("a disk".into())),
+        ("full", RejectReason::Overloaded { wait_ms: 250 }),
+        ("behind", RejectReason::Behind),
+        ("no-lease", RejectReason::NoLease),
+        ("superseded", RejectReason::Superseded),
+        ("fenced", RejectReason::Fenced),
+        ("straggler", RejectReason::Lagging),
+        ("ahead", RejectReason::Ahead),
+        ("no-leader", RejectReason::NoLeader),
+        ("unwanted", RejectReason::Unsupported),
+        ("malformed", RejectReason::Malformed("a row".into())),
+        ("failed", RejectReason::Failed("a disk".into())),
     ]
 }
 
 fn responses() -> Vec<(String, Response)> {
     let vote = LogVote { term: 6, node: 2, committed: true };
-    let page = Page { rows: vec![row()], cursor: Some(key()) };
+    let page = Page { records: vec![row()], cursor: Some(key()) };
     let (missing, missing_count) = (vec!["edge-2".into()], 40);
     let progress = Response::Progress { ordered: at(14), complete: 13, missing, missing_count };
     let granted =
-        Response::Granted { for_ns: 2_000_000, position: at(15), orders: orders(), register: 1_700_000_007 };
-    let news = vec![site_news(Pending::Some(vec![1 << 40, 2])), site_news(Pending::Many)];
+        Response::LeaseGranted { for_ns: 2_000_000, position: at(15), orders: orders(), store_id: 1_700_000_007 };
+    let news = vec![site_news(PendingPurges::Some(vec![1 << 40, 2])), site_news(PendingPurges::Many)];
     let all = [
         ("granted", granted),
-        ("fresh", Response::Fresh { position: at(16), withdrawn: vec![401, 403] }),
+        ("fresh", Response::ResetRequired { position: at(16), withdrawn: vec![401, 403] }),
         ("applied", Response::Applied(at(17))),
-        ("ordered", Response::Ordered(at(18))),
+        ("ordered", Response::Committed(at(18))),
         ("progress", progress),
         ("written", Response::Written),
         ("found", Response::Found { page, process: "north-1".into() }),
         ("summaries", Response::Summaries(news)),
         ("read-index", Response::ReadIndex(1_000)),
-        ("standing-none", Response::Standing(None)),
-        ("standing", Response::Standing(Some(vote))),
+        ("standing-none", Response::CallEstablished(None)),
+        ("standing", Response::CallEstablished(Some(vote))),
         ("log-answer", Response::Log(Ok(vec![1, 2]))),
         ("log-error", Response::Log(Err(vec![3]))),
         ("done", Response::Done),
     ];
     let all = all.into_iter().map(|(label, response)| (label.to_string(), response));
     let refused =
-        refusals().into_iter().map(|(label, why)| (format!("refused-{label}"), Response::Refused(why)));
+        refusals().into_iter().map(|(label, why)| (format!("refused-{label}"), Response::DatagramError(why)));
     all.chain(refused).collect()
 }
 
@@ -155,7 +155,7 @@
         ("hello-process".to_string(), Body::Hello(hello(Role::Process("north".into(), 2)))),
         ("hello-front".to_string(), Body::Hello(hello(Role::Front))),
     ];
-    let asks = requests().into_iter().map(|(label, ask)| (format!("ask-{label}"), Body::Ask(51, ask)));
+    let asks = requests().into_iter().map(|(label, ask)| (format!("ask-{label}"), Body::Request(51, ask)));
     let answers =
         responses().into_iter().map(|(label, answer)| (format!("answer-{label}"), Body::Answer(52, answer)));
     hellos.into_iter().chain(asks).chain(answers).collect()
--- a/crates/lilacpitch-fleet/tests/pinned_stored.rs
+++ b/crates/lilacpitch-fleet/tests/pinned_stored.rs
@@ -6,10 +6,10 @@
 
 mod pinned;
 
-use lilacpitch_fleet::audit::{Change, Ledger, Record, Version};
-use lilacpitch_fleet::message::Position;
-use lilacpitch_register::summary::fingerprint;
-use lilacpitch_register::{gcs, Holder, Key, Kind, Number, Row};
+use lilacpitch_fleet::audit::{Change, AuditLog, AuditRecord, Version};
+use lilacpitch_fleet::message::LogPosition;
+use lilacpitch_location::summary::fingerprint;
+use lilacpitch_location::{gcs, Owner, Key, Kind, Number, LocationRecord};
 use pinned::{assert_pinned, read, Sample};
 use serde::de::DeserializeOwned;
 use std::fmt::Debug;
@@ -17,23 +17,23 @@
 const FILE: &str = "stored.txt";
 const VALUES: usize = 40;
 
-fn row(kind: Kind) -> Row {
-    let holder = Holder { name: "server-3".into(), front: "edge-1".into(), life: 1_700_000_001, serial: 77 };
-    let key = Key { number: Number::new("+4930123").unwrap(), kind, holder };
-    Row { key, class: "emergency".into(), trunk_group: "north".into(), since_ms: 1_700_000_002_345 }
+fn row(kind: Kind) -> LocationRecord {
+    let holder = Owner { name: "server-3".into(), front: "edge-1".into(), incarnation: 1_700_000_001, serial: 77 };
+    let key = Key { number: Number::new("+4930123").unwrap(), kind, owner: holder };
+    LocationRecord { key, class: "emergency".into(), trunk_group: "north".into(), since_ms: 1_700_000_002_345 }
 }
 
-fn record() -> Record {
-    let position = Position { log: 1_700_000_003, order: 6 };
-    let version = Version { settings: 301, list: 302, build: "b1".into(), caches: true, takes_calls: false };
+fn record() -> AuditRecord {
+    let position = LogPosition { log: 1_700_000_003, index: 6 };
+    let version = Version { settings: 301, endpoint_list: 302, build: "b1".into(), caches: true, takes_calls: false };
     let first = Change { serial: 5, at_ms: 1_700_000_005, version, position, moved_to: 8 };
     let mut second = Change { serial: 6, at_ms: 1_700_000_105, moved_to: 9, ..first.clone() };
     second.version.takes_calls = true;
-    Record { front: "edge-1".into(), life: 9, seen_ms: 1_700_000_206, changes: vec![first, second] }
+    AuditRecord { front: "edge-1".into(), incarnation: 9, seen_ms: 1_700_000_206, changes: vec![first, second] }
 }
 
-fn ledger() -> Ledger {
-    let mut ledger = Ledger::default();
+fn ledger() -> AuditLog {
+    let mut ledger = AuditLog::default();
     ledger.take(record()).unwrap();
     ledger
 }
@@ -45,8 +45,8 @@
 
 fn samples() -> Vec<Sample> {
     let samples = [
-        ("row-reached", postcard::to_allocvec(&row(Kind::Reached)).unwrap()),
-        ("row-standing", postcard::to_allocvec(&row(Kind::Standing)).unwrap()),
+        ("row-reached", postcard::to_allocvec(&row(Kind::Binding)).unwrap()),
+        ("row-standing", postcard::to_allocvec(&row(Kind::CallEstablished)).unwrap()),
         ("audit-record", postcard::to_allocvec(&record()).unwrap()),
         ("audit-ledger", postcard::to_allocvec(&ledger()).unwrap()),
         ("number-hash", Number::new("+4930123").unwrap().hash64().to_be_bytes().to_vec()),
@@ -71,8 +71,8 @@
 
 #[test]
 fn decodes_everything_pinned_to_the_same_value() {
-    assert_decodes("row-reached", &row(Kind::Reached));
-    assert_decodes("row-standing", &row(Kind::Standing));
+    assert_decodes("row-reached", &row(Kind::Binding));
+    assert_decodes("row-standing", &row(Kind::CallEstablished));
     assert_decodes("audit-record", &record());
     assert_decodes("audit-ledger", &ledger());
     let mut values: Vec<u32> = fingerprints().iter().map(|found| gcs::scaled(*found, VALUES)).collect();
--- a/crates/lilacpitch-gossip/tests/pinned_datagrams.rs
+++ b/crates/lilacpitch-gossip/tests/pinned_datagrams.rs
@@ -3,9 +3,9 @@
 //!
 //! Each line of `tests/data/datagrams.txt` is `label hex`, written by the build of version 0.2.0. Drawn numbers come
 //! from fixed seeds. After a change of the format that is meant:
-//! `cargo test -p lilacpitch-peers --test pinned_datagrams -- --ignored`.
+//! `cargo test -p lilacpitch-gossip --test pinned_datagrams -- --ignored`.
 
-use lilacpitch_peers::{Asker, Effect, Fact, Keys, PeerId, Peers, Settings};
+use lilacpitch_gossip::{Requester, Effect, ServerReport, Keys, MemberId, Peers, Settings};
 use std::net::{Ipv4Addr, SocketAddr};
 use std::path::PathBuf;
 
@@ -30,22 +30,22 @@
     Peers::new(settings, START + index as u64, index as u64)
 }
 
-fn fact() -> Fact {
+fn fact() -> ServerReport {
     let (age_ms, wait_ms, out, stood) = (40, 900, 2, 300);
-    Fact {
+    ServerReport {
         server: "r1".into(),
         age_ms,
         wait_ms,
-        out,
-        stood,
-        suspect: true,
-        cold_ms: Some(700),
-        drained: false,
+        in_flight: out,
+        succeeded: stood,
+        is_unresponsive: true,
+        warming_up_for_ms: Some(700),
+        is_draining: false,
     }
 }
 
-fn facts() -> Vec<Fact> {
-    vec![fact(), Fact { server: "r2".into(), cold_ms: None, suspect: false, drained: true, ..fact() }]
+fn facts() -> Vec<ServerReport> {
+    vec![fact(), ServerReport { server: "r2".into(), warming_up_for_ms: None, is_unresponsive: false, is_draining: true, ..fact() }]
 }
 
 fn sent(effects: &[Effect]) -> Vec<Vec<u8>> {
@@ -56,16 +56,16 @@
     effects.iter().filter_map(datagram).collect()
 }
 
-fn asker(effects: &[Effect]) -> Option<Asker> {
+fn asker(effects: &[Effect]) -> Option<Requester> {
     effects.iter().find_map(|effect| match effect {
-        Effect::Asked(asker) => Some(asker.clone()),
+        Effect::ReportsRequested(asker) => Some(asker.clone()),
         _ => None,
     })
 }
 
 fn hand(to: &mut Peers, datagrams: &[Vec<u8>]) -> Vec<Effect> {
     let mut effects = Vec::new();
-    datagrams.iter().for_each(|bytes| to.datagram(START, bytes, &mut effects).unwrap());
+    datagrams.iter().for_each(|bytes| to.handle_datagram(START, bytes, &mut effects).unwrap());
     effects
 }
 
@@ -77,11 +77,11 @@
     let first = sent(&effects);
     let heard = hand(&mut telling, &first);
     let mut answer = Vec::new();
-    telling.answer(START, asker(&heard).expect("a question"), facts(), &mut answer);
+    telling.answer_request(START, asker(&heard).expect("a question"), facts(), &mut answer);
     let membership = sent(&heard);
     hand(&mut asking, &membership);
     let mut news = Vec::new();
-    telling.tell(START, &facts(), &mut news);
+    telling.publish_reports(START, &facts(), &mut news);
     let groups =
         [("start", first), ("membership", membership), ("answer", sent(&answer)), ("news", sent(&news))];
     let label = |(name, datagrams): (&str, Vec<Vec<u8>>)| {
@@ -113,8 +113,8 @@
     plain.map(|plain| keys().seal(&plain, [9; 24])).collect()
 }
 
-fn origin() -> PeerId {
-    PeerId { name: "edge-1".into(), address: address(TELLING), epoch: START + TELLING as u64 }
+fn origin() -> MemberId {
+    MemberId { name: "edge-1".into(), address: address(TELLING), epoch: START + TELLING as u64 }
 }
 
 #[test]
@@ -129,12 +129,12 @@
     let mut telling = front(TELLING);
     assert!(asker(&hand(&mut telling, &pinned("start"))).is_some());
     let told = hand(&mut asking, &pinned("answer"));
-    assert!(told.contains(&Effect::Told(origin(), facts())), "{told:?}");
+    assert!(told.contains(&Effect::PeerReported(origin(), facts())), "{told:?}");
     let joined = hand(&mut asking, &pinned("membership"));
     assert!(joined.contains(&Effect::Joined(origin())), "{joined:?}");
     let heard = hand(&mut asking, &pinned("news"));
     let without_draining =
-        facts().into_iter().map(|fact| (origin().origin(), Fact { drained: false, ..fact }));
+        facts().into_iter().map(|fact| (origin().origin(), ServerReport { is_draining: false, ..fact }));
     assert!(heard.contains(&Effect::Heard(without_draining.collect())), "{heard:?}");
 }
 
--- a/crates/lilacpitch-node/tests/pinned_wire.rs
+++ b/crates/lilacpitch-node/tests/pinned_wire.rs
@@ -66,7 +66,7 @@
 #[test]
 fn maps_causes_of_a_stop_to_outcomes_as_pinned() {
     let pinned = [
-        (34, "ovl", Outcome::ProcessorFull(Some(MS))),
+        (34, "ovl", Outcome::Overloaded(Some(MS))),
         (34, "", Outcome::NoCircuit),
         (17, "busy", Outcome::LinesBusy),
         (47, "busy", Outcome::LinesBusy),
@@ -124,12 +124,12 @@
     let settings = site.settings;
     assert_eq!(settings.classes.len(), 2);
     assert_eq!(settings.home, Some(2));
-    assert_eq!((settings.resend_ns, settings.release_ns), (400 * MS, 300 * MS));
+    assert_eq!((settings.resend_interval_ns, settings.release_ns), (400 * MS, 300 * MS));
     assert_eq!((settings.max_attempts, settings.may_cancel), (6, true));
     assert_eq!(settings.max_retry_after_ns, 2_000 * MS);
-    assert!(settings.list_on_request);
-    assert_eq!((settings.cold_from, settings.cold_ns), (0.3, 2_100 * MS));
-    assert_eq!(settings.tip_multiple, 3.5);
+    assert!(settings.must_subscribe);
+    assert_eq!((settings.slow_start_floor, settings.slow_start_ns), (0.3, 2_100 * MS));
+    assert_eq!(settings.overload_multiple, 3.5);
     assert_eq!(settings.tick_ns, 5 * MS);
 }
 
