--- a/crates/lilacpitch-fleet/tests/pinned_frames.rs
+++ b/crates/lilacpitch-fleet/tests/pinned_frames.rs
@@ -10,7 +10,7 @@
 use lilacpitch_fleet::frame::{peek, Writer};
 use lilacpitch_fleet::message::{
     Body, Hello, KnownSummary, LogMessage, FleetCommand, PendingPurges, LogPosition, RejectReason, Request, Response, Role, RecordChange,
-    PurgeScope, SiteSummaryUpdate, QueryTarget,
+    PurgeScope, SiteSummaryUpdate, CommandAction,
 };
 use lilacpitch_fleet::disk_loss_recovery::LogVote;
 use lilacpitch_gossip::Keys;
@@ -29,7 +29,7 @@
 
 fn key() -> Key {
     let holder = Owner { name: "server-3".into(), front: "edge-1".into(), incarnation: 1_700_000_001, serial: 77 };
-    Key { number: Number::new("+4930123").unwrap(), kind: Kind::CallEstablished, owner: holder }
+    Key { number: Number::new("+4930123").unwrap(), kind: Kind::ActiveCall, owner: holder }
 }
 
 fn row() -> LocationRecord {
@@ -69,7 +69,7 @@
 fn queries() -> [Query; 2] {
     let what = Wanted::Prefix("+4930".into());
     let (class, trunk_group) = (Some("emergency".into()), Some("north".into()));
-    let full = Query { target: what, kind: Some(Kind::CallEstablished), class, trunk_group, since_ms: Some((500, 600)) };
+    let full = Query { target: what, kind: Some(Kind::ActiveCall), class, trunk_group, since_ms: Some((500, 600)) };
     [full, Query::reached(Number::new("112").unwrap())]
 }
 
@@ -95,7 +95,7 @@
         ("find-number", find(by_number, None)),
         ("summaries", Request::Summaries(vec![known])),
         ("read-index", Request::ReadIndex),
-        ("standing", Request::CallEstablished),
+        ("standing", Request::HeldVote),
         ("sweep", Request::RemoveOlderIncarnations("edge-1".into(), 1_700_000_001)),
         ("forwarded", Request::Forwarded("edge-1".into(), 13, Box::new(Request::Progress))),
         ("log-append", log(LogMessage::Append(vec![1, 2, 3]))),
@@ -138,15 +138,15 @@
         ("found", Response::Found { page, process: "north-1".into() }),
         ("summaries", Response::Summaries(news)),
         ("read-index", Response::ReadIndex(1_000)),
-        ("standing-none", Response::CallEstablished(None)),
-        ("standing", Response::CallEstablished(Some(vote))),
+        ("standing-none", Response::HeldVote(None)),
+        ("standing", Response::HeldVote(Some(vote))),
         ("log-answer", Response::Log(Ok(vec![1, 2]))),
         ("log-error", Response::Log(Err(vec![3]))),
         ("done", Response::Done),
     ];
     let all = all.into_iter().map(|(label, response)| (label.to_string(), response));
     let refused =
-        refusals().into_iter().map(|(label, why)| (format!("refused-{label}"), Response::DatagramError(why)));
+        refusals().into_iter().map(|(label, why)| (format!("refused-{label}"), Response::Rejected(why)));
     all.chain(refused).collect()
 }
 
--- a/crates/lilacpitch-fleet/tests/pinned_stored.rs
+++ b/crates/lilacpitch-fleet/tests/pinned_stored.rs
@@ -46,7 +46,7 @@
 fn samples() -> Vec<Sample> {
     let samples = [
         ("row-reached", postcard::to_allocvec(&row(Kind::Binding)).unwrap()),
-        ("row-standing", postcard::to_allocvec(&row(Kind::CallEstablished)).unwrap()),
+        ("row-standing", postcard::to_allocvec(&row(Kind::ActiveCall)).unwrap()),
         ("audit-record", postcard::to_allocvec(&record()).unwrap()),
         ("audit-ledger", postcard::to_allocvec(&ledger()).unwrap()),
         ("number-hash", Number::new("+4930123").unwrap().hash64().to_be_bytes().to_vec()),
@@ -72,7 +72,7 @@
 #[test]
 fn decodes_everything_pinned_to_the_same_value() {
     assert_decodes("row-reached", &row(Kind::Binding));
-    assert_decodes("row-standing", &row(Kind::CallEstablished));
+    assert_decodes("row-standing", &row(Kind::ActiveCall));
     assert_decodes("audit-record", &record());
     assert_decodes("audit-ledger", &ledger());
     let mut values: Vec<u32> = fingerprints().iter().map(|found| gcs::scaled(*found, VALUES)).collect();
--- a/crates/lilacpitch-site/tests/pinned_disk.rs
+++ b/crates/lilacpitch-site/tests/pinned_disk.rs
@@ -53,7 +53,7 @@
 }
 
 fn row_101() -> Row {
-    row("+4930101", Kind::Reached, "edge-1", EDGE_1_LIFE, 1)
+    row("+4930101", Kind::Binding, "edge-1", EDGE_1_LIFE, 1)
 }
 
 fn row_102_standing() -> Row {
@@ -61,7 +61,7 @@
 }
 
 fn row_103() -> Row {
-    row("+4930103", Kind::Reached, "edge-1", EDGE_1_LIFE, 3)
+    row("+4930103", Kind::Binding, "edge-1", EDGE_1_LIFE, 3)
 }
 
 fn row_104_standing() -> Row {
@@ -69,15 +69,15 @@
 }
 
 fn row_105() -> Row {
-    row("+4930105", Kind::Reached, "edge-1", EDGE_1_LIFE, 5)
+    row("+4930105", Kind::Binding, "edge-1", EDGE_1_LIFE, 5)
 }
 
 fn row_201(life: u64) -> Row {
-    row("+4930201", Kind::Reached, "edge-2", life, 1)
+    row("+4930201", Kind::Binding, "edge-2", life, 1)
 }
 
 fn row_202() -> Row {
-    row("+4930202", Kind::Reached, "edge-2", EDGE_2_LIFE, 2)
+    row("+4930202", Kind::Binding, "edge-2", EDGE_2_LIFE, 2)
 }
 
 fn written(front: &str, life: u64, first: u64, changes: Vec<RowChange>) -> Written {
