--- a/crates/lilacpitch-fleet/tests/pinned_frames.rs
+++ b/crates/lilacpitch-fleet/tests/pinned_frames.rs
@@ -55,7 +55,7 @@
 fn orders() -> Vec<FleetCommand> {
     let number = PurgeScope::Number(Number::new("*31#").unwrap());
     let scopes = vec![number, PurgeScope::Prefix("+49".into()), PurgeScope::Owner("server-3".into()), PurgeScope::All];
-    let all = [QueryTarget::Purge(scopes), QueryTarget::Withdraw(401), QueryTarget::Reinstate(402)];
+    let all = [CommandAction::Purge(scopes), CommandAction::Withdraw(401), CommandAction::Reinstate(402)];
     all.into_iter().zip(11..).map(|(what, number)| FleetCommand { number, what }).collect()
 }
 
@@ -87,7 +87,7 @@
         ("sum", sum),
         ("leave", Request::ReleaseLease),
         ("orders", Request::Commands { log: 1_700_000_003, orders: orders() }),
-        ("submit", Request::Submit(QueryTarget::Withdraw(401))),
+        ("submit", Request::Submit(CommandAction::Withdraw(401))),
         ("progress", Request::Progress),
         ("audit", Request::Audit(vec![record()])),
         ("write", Request::Write { first: 31, changes }),
--- a/crates/lilacpitch-fleet/tests/pinned_stored.rs
+++ b/crates/lilacpitch-fleet/tests/pinned_stored.rs
@@ -9,7 +9,7 @@
 use lilacpitch_fleet::audit::{Change, AuditLog, AuditRecord, Version};
 use lilacpitch_fleet::message::LogPosition;
 use lilacpitch_location::summary::fingerprint;
-use lilacpitch_location::{gcs, Owner, Key, Kind, Number, LocationRecord};
+use lilacpitch_location::{golomb_coded_set, Owner, Key, Kind, Number, LocationRecord};
 use pinned::{assert_pinned, read, Sample};
 use serde::de::DeserializeOwned;
 use std::fmt::Debug;
@@ -50,8 +50,8 @@
         ("audit-record", postcard::to_allocvec(&record()).unwrap()),
         ("audit-ledger", postcard::to_allocvec(&ledger()).unwrap()),
         ("number-hash", Number::new("+4930123").unwrap().hash64().to_be_bytes().to_vec()),
-        ("summary-empty", gcs::write(&[])),
-        ("summary-set", gcs::write(&fingerprints())),
+        ("summary-empty", golomb_coded_set::write(&[])),
+        ("summary-set", golomb_coded_set::write(&fingerprints())),
     ];
     samples.into_iter().map(|(label, bytes)| (label.to_string(), bytes)).collect()
 }
@@ -75,9 +75,9 @@
     assert_decodes("row-standing", &row(Kind::ActiveCall));
     assert_decodes("audit-record", &record());
     assert_decodes("audit-ledger", &ledger());
-    let mut values: Vec<u32> = fingerprints().iter().map(|found| gcs::scaled(*found, VALUES)).collect();
+    let mut values: Vec<u32> = fingerprints().iter().map(|found| golomb_coded_set::scaled(*found, VALUES)).collect();
     values.sort_unstable();
-    assert_eq!(gcs::read(&pinned_bytes("summary-set"), VALUES), Some(values));
+    assert_eq!(golomb_coded_set::read(&pinned_bytes("summary-set"), VALUES), Some(values));
 }
 
 #[test]
--- a/crates/lilacpitch-gossip/tests/pinned_datagrams.rs
+++ b/crates/lilacpitch-gossip/tests/pinned_datagrams.rs
@@ -129,7 +129,7 @@
     let mut telling = front(TELLING);
     assert!(asker(&hand(&mut telling, &pinned("start"))).is_some());
     let told = hand(&mut asking, &pinned("answer"));
-    assert!(told.contains(&Effect::PeerReported(origin(), facts())), "{told:?}");
+    assert!(told.contains(&Effect::ReportsReceived(origin(), facts())), "{told:?}");
     let joined = hand(&mut asking, &pinned("membership"));
     assert!(joined.contains(&Effect::Joined(origin())), "{joined:?}");
     let heard = hand(&mut asking, &pinned("news"));
--- a/crates/lilacpitch-site/tests/pinned_disk.rs
+++ b/crates/lilacpitch-site/tests/pinned_disk.rs
@@ -5,11 +5,11 @@
 //! purged), and `snapshot` as it stood after entry 9. After a change of the format that is meant:
 //! `cargo test -p lilacpitch-site --test pinned_disk -- --ignored`.
 
-use lilacpitch_fleet::audit::{Change, Ledger, Record, Version};
+use lilacpitch_fleet::audit::{AuditLog, AuditRecord, Change, Version};
 use lilacpitch_fleet::error::LogError;
-use lilacpitch_fleet::message::{Position, RowChange, Scope, What};
-use lilacpitch_fleet::window::Window;
-use lilacpitch_register::{Holder, Key, Kind, Number, Row};
+use lilacpitch_fleet::message::{CommandAction, LogPosition, PurgeScope, RecordChange};
+use lilacpitch_fleet::log_tail::LogTail;
+use lilacpitch_location::{Key, Kind, LocationRecord, Number, Owner};
 use lilacpitch_site::log::machine::Machine;
 use lilacpitch_site::log::state::{Beside, State};
 use lilacpitch_site::log::store::Store;
@@ -46,82 +46,82 @@
     Number::new(digits).unwrap()
 }
 
-fn row(digits: &str, kind: Kind, front: &str, life: u64, serial: u64) -> Row {
-    let holder = Holder { name: "server-3".into(), front: front.into(), life, serial };
-    let key = Key { number: number(digits), kind, holder };
-    Row { key, class: "emergency".into(), trunk_group: "north".into(), since_ms: 1_700_000_002_345 }
+fn row(digits: &str, kind: Kind, front: &str, life: u64, serial: u64) -> LocationRecord {
+    let holder = Owner { name: "server-3".into(), front: front.into(), incarnation: life, serial };
+    let key = Key { number: number(digits), kind, owner: holder };
+    LocationRecord { key, class: "emergency".into(), trunk_group: "north".into(), since_ms: 1_700_000_002_345 }
 }
 
-fn row_101() -> Row {
+fn row_101() -> LocationRecord {
     row("+4930101", Kind::Binding, "edge-1", EDGE_1_LIFE, 1)
 }
 
-fn row_102_standing() -> Row {
-    row("+4930102", Kind::Standing, "edge-1", EDGE_1_LIFE, 2)
+fn row_102_standing() -> LocationRecord {
+    row("+4930102", Kind::ActiveCall, "edge-1", EDGE_1_LIFE, 2)
 }
 
-fn row_103() -> Row {
+fn row_103() -> LocationRecord {
     row("+4930103", Kind::Binding, "edge-1", EDGE_1_LIFE, 3)
 }
 
-fn row_104_standing() -> Row {
-    row("+4930104", Kind::Standing, "edge-1", EDGE_1_LIFE, 4)
+fn row_104_standing() -> LocationRecord {
+    row("+4930104", Kind::ActiveCall, "edge-1", EDGE_1_LIFE, 4)
 }
 
-fn row_105() -> Row {
+fn row_105() -> LocationRecord {
     row("+4930105", Kind::Binding, "edge-1", EDGE_1_LIFE, 5)
 }
 
-fn row_201(life: u64) -> Row {
+fn row_201(life: u64) -> LocationRecord {
     row("+4930201", Kind::Binding, "edge-2", life, 1)
 }
 
-fn row_202() -> Row {
+fn row_202() -> LocationRecord {
     row("+4930202", Kind::Binding, "edge-2", EDGE_2_LIFE, 2)
 }
 
-fn written(front: &str, life: u64, first: u64, changes: Vec<RowChange>) -> Written {
+fn written(front: &str, life: u64, first: u64, changes: Vec<RecordChange>) -> Written {
     Written { front: front.into(), life, first, changes }
 }
 
-fn at(log: u64, order: u64) -> Position {
-    Position { log, order }
+fn at(log: u64, order: u64) -> LogPosition {
+    LogPosition { log, index: order }
 }
 
-fn first_orders() -> Vec<What> {
+fn first_orders() -> Vec<CommandAction> {
     let scopes = vec![
-        Scope::Number(number("+4930101")),
-        Scope::Prefix("+49".into()),
-        Scope::Holder("server-3".into()),
-        Scope::All,
+        PurgeScope::Number(number("+4930101")),
+        PurgeScope::Prefix("+49".into()),
+        PurgeScope::Owner("server-3".into()),
+        PurgeScope::All,
     ];
-    vec![What::Purge(scopes), What::Withdraw(401), What::Withdraw(402)]
+    vec![CommandAction::Purge(scopes), CommandAction::Withdraw(401), CommandAction::Withdraw(402)]
 }
 
-fn later_orders() -> Vec<What> {
-    vec![What::Purge(vec![Scope::All]), What::Reinstate(402), What::Withdraw(403)]
+fn later_orders() -> Vec<CommandAction> {
+    vec![CommandAction::Purge(vec![PurgeScope::All]), CommandAction::Reinstate(402), CommandAction::Withdraw(403)]
 }
 
-fn record(serial: u64, at_ms: u64, takes_calls: bool) -> Record {
-    let version = Version { settings: 301, list: 302, build: "b1".into(), caches: true, takes_calls };
+fn record(serial: u64, at_ms: u64, takes_calls: bool) -> AuditRecord {
+    let version = Version { settings: 301, endpoint_list: 302, build: "b1".into(), caches: true, takes_calls };
     let change = Change { serial, at_ms, version, position: at(LOG, 1), moved_to: 3 };
-    Record { front: "edge-1".into(), life: EDGE_1_LIFE, seen_ms: at_ms + 50, changes: vec![change] }
+    AuditRecord { front: "edge-1".into(), incarnation: EDGE_1_LIFE, seen_ms: at_ms + 50, changes: vec![change] }
 }
 
-fn first_record() -> Record {
+fn first_record() -> AuditRecord {
     record(5, 1_700_000_005_000, false)
 }
 
-fn later_record() -> Record {
+fn later_record() -> AuditRecord {
     record(6, 1_700_000_006_000, true)
 }
 
 /// Entries 1 to 9.
 fn commands_before_snapshot() -> Vec<Command> {
-    use RowChange::{Put, Withdraw};
-    let edge_1 = vec![Put(row_101()), Put(row_102_standing())];
-    let edge_2 = vec![Put(row_201(EDGE_2_LIFE)), Put(row_202())];
-    let edge_1_later = vec![Put(row_103()), Withdraw(row_102_standing().key), Put(row_104_standing())];
+    use RecordChange::{Upsert, Withdraw};
+    let edge_1 = vec![Upsert(row_101()), Put(row_102_standing())];
+    let edge_2 = vec![Upsert(row_201(EDGE_2_LIFE)), Put(row_202())];
+    let edge_1_later = vec![Upsert(row_103()), Withdraw(row_102_standing().key), Put(row_104_standing())];
     vec![
         Command::Begin(BEGUN_MS),
         Command::NewLog(LOG),
@@ -140,9 +140,9 @@
 
 /// Entries 10 to 17: every command once.
 fn commands_after_snapshot() -> Vec<Command> {
-    use RowChange::{Put, Withdraw};
-    let edge_1 = vec![Put(row_105()), Withdraw(row_101().key)];
-    let edge_2 = vec![Put(row_201(EDGE_2_NEXT_LIFE))];
+    use RecordChange::{Upsert, Withdraw};
+    let edge_1 = vec![Upsert(row_105()), Withdraw(row_101().key)];
+    let edge_2 = vec![Upsert(row_201(EDGE_2_NEXT_LIFE))];
     vec![
         Command::Rows(vec![
             written("edge-1", EDGE_1_LIFE, 6, edge_1),
@@ -177,14 +177,14 @@
     numbered.map(|(index, payload)| Entry { log_id: log_id(index), payload }).collect()
 }
 
-/// What the snapshot holds beside the rows.
+/// CommandAction the snapshot holds beside the rows.
 fn beside_in_snapshot() -> Beside {
     let outbox = [(3, "+4930202"), (4, "+4930103"), (5, "+4930201"), (6, "+4930202")];
-    let mut window = Window::at(at(LOG, 0), BTreeSet::new());
+    let mut window = LogTail::at(at(LOG, 0), BTreeSet::new());
     for order in first_orders() {
         window.append(order);
     }
-    let mut ledger = Ledger::default();
+    let mut ledger = AuditLog::default();
     ledger.take(first_record()).unwrap();
     Beside {
         outbox: outbox.map(|(change, digits)| (change, number(digits))).into(),
@@ -199,14 +199,14 @@
     }
 }
 
-/// What stands beside the rows once the whole log is applied.
+/// CommandAction stands beside the rows once the whole log is applied.
 fn beside_at_end() -> Beside {
     let outbox = [(7, "+4930105"), (8, "+4930101"), (9, "+4930201")];
-    let mut window = Window::at(at(NEXT_LOG, 0), BTreeSet::from([401, 402]));
+    let mut window = LogTail::at(at(NEXT_LOG, 0), BTreeSet::from([401, 402]));
     for order in later_orders() {
         window.append(order);
     }
-    let mut ledger = Ledger::default();
+    let mut ledger = AuditLog::default();
     ledger.take(first_record()).unwrap();
     ledger.take(later_record()).unwrap();
     Beside {
@@ -249,9 +249,9 @@
     tokio::runtime::Builder::new_multi_thread().worker_threads(1).build().unwrap().block_on(task)
 }
 
-fn rows(state: &State) -> Vec<Row> {
+fn rows(state: &State) -> Vec<LocationRecord> {
     let shards = state.register.snapshot();
-    let mut rows: Vec<Row> = shards.iter().flat_map(|shard| shard.values()).cloned().collect();
+    let mut rows: Vec<LocationRecord> = shards.iter().flat_map(|shard| shard.values()).cloned().collect();
     rows.sort_by(|a, b| a.key.cmp(&b.key));
     rows
 }
@@ -324,7 +324,7 @@
         assert_eq!(*beside.window.withdrawn(), BTreeSet::from([401, 403]));
         let acted: Vec<_> = beside.ledger.at(1_700_000_005_500).collect();
         assert_eq!(acted.len(), 1);
-        assert_eq!((acted[0].front, acted[0].life), ("edge-1", EDGE_1_LIFE));
+        assert_eq!((acted[0].front, acted[0].incarnation), ("edge-1", EDGE_1_LIFE));
         assert_eq!(*acted[0].version, first_record().changes[0].version);
         assert_eq!((acted[0].span.position, acted[0].span.moved_to), (at(LOG, 1), 3));
     });
