--- a/crates/lilacpitch-fleet/tests/pinned_frames.rs
+++ b/crates/lilacpitch-fleet/tests/pinned_frames.rs
@@ -6,15 +6,17 @@
 
 mod pinned;
 
-use lilacpitch_fleet::audit::{Change, AuditRecord, Version};
+use lilacpitch_fleet::audit::{AuditRecord, Change, Version};
+use lilacpitch_fleet::disk_loss_recovery::LogVote;
 use lilacpitch_fleet::frame::{peek, Writer};
 use lilacpitch_fleet::message::{
-    Body, Hello, KnownSummary, LogMessage, FleetCommand, PendingPurges, LogPosition, RejectReason, Request, Response, Role, RecordChange,
-    PurgeScope, SiteSummaryUpdate, CommandAction,
+    Body, CommandAction, FleetCommand, Hello, KnownSummary, LogMessage, LogPosition, PendingPurges,
+    PurgeScope, RecordChange, RejectReason, Request, Response, Role, SiteSummaryUpdate,
 };
-use lilacpitch_fleet::disk_loss_recovery::LogVote;
 use lilacpitch_gossip::Keys;
-use lilacpitch_location::{Owner, Key, Kind, Number, Page, Query, LocationRecord, ShardUpdate, QueryTarget as Wanted};
+use lilacpitch_location::{
+    Key, Kind, LocationRecord, Number, Owner, Page, Query, QueryTarget as Wanted, ShardUpdate,
+};
 use pinned::{assert_pinned, read, Sample};
 
 const FILE: &str = "frames.txt";
@@ -28,14 +30,20 @@
 }
 
 fn key() -> Key {
-    let holder = Owner { name: "server-3".into(), front: "edge-1".into(), incarnation: 1_700_000_001, serial: 77 };
+    let holder =
+        Owner { name: "server-3".into(), front: "edge-1".into(), incarnation: 1_700_000_001, serial: 77 };
     Key { number: Number::new("+4930123").unwrap(), kind: Kind::ActiveCall, owner: holder }
 }
 
 fn row() -> LocationRecord {
     let mut key = key();
     key.kind = Kind::Binding;
-    LocationRecord { key, class: "emergency".into(), trunk_group: "north".into(), since_ms: 1_700_000_002_345 }
+    LocationRecord {
+        key,
+        class: "emergency".into(),
+        trunk_group: "north".into(),
+        since_ms: 1_700_000_002_345,
+    }
 }
 
 fn at(order: u64) -> LogPosition {
@@ -47,14 +55,16 @@
 }
 
 fn record() -> AuditRecord {
-    let version = Version { settings: 301, endpoint_list: 302, build: "b1".into(), caches: true, takes_calls: false };
+    let version =
+        Version { settings: 301, endpoint_list: 302, build: "b1".into(), caches: true, takes_calls: false };
     let change = Change { serial: 5, at_ms: 1_700_000_005, version, position: at(6), moved_to: 8 };
     AuditRecord { front: "edge-1".into(), incarnation: 9, seen_ms: 1_700_000_006, changes: vec![change] }
 }
 
 fn orders() -> Vec<FleetCommand> {
     let number = PurgeScope::Number(Number::new("*31#").unwrap());
-    let scopes = vec![number, PurgeScope::Prefix("+49".into()), PurgeScope::Owner("server-3".into()), PurgeScope::All];
+    let scopes =
+        vec![number, PurgeScope::Prefix("+49".into()), PurgeScope::Owner("server-3".into()), PurgeScope::All];
     let all = [CommandAction::Purge(scopes), CommandAction::Withdraw(401), CommandAction::Reinstate(402)];
     all.into_iter().zip(11..).map(|(what, number)| FleetCommand { number, what }).collect()
 }
@@ -63,13 +73,24 @@
     let base = Some((2, vec![0xab, 0xcd, 0xef]));
     let news = vec![ShardUpdate { shard: 3, version: 9, base, added: vec![70_000, 5] }];
     let (site, life, shards, total) = ("north".into(), 21, 8, 33);
-    SiteSummaryUpdate { site, incarnation: life, shards, total, age_ns: 900_000, pending, ordered: at(4), shard_updates: news, has_more: true }
+    SiteSummaryUpdate {
+        site,
+        incarnation: life,
+        shards,
+        total,
+        age_ns: 900_000,
+        pending,
+        ordered: at(4),
+        shard_updates: news,
+        has_more: true,
+    }
 }
 
 fn queries() -> [Query; 2] {
     let what = Wanted::Prefix("+4930".into());
     let (class, trunk_group) = (Some("emergency".into()), Some("north".into()));
-    let full = Query { target: what, kind: Some(Kind::ActiveCall), class, trunk_group, since_ms: Some((500, 600)) };
+    let full =
+        Query { target: what, kind: Some(Kind::ActiveCall), class, trunk_group, since_ms: Some((500, 600)) };
     [full, Query::reached(Number::new("112").unwrap())]
 }
 
@@ -77,8 +98,11 @@
     let [by_prefix, by_number] = queries();
     let find = |query, after| Request::FindRecords { query, after, limit: 300, urgent: true };
     let known = KnownSummary { site: "north".into(), incarnation: 21, shards: vec![4, 500], total: 504 };
-    let sum =
-        Request::ReportAcknowledged { acknowledged: at(12), missing: vec!["edge-2".into(), "edge-3".into()], missing_count: 40 };
+    let sum = Request::ReportAcknowledged {
+        acknowledged: at(12),
+        missing: vec!["edge-2".into(), "edge-3".into()],
+        missing_count: 40,
+    };
     let changes = vec![RecordChange::Upsert(row()), RecordChange::Withdraw(key())];
     let log = Request::Log;
     vec![
@@ -125,8 +149,12 @@
     let page = Page { records: vec![row()], cursor: Some(key()) };
     let (missing, missing_count) = (vec!["edge-2".into()], 40);
     let progress = Response::Progress { ordered: at(14), complete: 13, missing, missing_count };
-    let granted =
-        Response::LeaseGranted { for_ns: 2_000_000, position: at(15), orders: orders(), store_id: 1_700_000_007 };
+    let granted = Response::LeaseGranted {
+        for_ns: 2_000_000,
+        position: at(15),
+        orders: orders(),
+        store_id: 1_700_000_007,
+    };
     let news = vec![site_news(PendingPurges::Some(vec![1 << 40, 2])), site_news(PendingPurges::Many)];
     let all = [
         ("granted", granted),
--- a/crates/lilacpitch-fleet/tests/pinned_stored.rs
+++ b/crates/lilacpitch-fleet/tests/pinned_stored.rs
@@ -6,10 +6,10 @@
 
 mod pinned;
 
-use lilacpitch_fleet::audit::{Change, AuditLog, AuditRecord, Version};
+use lilacpitch_fleet::audit::{AuditLog, AuditRecord, Change, Version};
 use lilacpitch_fleet::message::LogPosition;
 use lilacpitch_location::summary::fingerprint;
-use lilacpitch_location::{golomb_coded_set, Owner, Key, Kind, Number, LocationRecord};
+use lilacpitch_location::{golomb_coded_set, Key, Kind, LocationRecord, Number, Owner};
 use pinned::{assert_pinned, read, Sample};
 use serde::de::DeserializeOwned;
 use std::fmt::Debug;
@@ -18,18 +18,30 @@
 const VALUES: usize = 40;
 
 fn row(kind: Kind) -> LocationRecord {
-    let holder = Owner { name: "server-3".into(), front: "edge-1".into(), incarnation: 1_700_000_001, serial: 77 };
+    let holder =
+        Owner { name: "server-3".into(), front: "edge-1".into(), incarnation: 1_700_000_001, serial: 77 };
     let key = Key { number: Number::new("+4930123").unwrap(), kind, owner: holder };
-    LocationRecord { key, class: "emergency".into(), trunk_group: "north".into(), since_ms: 1_700_000_002_345 }
+    LocationRecord {
+        key,
+        class: "emergency".into(),
+        trunk_group: "north".into(),
+        since_ms: 1_700_000_002_345,
+    }
 }
 
 fn record() -> AuditRecord {
     let position = LogPosition { log: 1_700_000_003, index: 6 };
-    let version = Version { settings: 301, endpoint_list: 302, build: "b1".into(), caches: true, takes_calls: false };
+    let version =
+        Version { settings: 301, endpoint_list: 302, build: "b1".into(), caches: true, takes_calls: false };
     let first = Change { serial: 5, at_ms: 1_700_000_005, version, position, moved_to: 8 };
     let mut second = Change { serial: 6, at_ms: 1_700_000_105, moved_to: 9, ..first.clone() };
     second.version.takes_calls = true;
-    AuditRecord { front: "edge-1".into(), incarnation: 9, seen_ms: 1_700_000_206, changes: vec![first, second] }
+    AuditRecord {
+        front: "edge-1".into(),
+        incarnation: 9,
+        seen_ms: 1_700_000_206,
+        changes: vec![first, second],
+    }
 }
 
 fn ledger() -> AuditLog {
@@ -75,7 +87,8 @@
     assert_decodes("row-standing", &row(Kind::ActiveCall));
     assert_decodes("audit-record", &record());
     assert_decodes("audit-ledger", &ledger());
-    let mut values: Vec<u32> = fingerprints().iter().map(|found| golomb_coded_set::scaled(*found, VALUES)).collect();
+    let mut values: Vec<u32> =
+        fingerprints().iter().map(|found| golomb_coded_set::scaled(*found, VALUES)).collect();
     values.sort_unstable();
     assert_eq!(golomb_coded_set::read(&pinned_bytes("summary-set"), VALUES), Some(values));
 }
--- a/crates/lilacpitch-gossip/tests/pinned_datagrams.rs
+++ b/crates/lilacpitch-gossip/tests/pinned_datagrams.rs
@@ -5,7 +5,7 @@
 //! from fixed seeds. After a change of the format that is meant:
 //! `cargo test -p lilacpitch-gossip --test pinned_datagrams -- --ignored`.
 
-use lilacpitch_gossip::{Requester, Effect, ServerReport, Keys, MemberId, Peers, Settings};
+use lilacpitch_gossip::{Effect, Keys, MemberId, Peers, Requester, ServerReport, Settings};
 use std::net::{Ipv4Addr, SocketAddr};
 use std::path::PathBuf;
 
@@ -45,7 +45,16 @@
 }
 
 fn facts() -> Vec<ServerReport> {
-    vec![fact(), ServerReport { server: "r2".into(), warming_up_for_ms: None, is_unresponsive: false, is_draining: true, ..fact() }]
+    vec![
+        fact(),
+        ServerReport {
+            server: "r2".into(),
+            warming_up_for_ms: None,
+            is_unresponsive: false,
+            is_draining: true,
+            ..fact()
+        },
+    ]
 }
 
 fn sent(effects: &[Effect]) -> Vec<Vec<u8>> {
--- a/crates/lilacpitch-site/tests/pinned_disk.rs
+++ b/crates/lilacpitch-site/tests/pinned_disk.rs
@@ -7,8 +7,8 @@
 
 use lilacpitch_fleet::audit::{AuditLog, AuditRecord, Change, Version};
 use lilacpitch_fleet::error::LogError;
-use lilacpitch_fleet::message::{CommandAction, LogPosition, PurgeScope, RecordChange};
 use lilacpitch_fleet::log_tail::LogTail;
+use lilacpitch_fleet::message::{CommandAction, LogPosition, PurgeScope, RecordChange};
 use lilacpitch_location::{Key, Kind, LocationRecord, Number, Owner};
 use lilacpitch_site::log::machine::Machine;
 use lilacpitch_site::log::state::{Beside, State};
@@ -49,7 +49,12 @@
 fn row(digits: &str, kind: Kind, front: &str, life: u64, serial: u64) -> LocationRecord {
     let holder = Owner { name: "server-3".into(), front: front.into(), incarnation: life, serial };
     let key = Key { number: number(digits), kind, owner: holder };
-    LocationRecord { key, class: "emergency".into(), trunk_group: "north".into(), since_ms: 1_700_000_002_345 }
+    LocationRecord {
+        key,
+        class: "emergency".into(),
+        trunk_group: "north".into(),
+        since_ms: 1_700_000_002_345,
+    }
 }
 
 fn row_101() -> LocationRecord {
@@ -99,13 +104,23 @@
 }
 
 fn later_orders() -> Vec<CommandAction> {
-    vec![CommandAction::Purge(vec![PurgeScope::All]), CommandAction::Reinstate(402), CommandAction::Withdraw(403)]
+    vec![
+        CommandAction::Purge(vec![PurgeScope::All]),
+        CommandAction::Reinstate(402),
+        CommandAction::Withdraw(403),
+    ]
 }
 
 fn record(serial: u64, at_ms: u64, takes_calls: bool) -> AuditRecord {
-    let version = Version { settings: 301, endpoint_list: 302, build: "b1".into(), caches: true, takes_calls };
+    let version =
+        Version { settings: 301, endpoint_list: 302, build: "b1".into(), caches: true, takes_calls };
     let change = Change { serial, at_ms, version, position: at(LOG, 1), moved_to: 3 };
-    AuditRecord { front: "edge-1".into(), incarnation: EDGE_1_LIFE, seen_ms: at_ms + 50, changes: vec![change] }
+    AuditRecord {
+        front: "edge-1".into(),
+        incarnation: EDGE_1_LIFE,
+        seen_ms: at_ms + 50,
+        changes: vec![change],
+    }
 }
 
 fn first_record() -> AuditRecord {
@@ -119,9 +134,9 @@
 /// Entries 1 to 9.
 fn commands_before_snapshot() -> Vec<Command> {
     use RecordChange::{Upsert, Withdraw};
-    let edge_1 = vec![Upsert(row_101()), Put(row_102_standing())];
-    let edge_2 = vec![Upsert(row_201(EDGE_2_LIFE)), Put(row_202())];
-    let edge_1_later = vec![Upsert(row_103()), Withdraw(row_102_standing().key), Put(row_104_standing())];
+    let edge_1 = vec![Upsert(row_101()), Upsert(row_102_standing())];
+    let edge_2 = vec![Upsert(row_201(EDGE_2_LIFE)), Upsert(row_202())];
+    let edge_1_later = vec![Upsert(row_103()), Withdraw(row_102_standing().key), Upsert(row_104_standing())];
     vec![
         Command::Begin(BEGUN_MS),
         Command::NewLog(LOG),
