--- a/crates/lilacpitch-edge/src/fleet/admin_pages.rs
+++ b/crates/lilacpitch-edge/src/fleet/admin_pages.rs
@@ -78,11 +78,11 @@
         let now = steady_ns();
         let (position, usable, in_force) = {
             let holder = self.holder.lock();
-            (holder.position(), holder.usable(now), !holder.is_withdrawn())
+            (holder.position(), holder.valid_until(now), !holder.is_withdrawn())
         };
         let mut out = String::new();
         let _ = writeln!(out, "home {} at {}", self.of.home, self.above().address);
-        let _ = writeln!(out, "life {}", self.me.life);
+        let _ = writeln!(out, "life {}", self.me.incarnation);
         let _ = writeln!(out, "settings {:016x}", self.settings);
         let _ = writeln!(out, "in-force {in_force}");
         let position = position.map_or("none".into(), |position| position.to_string());
@@ -91,7 +91,7 @@
             Err(error) => format!("none: {error}"),
         };
         let _ = writeln!(out, "position {position}\nlease {lease}");
-        let unknown = self.catalogue.read().unknown(now);
+        let unknown = self.catalogue.read().stale_sites(now);
         let _ = writeln!(out, "summaries unknown {}: {}", unknown.len(), unknown.join(" "));
         let _ = writeln!(out, "rows waiting {}", self.record_publisher.lock().waiting());
         let (changes, joined) = self.recorder.lock().counts();
@@ -137,9 +137,9 @@
     let now = steady_ns();
     for (site, said) in &answer.sites {
         let _ = match said {
-            SiteOutcome::RuledOut { life, total, as_of_ns } => {
+            SiteOutcome::RuledOut { incarnation, total, as_of_ns } => {
                 let age_ms = now.saturating_sub(*as_of_ns) / 1_000_000;
-                writeln!(out, "site {site} ruled-out version {life}/{total} age-ms {age_ms}")
+                writeln!(out, "site {site} ruled-out version {incarnation}/{total} age-ms {age_ms}")
             }
             SiteOutcome::Queried { process, records } => {
                 writeln!(out, "site {site} asked {process} rows {records}")
--- a/crates/lilacpitch-edge/src/fleet/lease_client.rs
+++ b/crates/lilacpitch-edge/src/fleet/lease_client.rs
@@ -15,7 +15,7 @@
         let again = match home.request(Request::RenewLease(applied), agent.patience()).await {
             Ok(Response::Rejected(why)) => {
                 tracing::debug!(%why, "no lease");
-                agent.above.lock().failed();
+                agent.above.lock().record_failure();
                 false
             }
             Ok(response) => {
@@ -24,14 +24,14 @@
             }
             Err(error) => {
                 tracing::debug!(%error, "no lease");
-                agent.above.lock().failed();
+                agent.above.lock().record_failure();
                 false
             }
         };
         agent.note_version();
         agent.say_version(&home).await;
         if !again {
-            let gap_ns = agent.above.lock().gap_ns(&agent.terms);
+            let gap_ns = agent.above.lock().next_renewal_delay_ns(&agent.terms);
             tokio::time::sleep(Duration::from_nanos(gap_ns)).await;
         }
     }
@@ -41,7 +41,7 @@
 pub(super) async fn poll(agent: Arc<Agent>) {
     let gap = Duration::from_nanos(agent.of.terms.poll_ns);
     loop {
-        let (asked_ns, known) = (steady_ns(), agent.catalogue.read().known());
+        let (asked_ns, known) = (steady_ns(), agent.catalogue.read().known_summaries());
         let said = agent.above().request(Request::Summaries(known), agent.patience()).await;
         let more = match said {
             Ok(Response::Summaries(news)) => {
@@ -63,7 +63,7 @@
 impl Agent {
     /// The process of the home site that is followed.
     pub(super) fn above(&self) -> Arc<Dialer> {
-        self.home[self.above.lock().pick(self.home.len())].clone()
+        self.home[self.above.lock().selected_index(self.home.len())].clone()
     }
 
     pub(super) fn patience(&self) -> Duration {
@@ -77,16 +77,16 @@
         let granted = matches!(response, Response::LeaseGranted { .. });
         // Held until what is ordered is applied: two answers must not apply one order twice.
         let mut holder = self.holder.lock();
-        match holder.answered(asked_ns, response) {
-            LeaseUpdate::Orders(orders) => self.apply(&mut holder, orders),
-            LeaseUpdate::Dropped => {
+        match holder.handle_response(asked_ns, response) {
+            LeaseUpdate::Commands(orders) => self.apply(&mut holder, orders),
+            LeaseUpdate::Reset => {
                 self.cache.clear(steady_ns());
                 Counters::one(&self.counters.fresh_starts);
                 tracing::info!(position = ?holder.position(), "a fresh start: what was cached is dropped");
             }
-            LeaseUpdate::Nothing => {}
+            LeaseUpdate::Unchanged => {}
         }
-        let again = !granted || holder.usable(steady_ns()).is_err();
+        let again = !granted || holder.valid_until(steady_ns()).is_err();
         let in_force = !holder.is_withdrawn();
         drop(holder);
         self.say_in_force(in_force);
@@ -106,18 +106,18 @@
         let now = steady_ns();
         for order in orders {
             self.cache.apply(now, &order);
-            holder.applied(&order);
+            holder.record_applied(&order);
             Counters::one(&self.counters.orders);
         }
     }
 
     /// What the home site asks of this front.
     pub(super) fn answer(&self, _from: &RpcConnection, ask: Request) -> Response {
-        let Request::Commands { log, orders } = ask else {
+        let Request::Commands { log, commands } = ask else {
             return Response::Rejected(lilacpitch_fleet::message::RejectReason::Unsupported);
         };
         let mut holder = self.holder.lock();
-        match holder.orders(log, orders) {
+        match holder.orders(log, commands) {
             Ok(next) => self.apply(&mut holder, next),
             Err(error) => tracing::debug!(%error, "orders not taken"),
         }
@@ -130,11 +130,11 @@
 
     /// Says upwards what this front acted on, until it is taken.
     async fn say_version(&self, home: &Dialer) {
-        let record = self.recorder.lock().record(wall_ms());
+        let record = self.recorder.lock().pending_record(wall_ms());
         if let Ok(Response::Written) =
             home.request(Request::Audit(vec![record.clone()]), self.patience() * 3).await
         {
-            self.recorder.lock().taken(&record);
+            self.recorder.lock().acknowledge(&record);
         }
     }
 
--- a/crates/lilacpitch-edge/src/fleet/locate.rs
+++ b/crates/lilacpitch-edge/src/fleet/locate.rs
@@ -115,14 +115,15 @@
         let answer = self.cache.get(number)?;
         let (until, position) = {
             let holder = self.holder.lock();
-            (holder.usable(steady_ns()), holder.position().unwrap_or_default())
+            (holder.valid_until(steady_ns()), holder.position().unwrap_or_default())
         };
         let until_ns = match until {
             Ok(until_ns) => until_ns,
             Err(_) if !self.guards.cache_leases => u64::MAX,
             Err(_) => return None,
         };
-        let borne = !borne_out || self.catalogue.read().bears_out(steady_ns(), number.hash64(), position);
+        let borne =
+            !borne_out || self.catalogue.read().confirms_cached(steady_ns(), number.hash64(), position);
         borne.then_some((answer, until_ns))
     }
 
@@ -138,7 +139,7 @@
         if self.questions.available_permits() == 0 {
             return Err(LocateError::TooMany);
         }
-        let query = Query::reached(number.clone());
+        let query = Query::binding_of(number.clone());
         let locate = Locate::begin(steady_ns(), query, None, 16, &self.catalogue.read(), self.guards);
         let (give, answer) = watch::channel(None);
         let flight = Flight { read_from_ns: locate.read_from_ns(), answer };
@@ -166,7 +167,7 @@
     /// Asks the open sites of a question at once, within a time.
     async fn ask_sites(self: &Arc<Self>, mut locate: Locate, urgent: bool, budget: Duration) -> LocateAnswer {
         let _permit = self.questions.acquire().await;
-        let open: Vec<String> = locate.open().map(String::from).collect();
+        let open: Vec<String> = locate.pending_sites().map(String::from).collect();
         let mut asking = tokio::task::JoinSet::new();
         for name in open {
             let Some(site) = self.sites.iter().position(|(site, _)| *site == name) else { continue };
@@ -184,7 +185,7 @@
             }
         };
         let _ = tokio::time::timeout(budget, answers).await;
-        let answer = locate.answer();
+        let answer = locate.into_answer();
         if !answer.is_complete {
             Counters::one(&self.counters.incomplete);
         }
--- a/crates/lilacpitch-edge/src/fleet/locate_dispatcher.rs
+++ b/crates/lilacpitch-edge/src/fleet/locate_dispatcher.rs
@@ -92,14 +92,14 @@
             }
             () = tokio::time::sleep(wait.unwrap_or_default()), if wait.is_some() => {
                 wake_ns = None;
-                asker.wake(steady_ns(), &mut todo);
+                asker.handle_timer(steady_ns(), &mut todo);
                 // Whose asker has gone is forgotten, so that nothing more is sent for it.
                 let now = steady_ns();
                 let gone: Vec<u64> =
                     open.iter().filter(|(_, o)| o.give.is_closed() || o.until_ns <= now).map(|(id, _)| *id).collect();
                 for id in gone {
                     open.remove(&id);
-                    asker.forget(now, id, &mut todo);
+                    asker.cancel(now, id, &mut todo);
                 }
             }
         }
@@ -110,38 +110,38 @@
                     let Ask { site, urgent, budget_ns, request, give } = *ask;
                     let until_ns = now + budget_ns;
                     let mut first = Vec::new();
-                    let id = asker.ask(now, site, urgent, budget_ns, &mut first);
+                    let id = asker.submit(now, site, urgent, budget_ns, &mut first);
                     open.insert(id, Open { request, give, until_ns, last: LocateError::Late });
                     todo.append(&mut first);
                 }
                 News::Back(site, process) => {
                     away.remove(&(site, process));
-                    asker.back(now, site, process, &mut todo);
+                    asker.mark_recovered(now, site, process, &mut todo);
                 }
                 News::Ended(done, outcome, answer) => {
-                    if let DispatchAction::Ask { question, site, process, .. } = done {
+                    if let DispatchAction::Send { query_id, site, process, .. } = done {
                         let gone = matches!(outcome, Outcome::TimedOut | Outcome::Unreachable | Outcome::Cut);
                         if gone && away.insert((site, process)) {
                             tokio::spawn(look_after(agent.clone(), site, process, news_again.clone()));
                         }
                         if let Some(answer) = answer {
-                            if let Some(open) = open.remove(&question) {
+                            if let Some(open) = open.remove(&query_id) {
                                 let _ = open.give.send(Ok(answer));
                             }
-                        } else if let Some(open) = open.get_mut(&question) {
+                        } else if let Some(open) = open.get_mut(&query_id) {
                             open.last = why(outcome);
                         }
                     }
-                    asker.ended(now, done, outcome, &mut todo);
+                    asker.complete_attempt(now, done, outcome, &mut todo);
                 }
             }
         }
         while let Some(what) = todo.pop() {
             match what {
-                DispatchAction::Ask { question, site, process, timeout_ns, .. } => {
-                    let Some(open) = open.get(&question) else {
+                DispatchAction::Send { query_id, site, process, timeout_ns, .. } => {
+                    let Some(open) = open.get(&query_id) else {
                         // Its asker has gone: nothing is sent, and the module told so.
-                        asker.ended(steady_ns(), what, Outcome::NotSent, &mut todo);
+                        asker.complete_attempt(steady_ns(), what, Outcome::NotSent, &mut todo);
                         continue;
                     };
                     let (way, request) = (agent.sites[site].1[process].clone(), open.request.clone());
@@ -197,7 +197,7 @@
         Ok(Response::Rejected(_)) => (Outcome::NoCircuit, None),
         Ok(_) => (Outcome::Fault, None),
         Err(RpcError::TimedOut) => (Outcome::TimedOut, None),
-        Err(RpcError::Unreached(..) | RpcError::Greeting(_) | RpcError::Backlog) => {
+        Err(RpcError::Unreachable(..) | RpcError::Handshake(_) | RpcError::Backlog) => {
             (Outcome::Unreachable, None)
         }
         Err(RpcError::Closed | RpcError::Frame(_)) => (Outcome::Cut, None),
--- a/crates/lilacpitch-edge/src/fleet/mod.rs
+++ b/crates/lilacpitch-edge/src/fleet/mod.rs
@@ -117,7 +117,7 @@
 struct Door(OnceLock<Weak<Agent>>);
 
 impl RequestHandler for Door {
-    fn serve(
+    fn handle(
         self: Arc<Self>,
         from: Arc<lilacpitch_rpc::RpcConnection>,
         locate_dispatcher: lilacpitch_fleet::message::Request,
@@ -158,7 +158,7 @@
 
     /// Says the rows that are due.
     pub fn say_due(&mut self, now: Nanos) {
-        let due = self.held.due(now);
+        let due = self.held.take_due(now);
         self.changed(due);
     }
 
@@ -207,7 +207,7 @@
     let text = std::fs::read_to_string(&of.key_file).map_err(|e| format!("{}: {e}", of.key_file))?;
     let keys = Keys::from_text(&text).map_err(|e| format!("{}: {e}", of.key_file))?;
     let life = SystemTime::now().duration_since(UNIX_EPOCH).map_or(1, |since| since.as_nanos() as u64);
-    let me = LocalIdentity { name: edge.name.clone(), life, role: Role::Front, keys };
+    let me = LocalIdentity { name: edge.name.clone(), incarnation: life, role: Role::Front, keys };
     let runtime = tokio::runtime::Builder::new_multi_thread()
         .worker_threads(of.threads)
         .thread_name("fleet")
@@ -303,18 +303,18 @@
     fn note_version(&self) {
         let (position, usable, in_force) = {
             let holder = self.holder.lock();
-            let usable = holder.usable(steady_ns()).is_ok();
+            let usable = holder.valid_until(steady_ns()).is_ok();
             (holder.position().unwrap_or_default(), usable, !holder.is_withdrawn())
         };
         let version = Version {
             settings: self.settings,
             endpoint_list: self.list.load(Ordering::Relaxed),
             build: env!("CARGO_PKG_VERSION").into(),
-            caches: usable,
-            takes_calls: in_force,
+            uses_cache: usable,
+            accepts_calls: in_force,
         };
-        if self.guards.audit_records || self.recorder.lock().last().is_none() {
-            self.recorder.lock().note(wall_ms(), version, position);
+        if self.guards.audit_records || self.recorder.lock().latest().is_none() {
+            self.recorder.lock().record_version(wall_ms(), version, position);
         }
     }
 }
--- a/crates/lilacpitch-edge/src/fleet/record_publisher.rs
+++ b/crates/lilacpitch-edge/src/fleet/record_publisher.rs
@@ -62,7 +62,7 @@
     fn change(&self, news: RecordEvent) -> Option<RecordChange> {
         // The front checked it: what is not a number never was one of a call.
         let number = Number::new(&news.number).ok()?;
-        let (front, life) = (self.me.name.clone(), self.me.life);
+        let (front, life) = (self.me.name.clone(), self.me.incarnation);
         let holder = Owner { name: news.owner, front, incarnation: life, serial: news.serial };
         let key = Key { number, kind: news.kind, owner: holder };
         if !news.is_present {
--- a/crates/lilacpitch-edge/src/net/driver.rs
+++ b/crates/lilacpitch-edge/src/net/driver.rs
@@ -277,17 +277,19 @@
                     let facts = self.front.server_reports();
                     self.talk(|talk, now, out| talk.peers.answer_request(now, asker, facts, out));
                 }
-                Said::News => {
+                Said::ReportsWanted => {
                     let facts = self.front.server_reports();
                     self.talk(|talk, now, out| talk.peers.publish_reports(now, &facts, out));
                 }
-                Said::Heard(heard) => self.feed(Input::RumorsReceived(heard)),
+                Said::RumorsReceived(heard) => self.feed(Input::RumorsReceived(heard)),
                 // By its origin, of which its address is part: two fronts that were given one name by mistake are two voices all the same.
                 Said::ReportsReceived(peer, facts) => self.feed(Input::PeerReported(peer.origin(), facts)),
-                Said::Joined(peer) => {
+                Said::MemberJoined(peer) => {
                     tracing::info!(peer = peer.name, address = %peer.address, "peer is there")
                 }
-                Said::Left(peer) => tracing::info!(peer = peer.name, address = %peer.address, "peer is gone"),
+                Said::MemberLeft(peer) => {
+                    tracing::info!(peer = peer.name, address = %peer.address, "peer is gone")
+                }
             }
         }
     }
--- a/crates/lilacpitch-edge/tests/peers_hard.rs
+++ b/crates/lilacpitch-edge/tests/peers_hard.rs
@@ -110,7 +110,7 @@
                     Effect::ReportsRequested(asker) => {
                         peers.answer_request(now(), asker, facts.to_vec(), &mut out)
                     }
-                    Effect::News => peers.publish_reports(now(), facts, &mut out),
+                    Effect::ReportsWanted => peers.publish_reports(now(), facts, &mut out),
                     _ => {}
                 }
             }
--- a/crates/lilacpitch-fleet/src/ack_aggregator.rs
+++ b/crates/lilacpitch-fleet/src/ack_aggregator.rs
@@ -94,15 +94,15 @@
     }
 
     /// This process may grant until then, once it has applied everything up to a position.
-    pub fn may_grant(&mut self, until_ns: Nanos, needs: LogPosition) {
+    pub fn allow_grants_until(&mut self, until_ns: Nanos, needs: LogPosition) {
         (self.own_until_ns, self.own_needs) = (until_ns, needs);
     }
 
     /// This process has just become the origin: holders of a former one may live on leases of its own. What was
     /// complete below this process alone says nothing of them.
-    pub fn became_origin(&mut self, now: Nanos) {
+    pub fn become_origin(&mut self, now: Nanos) {
         self.complete = 0;
-        self.quiet_until_ns = now + self.terms.outlasts(self.terms.lease_ns);
+        self.quiet_until_ns = now + self.terms.worst_case_ns(self.terms.lease_ns);
     }
 
     /// All orders up to there are taken from elsewhere at once.
@@ -115,7 +115,7 @@
     }
 
     /// The next order is there.
-    pub fn ordered(&mut self, now: Nanos, what: CommandAction) -> LogPosition {
+    pub fn append_command(&mut self, now: Nanos, what: CommandAction) -> LogPosition {
         let position = self.window.append(what);
         self.came.push_back((position.index, now));
         while self
@@ -140,7 +140,7 @@
     }
 
     /// A child asks for its lease.
-    pub fn renew(
+    pub fn renew_lease(
         &mut self,
         now: Nanos,
         who: &ChildId,
@@ -164,11 +164,11 @@
         if applied.index > position.index {
             return Response::Rejected(RejectReason::Ahead);
         }
-        let Some(orders) = self.window.after(applied.index, MAX_COMMANDS) else { return fresh };
+        let Some(orders) = self.window.commands_after(applied.index, MAX_COMMANDS) else { return fresh };
         let straggles = self.guards.lagging_holders && applied.index < self.due(now);
         let for_ns =
             if straggles { 0 } else { self.terms.lease_ns.min(self.own_until_ns.saturating_sub(now)) };
-        let in_until_ns = now + self.terms.outlasts(for_ns);
+        let in_until_ns = now + self.terms.worst_case_ns(for_ns);
         let child = self.children.entry(who.clone()).or_insert_with(|| Child {
             is_front,
             applied,
@@ -185,7 +185,7 @@
         if for_ns > 0 {
             child.in_until_ns = child.in_until_ns.max(in_until_ns);
         }
-        Response::LeaseGranted { for_ns, position, orders, store_id: register }
+        Response::LeaseGranted { for_ns, position, commands: orders, store_id: register }
     }
 
     fn is_superseded(&self, who: &ChildId) -> bool {
@@ -194,14 +194,14 @@
     }
 
     /// A child has applied orders up to there.
-    pub fn applied(&mut self, who: &ChildId, upto: LogPosition) {
+    pub fn record_applied(&mut self, who: &ChildId, upto: LogPosition) {
         if let Some(child) = self.children.get_mut(who).filter(|_| upto.log == self.window.position().log) {
             child.applied = upto;
         }
     }
 
     /// A relay below says how far all below it are.
-    pub fn summed(&mut self, who: &ChildId, sum: AggregatedAck) {
+    pub fn record_aggregated_ack(&mut self, who: &ChildId, sum: AggregatedAck) {
         if let Some(child) = self.children.get_mut(who) {
             child.sum = sum.acknowledged;
             child.missing = sum.missing;
@@ -210,14 +210,14 @@
     }
 
     /// A child has dropped what it cached, and is out at once.
-    pub fn left(&mut self, who: &ChildId) {
+    pub fn remove_child(&mut self, who: &ChildId) {
         self.children.remove(who);
     }
 
     /// Whether what a front writes is taken: it is heard, as this life, and not fenced as a straggler. A site that is
     /// cut off from those above grants no leases and takes rows all the same.
-    pub fn takes_from(&self, now: Nanos, who: &ChildId) -> bool {
-        let span_ns = self.terms.outlasts(self.terms.lease_ns);
+    pub fn accepts_writes_from(&self, now: Nanos, who: &ChildId) -> bool {
+        let span_ns = self.terms.worst_case_ns(self.terms.lease_ns);
         let heard = |child: &Child| now < child.heard_ns + span_ns && !child.straggles;
         (self.children.get(who).is_some_and(heard) && !self.is_superseded(who)) || !self.guards.write_fencing
     }
@@ -228,13 +228,13 @@
     }
 
     /// Fronts below, in each of their lives, and for how long each was not heard.
-    pub fn fronts(&self, now: Nanos) -> Vec<(ChildId, Nanos)> {
+    pub fn front_contacts(&self, now: Nanos) -> Vec<(ChildId, Nanos)> {
         let fronts = self.children.iter().filter(|(_, child)| child.is_front);
         fronts.map(|(id, child)| (id.clone(), now.saturating_sub(child.heard_ns))).collect()
     }
 
     /// What a child has applied, and some of what it lacks; `None`: it is not known here.
-    pub fn lacks(&self, who: &ChildId) -> Option<(LogPosition, Vec<FleetCommand>)> {
+    pub fn missing_commands(&self, who: &ChildId) -> Option<(LogPosition, Vec<FleetCommand>)> {
         let applied = self.children.get(who)?.applied;
         Some((applied, self.missing_orders(applied)))
     }
@@ -242,11 +242,11 @@
     /// Up to so many of the orders that a child lacks.
     fn missing_orders(&self, applied: LogPosition) -> Vec<FleetCommand> {
         let same = applied.log == self.position().log;
-        self.window.after(applied.index, MAX_COMMANDS).filter(|_| same).unwrap_or_default()
+        self.window.commands_after(applied.index, MAX_COMMANDS).filter(|_| same).unwrap_or_default()
     }
 
     /// How far purges are below, now.
-    pub fn sum(&mut self, now: Nanos) -> AggregatedAck {
+    pub fn aggregate(&mut self, now: Nanos) -> AggregatedAck {
         let position = self.position();
         let over =
             |child: &Child| now.saturating_sub(child.in_until_ns) > FORGET_NS && now > child.in_until_ns;
@@ -283,7 +283,7 @@
     }
 
     /// When a lease runs out next that a sum may wait for.
-    pub fn next_ns(&self, now: Nanos) -> Option<Nanos> {
+    pub fn next_expiry_ns(&self, now: Nanos) -> Option<Nanos> {
         let ends = self.children.values().map(|child| child.in_until_ns).chain([self.quiet_until_ns]);
         ends.filter(|at| *at > now).min()
     }
--- a/crates/lilacpitch-fleet/src/audit.rs
+++ b/crates/lilacpitch-fleet/src/audit.rs
@@ -27,9 +27,9 @@
     /// Its build.
     pub build: String,
     /// Cached answers are used.
-    pub caches: bool,
+    pub uses_cache: bool,
     /// New calls are taken.
-    pub takes_calls: bool,
+    pub accepts_calls: bool,
 }
 
 /// From a moment on a process acted on this.
@@ -87,7 +87,7 @@
     }
 
     /// What it acts on now; nothing is noted where nothing has changed.
-    pub fn note(&mut self, at_ms: u64, version: Version, position: LogPosition) {
+    pub fn record_version(&mut self, at_ms: u64, version: Version, position: LogPosition) {
         if let Some(last) = &mut self.last {
             if last.version == version && last.position.log == position.log {
                 if last.moved_to == position.index {
@@ -128,13 +128,13 @@
     }
 
     /// What is to be sent above. The last change stays open while its position may still move within it.
-    pub fn record(&self, now_ms: u64) -> AuditRecord {
+    pub fn pending_record(&self, now_ms: u64) -> AuditRecord {
         let changes = self.waiting.iter().take(MAX_CHANGES).cloned().collect();
         AuditRecord { front: self.front.clone(), incarnation: self.incarnation, seen_ms: now_ms, changes }
     }
 
     /// It was taken above, up to there.
-    pub fn taken(&mut self, record: &AuditRecord) {
+    pub fn acknowledge(&mut self, record: &AuditRecord) {
         for sent in &record.changes {
             // One that moved on since it was sent is sent again.
             if self.waiting.front().is_some_and(|first| first == sent) {
@@ -149,14 +149,14 @@
     }
 
     /// What is in force.
-    pub fn last(&self) -> Option<&Change> {
+    pub fn latest(&self) -> Option<&Change> {
         self.last.as_ref()
     }
 }
 
 /// A span in which a front acted on one version.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Span {
+pub struct VersionInterval {
     /// The change that began it.
     serial: u64,
     /// From when on, in milliseconds since 1970, by the front's clock.
@@ -171,7 +171,7 @@
 
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 struct Life {
-    spans: VecDeque<Span>,
+    spans: VecDeque<VersionInterval>,
     seen_ms: u64,
 }
 
@@ -185,7 +185,7 @@
     /// On this,
     pub version: &'a Version,
     /// in this span.
-    pub span: &'a Span,
+    pub interval: &'a VersionInterval,
     /// Until when the front lived for certain, in milliseconds since 1970.
     pub seen_ms: u64,
 }
@@ -221,7 +221,7 @@
                 self.versions.push(change.version);
             }
             let Change { serial, at_ms: from_ms, position, moved_to, .. } = change;
-            let span = Span { serial, from_ms, version, position, moved_to };
+            let span = VersionInterval { serial, from_ms, version, position, moved_to };
             match life.spans.back_mut() {
                 Some(last) if last.serial == serial => *last = span,
                 Some(last) if last.serial > serial => {}
@@ -255,14 +255,14 @@
     fn acted<'a>(
         &'a self,
         (front, life): &'a (String, u64),
-        span: &'a Span,
+        interval: &'a VersionInterval,
         seen_ms: u64,
     ) -> ActiveVersion<'a> {
         ActiveVersion {
             front,
             incarnation: *life,
-            version: &self.versions[span.version as usize],
-            span,
+            version: &self.versions[interval.version as usize],
+            interval,
             seen_ms,
         }
     }
@@ -279,7 +279,7 @@
     }
 
     /// What each life acted on last.
-    pub fn last(&self) -> impl Iterator<Item = ActiveVersion<'_>> {
+    pub fn latest(&self) -> impl Iterator<Item = ActiveVersion<'_>> {
         self.lives.iter().filter_map(|(key, of)| Some(self.acted(key, of.spans.back()?, of.seen_ms)))
     }
 }
--- a/crates/lilacpitch-fleet/src/cache.rs
+++ b/crates/lilacpitch-fleet/src/cache.rs
@@ -94,7 +94,7 @@
 
     /// Applies an order: when this returns, nothing that it withdraws is served or filled.
     pub fn apply(&self, now: Nanos, order: &FleetCommand) {
-        let CommandAction::Purge(scopes) = &order.what else { return };
+        let CommandAction::Purge(scopes) = &order.action else { return };
         {
             let mut recent = self.recent.lock();
             recent.scopes.extend(scopes.iter().map(|scope| (now, scope.clone())));
--- a/crates/lilacpitch-fleet/src/catalogue.rs
+++ b/crates/lilacpitch-fleet/src/catalogue.rs
@@ -18,21 +18,21 @@
     /// Nothing there, by this version as of then.
     RuledOut {
         /// The life of the process whose versions these are.
-        life: u64,
+        incarnation: u64,
         /// The sum of the versions of all shards.
         total: u64,
         /// When it was asked for.
         as_of_ns: Nanos,
     },
     /// To be asked: it could be there.
-    Could,
+    MayContain,
     /// To be asked: the summary is too old, of a question that it does not cover, or not there.
     Unknown,
 }
 
 #[derive(Debug, Default)]
 struct Summary {
-    life: u64,
+    incarnation: u64,
     shards: Vec<ShardSummary>,
     total: u64,
     /// When what it says was asked for by the first of the way; `None`: not whole yet.
@@ -84,9 +84,13 @@
             let verdict = match (self.fresh(summary, now), hash) {
                 (Some(as_of_ns), Some(hash)) => {
                     let shard = &summary.shards[shard_of(hash, summary.shards.len())];
-                    let out = SiteVerdict::RuledOut { life: summary.life, total: summary.total, as_of_ns };
+                    let out = SiteVerdict::RuledOut {
+                        incarnation: summary.incarnation,
+                        total: summary.total,
+                        as_of_ns,
+                    };
                     if shard.may_contain(fingerprint(hash)) {
-                        SiteVerdict::Could
+                        SiteVerdict::MayContain
                     } else {
                         out
                     }
@@ -99,7 +103,7 @@
 
     /// Whether what was cached of a number, by a holder that has applied orders up to `applied`, is still what the
     /// sites would say: every summary is fresh, and all that changed has been ordered and applied.
-    pub fn bears_out(&self, now: Nanos, hash: u64, applied: LogPosition) -> bool {
+    pub fn confirms_cached(&self, now: Nanos, hash: u64, applied: LogPosition) -> bool {
         self.sites.values().all(|summary| {
             let ordered = summary.ordered.index == 0 || applied.includes(summary.ordered);
             let pending = summary.many_pending || summary.pending.contains(&hash);
@@ -108,16 +112,16 @@
     }
 
     /// Sites whose summaries are too old or not there.
-    pub fn unknown(&self, now: Nanos) -> Vec<String> {
+    pub fn stale_sites(&self, now: Nanos) -> Vec<String> {
         let stale = self.sites.iter().filter(|(_, summary)| self.fresh(summary, now).is_none());
         stale.map(|(site, _)| site.clone()).collect()
     }
 
     /// What to ask for news with.
-    pub fn known(&self) -> Vec<KnownSummary> {
+    pub fn known_summaries(&self) -> Vec<KnownSummary> {
         let known = |(site, summary): (&String, &Summary)| KnownSummary {
             site: site.clone(),
-            incarnation: summary.life,
+            incarnation: summary.incarnation,
             shards: match summary.lacks {
                 true => summary.shards.iter().map(ShardSummary::version).collect(),
                 false => Vec::new(),
@@ -135,11 +139,11 @@
             let Some(summary) = self.sites.get_mut(&news.site) else { continue };
             // Each process of a site numbers its versions for itself: one is kept to while it is heard.
             let heard = |at: Nanos| asked_ns.saturating_sub(at) <= self.settle_ns / 2;
-            if summary.life != news.incarnation && summary.as_of_ns.is_some_and(heard) {
+            if summary.incarnation != news.incarnation && summary.as_of_ns.is_some_and(heard) {
                 continue;
             }
             // Its age was measured by a clock that may be slower than this one.
-            let as_of_ns = asked_ns.saturating_sub(self.terms.outlasts(news.age_ns));
+            let as_of_ns = asked_ns.saturating_sub(self.terms.worst_case_ns(news.age_ns));
             match take(summary, as_of_ns, news) {
                 Ok(lacks) => more |= lacks,
                 Err(error) => {
@@ -152,7 +156,7 @@
     }
 
     /// What another process lacks of these summaries, but for those that `skip` names.
-    pub fn news(
+    pub fn updates_since(
         &self,
         now: Nanos,
         known: &[KnownSummary],
@@ -164,11 +168,11 @@
             let Some(summary) = self.sites.get(&known.site) else { continue };
             let Some(as_of_ns) = summary.as_of_ns else { continue };
             let shard = |at: usize, version| summary.shards[at].since(at as u32, Some(version));
-            let (life, total, shards) = (summary.life, summary.total, summary.shards.len());
-            let (news, total, more) = news_of(known, life, total, shards, &mut room, shard);
+            let (life, total, shards) = (summary.incarnation, summary.total, summary.shards.len());
+            let (news, total, more) = shard_updates_since(known, life, total, shards, &mut room, shard);
             all.push(SiteSummaryUpdate {
                 site: known.site.clone(),
-                incarnation: summary.life,
+                incarnation: summary.incarnation,
                 shards: summary.shards.len() as u32,
                 total,
                 age_ns: now.saturating_sub(as_of_ns),
@@ -187,18 +191,18 @@
 
 /// What is new of a site's shards for one that knows so much, within the room that is left: the news, the sum of the
 /// versions that it has once it has taken them, and whether there is more.
-pub fn news_of(
+pub fn shard_updates_since(
     known: &KnownSummary,
-    life: u64,
+    incarnation: u64,
     total: u64,
     shards: usize,
     room: &mut usize,
     mut since: impl FnMut(usize, u64) -> Option<ShardUpdate>,
 ) -> (Vec<ShardUpdate>, u64, bool) {
-    if known.incarnation == life && known.total == total {
+    if known.incarnation == incarnation && known.total == total {
         return (Vec::new(), total, false);
     }
-    if known.incarnation != life || known.shards.len() != shards {
+    if known.incarnation != incarnation || known.shards.len() != shards {
         return (Vec::new(), total, true);
     }
     let (mut news, mut sum) = (Vec::new(), 0);
@@ -222,14 +226,14 @@
     if news.shards == 0 || news.shards > MAX_SHARDS {
         return Err(LocationError::Shards(news.shards as usize));
     }
-    if summary.life != news.incarnation || summary.shards.len() != news.shards as usize {
+    if summary.incarnation != news.incarnation || summary.shards.len() != news.shards as usize {
         let shards = vec![ShardSummary::default(); news.shards as usize];
-        *summary = Summary { life: news.incarnation, shards, ..Summary::default() };
+        *summary = Summary { incarnation: news.incarnation, shards, ..Summary::default() };
     }
     for one in &news.shard_updates {
         let what = "a shard that the site does not have";
         let shard = summary.shards.get_mut(one.shard as usize);
-        shard.ok_or(LocationError::Summary { shard: one.shard, what })?.take(one)?;
+        shard.ok_or(LocationError::Summary { shard: one.shard, what })?.apply_update(one)?;
     }
     summary.total = summary.shards.iter().map(ShardSummary::version).sum();
     // Who says less than is known here lags behind: nothing is to be had from it.
--- a/crates/lilacpitch-fleet/src/disk_loss_recovery.rs
+++ b/crates/lilacpitch-fleet/src/disk_loss_recovery.rs
@@ -25,7 +25,7 @@
     /// Ask on.
     Wait,
     /// The log has not begun: begin it with the others.
-    Form,
+    Bootstrap,
     /// Take this vote for one's own and follow; vote for nobody before all is there.
     Follow(LogVote),
 }
@@ -46,13 +46,13 @@
     }
 
     /// How many others have to be heard.
-    pub fn needed(&self) -> usize {
+    pub fn required_responses(&self) -> usize {
         let most = self.processes / 2 + 1;
         (self.processes - most + 1).min(self.processes.saturating_sub(1))
     }
 
     /// Another process has said which vote it holds; `None`: its disk is new. Whoever asks is new.
-    pub fn heard(&mut self, place: usize, vote: Option<LogVote>) {
+    pub fn record_vote(&mut self, place: usize, vote: Option<LogVote>) {
         let known = self.heard.entry(place).or_insert(vote);
         if known.is_some() {
             *known = (*known).max(vote);
@@ -61,10 +61,10 @@
 
     /// What is to be done by now.
     pub fn verdict(&self) -> Verdict {
-        if self.heard.len() < self.needed() {
+        if self.heard.len() < self.required_responses() {
             return Verdict::Wait;
         }
-        self.heard.values().flatten().max().map_or(Verdict::Form, |vote| Verdict::Follow(*vote))
+        self.heard.values().flatten().max().map_or(Verdict::Bootstrap, |vote| Verdict::Follow(*vote))
     }
 }
 
@@ -78,31 +78,31 @@
 
     #[test]
     fn one_alone_begins_and_three_begin_once_all_were_heard() {
-        assert_eq!(DiskLossRecovery::new(1).verdict(), Verdict::Form);
+        assert_eq!(DiskLossRecovery::new(1).verdict(), Verdict::Bootstrap);
         let mut of_three = DiskLossRecovery::new(3);
-        of_three.heard(1, None);
+        of_three.record_vote(1, None);
         assert_eq!(of_three.verdict(), Verdict::Wait);
-        of_three.heard(2, None);
-        assert_eq!(of_three.verdict(), Verdict::Form);
+        of_three.record_vote(2, None);
+        assert_eq!(of_three.verdict(), Verdict::Bootstrap);
     }
 
     #[test]
     fn a_lost_disk_is_followed_by_the_latest_vote_of_all_who_may_know() {
         let mut rejoin = DiskLossRecovery::new(3);
-        rejoin.heard(0, vote(4));
+        rejoin.record_vote(0, vote(4));
         assert_eq!(rejoin.verdict(), Verdict::Wait, "the other may know of a later one");
-        rejoin.heard(2, vote(5));
+        rejoin.record_vote(2, vote(5));
         assert_eq!(rejoin.verdict(), Verdict::Follow(vote(5).unwrap()));
         // Of five three: any two of the four may have made up most with this one.
-        assert_eq!([2, 3, 4, 5].map(|n| DiskLossRecovery::new(n).needed()), [1, 2, 2, 3]);
+        assert_eq!([2, 3, 4, 5].map(|n| DiskLossRecovery::new(n).required_responses()), [1, 2, 2, 3]);
     }
 
     #[test]
     fn who_was_new_and_takes_part_since_began_meanwhile() {
         let mut rejoin = DiskLossRecovery::new(3);
-        rejoin.heard(1, None);
-        rejoin.heard(1, vote(1));
-        rejoin.heard(2, None);
-        assert_eq!(rejoin.verdict(), Verdict::Form);
+        rejoin.record_vote(1, None);
+        rejoin.record_vote(1, vote(1));
+        rejoin.record_vote(2, None);
+        assert_eq!(rejoin.verdict(), Verdict::Bootstrap);
     }
 }
--- a/crates/lilacpitch-fleet/src/frame.rs
+++ b/crates/lilacpitch-fleet/src/frame.rs
@@ -21,25 +21,25 @@
 
 /// Writes the frames of one end.
 #[derive(Debug)]
-pub struct Writer {
+pub struct FrameWriter {
     keys: Keys,
     to: u64,
     counter: u64,
 }
 
-impl Writer {
+impl FrameWriter {
     /// For a connection whose other end has not spoken yet.
     pub fn new(keys: Keys) -> Self {
-        Writer { keys, to: 0, counter: 0 }
+        FrameWriter { keys, to: 0, counter: 0 }
     }
 
     /// From now on frames name what the other end drew.
-    pub fn met(&mut self, hello: &Hello) {
+    pub fn set_peer(&mut self, hello: &Hello) {
         self.to = hello.nonce;
     }
 
     /// One frame. `nonce` must be drawn anew for each.
-    pub fn frame(&mut self, body: &Body, nonce: [u8; NONCE_BYTES]) -> Result<Vec<u8>, FrameError> {
+    pub fn seal(&mut self, body: &Body, nonce: [u8; NONCE_BYTES]) -> Result<Vec<u8>, FrameError> {
         let envelope = Envelope { to: self.to, counter: self.counter, body };
         self.counter += 1;
         let plain = postcard::to_allocvec(&envelope).map_err(|e| FrameError::Malformed(e.to_string()))?;
@@ -53,16 +53,16 @@
 
 /// Reads the frames of the other end.
 #[derive(Debug)]
-pub struct Reader {
+pub struct FrameReader {
     keys: Keys,
     own: u64,
     counter: u64,
 }
 
-impl Reader {
+impl FrameReader {
     /// `own` is what this end drew for the connection.
     pub fn new(keys: Keys, own: u64) -> Self {
-        Reader { keys, own, counter: 0 }
+        FrameReader { keys, own, counter: 0 }
     }
 
     /// Opens the next frame.
--- a/crates/lilacpitch-fleet/src/lease.rs
+++ b/crates/lilacpitch-fleet/src/lease.rs
@@ -20,7 +20,7 @@
 
 impl LeaseTerms {
     /// After how long, by any clock of the fleet, a span that was granted has surely run out by any other.
-    pub fn outlasts(&self, span_ns: Nanos) -> Nanos {
+    pub fn worst_case_ns(&self, span_ns: Nanos) -> Nanos {
         let a = self.clock_allowance;
         (span_ns as f64 * (1.0 + a) / (1.0 - a)).ceil() as Nanos
     }
--- a/crates/lilacpitch-fleet/src/lease_holder.rs
+++ b/crates/lilacpitch-fleet/src/lease_holder.rs
@@ -10,11 +10,11 @@
 #[derive(Debug, PartialEq, Eq)]
 pub enum LeaseUpdate {
     /// These orders are next, to be applied in turn.
-    Orders(Vec<FleetCommand>),
+    Commands(Vec<FleetCommand>),
     /// Everything cached is to be dropped; then ask again.
-    Dropped,
+    Reset,
     /// No lease this time.
-    Nothing,
+    Unchanged,
 }
 
 /// A holder's position, lease, and what is withdrawn. Whoever owns it applies what it hands out before it goes on.
@@ -48,7 +48,7 @@
     }
 
     /// Until when what is cached may be used, judged now: after a standstill, before an answer.
-    pub fn usable(&self, now: Nanos) -> Result<Nanos, LeaseError> {
+    pub fn valid_until(&self, now: Nanos) -> Result<Nanos, LeaseError> {
         if self.is_withdrawn() {
             return Err(LeaseError::Withdrawn);
         }
@@ -63,9 +63,9 @@
     }
 
     /// Takes the answer to a question for a lease that was asked at `asked_ns`.
-    pub fn answered(&mut self, asked_ns: Nanos, response: Response) -> LeaseUpdate {
+    pub fn handle_response(&mut self, asked_ns: Nanos, response: Response) -> LeaseUpdate {
         match response {
-            Response::LeaseGranted { for_ns, position, orders, .. } => {
+            Response::LeaseGranted { for_ns, position, commands, .. } => {
                 let until_ns = asked_ns.saturating_add(for_ns);
                 // An answer that is overtaken by a later one takes nothing back.
                 if self
@@ -74,15 +74,15 @@
                 {
                     self.lease = Some(Lease { until_ns, position });
                 }
-                self.orders(position.log, orders).map_or(LeaseUpdate::Nothing, LeaseUpdate::Orders)
+                self.orders(position.log, commands).map_or(LeaseUpdate::Unchanged, LeaseUpdate::Commands)
             }
             Response::ResetRequired { position, withdrawn } => {
                 self.position = Some(position);
                 self.lease = None;
                 self.withdrawn = withdrawn.into_iter().collect();
-                LeaseUpdate::Dropped
+                LeaseUpdate::Reset
             }
-            _ => LeaseUpdate::Nothing,
+            _ => LeaseUpdate::Unchanged,
         }
     }
 
@@ -108,8 +108,8 @@
     }
 
     /// An order was applied by whoever owns this: all that it withdrew is gone.
-    pub fn applied(&mut self, order: &FleetCommand) {
-        match &order.what {
+    pub fn record_applied(&mut self, order: &FleetCommand) {
+        match &order.action {
             CommandAction::Purge(_) => {}
             CommandAction::Withdraw(version) => drop(self.withdrawn.insert(*version)),
             CommandAction::Reinstate(version) => drop(self.withdrawn.remove(version)),
--- a/crates/lilacpitch-fleet/src/locate.rs
+++ b/crates/lilacpitch-fleet/src/locate.rs
@@ -15,7 +15,7 @@
     /// Its summary rules it out.
     RuledOut {
         /// The life of the process whose versions these are.
-        life: u64,
+        incarnation: u64,
         /// The version.
         total: u64,
         /// When it was asked for, by this process's steady clock.
@@ -83,11 +83,11 @@
         let mut sites = BTreeMap::new();
         for (site, verdict) in of.candidates(now, &query) {
             let said = match verdict {
-                SiteVerdict::RuledOut { life, total, as_of_ns } => {
+                SiteVerdict::RuledOut { incarnation, total, as_of_ns } => {
                     read_from_ns = read_from_ns.min(as_of_ns);
-                    Some(SiteOutcome::RuledOut { life, total, as_of_ns })
+                    Some(SiteOutcome::RuledOut { incarnation, total, as_of_ns })
                 }
-                SiteVerdict::Could | SiteVerdict::Unknown => None,
+                SiteVerdict::MayContain | SiteVerdict::Unknown => None,
             };
             sites.insert(site.to_string(), said);
         }
@@ -101,7 +101,7 @@
     }
 
     /// Sites that have not answered.
-    pub fn open(&self) -> impl Iterator<Item = &str> {
+    pub fn pending_sites(&self) -> impl Iterator<Item = &str> {
         self.sites.iter().filter(|(_, said)| said.is_none()).map(|(site, _)| site.as_str())
     }
 
@@ -124,7 +124,7 @@
     }
 
     /// The answer as far as it has come: what is open by now was not reached in time.
-    pub fn answer(self) -> LocateAnswer {
+    pub fn into_answer(self) -> LocateAnswer {
         let late = || SiteOutcome::Unreachable(LocateError::Late);
         let mut sites: BTreeMap<String, SiteOutcome> =
             self.sites.into_iter().map(|(site, said)| (site, said.unwrap_or_else(late))).collect();
--- a/crates/lilacpitch-fleet/src/log_tail.rs
+++ b/crates/lilacpitch-fleet/src/log_tail.rs
@@ -5,7 +5,7 @@
 use std::collections::{BTreeSet, VecDeque};
 
 /// Orders that are kept; who missed more starts afresh.
-pub const KEPT: usize = 16_384;
+pub const MAX_RETAINED_COMMANDS: usize = 16_384;
 
 /// The last orders, and what is withdrawn at their end.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
@@ -17,7 +17,7 @@
 
 impl LogTail {
     /// Of which nothing is kept before `position`.
-    pub fn at(position: LogPosition, withdrawn: BTreeSet<u64>) -> Self {
+    pub fn starting_at(position: LogPosition, withdrawn: BTreeSet<u64>) -> Self {
         LogTail { position, orders: VecDeque::new(), withdrawn }
     }
 
@@ -39,15 +39,15 @@
             CommandAction::Reinstate(version) => drop(self.withdrawn.remove(version)),
         }
         self.position.index += 1;
-        self.orders.push_back(FleetCommand { number: self.position.index, what });
-        if self.orders.len() > KEPT {
+        self.orders.push_back(FleetCommand { number: self.position.index, action: what });
+        if self.orders.len() > MAX_RETAINED_COMMANDS {
             self.orders.pop_front();
         }
         self.position
     }
 
     /// Up to `most` of the orders after one; `None`: some of them are no longer kept, or it is of the future.
-    pub fn after(&self, order: u64, most: usize) -> Option<Vec<FleetCommand>> {
+    pub fn commands_after(&self, order: u64, most: usize) -> Option<Vec<FleetCommand>> {
         let lacks = self.position.index.checked_sub(order)? as usize;
         let from = self.orders.len().checked_sub(lacks)?;
         Some(self.orders.range(from..).take(most).cloned().collect())
--- a/crates/lilacpitch-fleet/src/message.rs
+++ b/crates/lilacpitch-fleet/src/message.rs
@@ -93,7 +93,7 @@
     /// Its number, without gaps.
     pub number: u64,
     /// What is ordered.
-    pub what: CommandAction,
+    pub action: CommandAction,
 }
 
 /// A row entered or withdrawn.
@@ -171,7 +171,7 @@
         /// Their log.
         log: u64,
         /// In their order, without gaps.
-        orders: Vec<FleetCommand>,
+        commands: Vec<FleetCommand>,
     },
     /// To the root: order this.
     Submit(CommandAction),
@@ -233,7 +233,7 @@
         /// Once everything up to here is applied.
         position: LogPosition,
         /// Some of what is missing until then.
-        orders: Vec<FleetCommand>,
+        commands: Vec<FleetCommand>,
         /// The register of this site: another one has none of the rows written before.
         store_id: u64,
     },
--- a/crates/lilacpitch-fleet/src/query_dispatcher.rs
+++ b/crates/lilacpitch-fleet/src/query_dispatcher.rs
@@ -30,9 +30,9 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum DispatchAction {
     /// Ask this process; without an answer after the span the attempt has timed out.
-    Ask {
+    Send {
         /// The question.
-        question: u64,
+        query_id: u64,
         /// The attempt.
         attempt: u32,
         /// The site, by its place.
@@ -109,7 +109,7 @@
 
     /// A process that did not answer does so again. Questions are too few to find that out by themselves in good
     /// time: it is as one that has started anew, of which nothing is known.
-    pub fn back(&mut self, now: Nanos, site: usize, process: usize, out: &mut Vec<DispatchAction>) {
+    pub fn mark_recovered(&mut self, now: Nanos, site: usize, process: usize, out: &mut Vec<DispatchAction>) {
         let id = server(site, process);
         if let Some(entry) = self.entries.iter_mut().find(|entry| entry.server == id) {
             entry.up_since_ns = now;
@@ -119,7 +119,7 @@
     }
 
     /// A question to a site, with at most so long; its number.
-    pub fn ask(
+    pub fn submit(
         &mut self,
         now: Nanos,
         site: usize,
@@ -145,35 +145,35 @@
     }
 
     /// An attempt has ended.
-    pub fn ended(
+    pub fn complete_attempt(
         &mut self,
         now: Nanos,
         done: DispatchAction,
         outcome: Outcome,
         out: &mut Vec<DispatchAction>,
     ) {
-        let DispatchAction::Ask { question, attempt, site, process, .. } = done else { return };
+        let DispatchAction::Send { query_id, attempt, site, process, .. } = done else { return };
         let server = server(site, process);
         if outcome == Outcome::Completed {
-            self.attempts.remove(&question);
-            self.handle(now, Event::CallEstablished { call: question, attempt }, out);
+            self.attempts.remove(&query_id);
+            self.handle(now, Event::CallEstablished { call: query_id, attempt }, out);
         }
         let closed = outcome == Outcome::Completed;
         let report = LoadReport::default();
         let event =
-            Event::AttemptCompleted { call: question, attempt, server, outcome, is_final: closed, report };
+            Event::AttemptCompleted { call: query_id, attempt, server, outcome, is_final: closed, report };
         self.handle(now, event, out);
     }
 
     /// Nobody wants the answer any more.
-    pub fn forget(&mut self, now: Nanos, question: u64, out: &mut Vec<DispatchAction>) {
+    pub fn cancel(&mut self, now: Nanos, question: u64, out: &mut Vec<DispatchAction>) {
         if self.attempts.remove(&question).is_some() {
             self.handle(now, Event::ClientDisconnected(question), out);
         }
     }
 
     /// A wake-up that was asked for.
-    pub fn wake(&mut self, now: Nanos, out: &mut Vec<DispatchAction>) {
+    pub fn handle_timer(&mut self, now: Nanos, out: &mut Vec<DispatchAction>) {
         self.handle(now, Event::TimerFired, out);
     }
 
@@ -188,7 +188,7 @@
                     *attempts += 1;
                     let (site, process) = (server / MOST_PROCESSES, server % MOST_PROCESSES);
                     let (site, process) = (site as usize, process as usize);
-                    out.push(DispatchAction::Ask { question: call, attempt, site, process, timeout_ns });
+                    out.push(DispatchAction::Send { query_id: call, attempt, site, process, timeout_ns });
                 }
                 Action::Reject { call, .. } => {
                     self.attempts.remove(&call);
--- a/crates/lilacpitch-fleet/src/upstream_selection.rs
+++ b/crates/lilacpitch-fleet/src/upstream_selection.rs
@@ -11,7 +11,7 @@
 const AGAIN_NS: Nanos = 200_000_000;
 
 /// The gap between two questions for a lease.
-pub fn renew_gap_ns(terms: &LeaseTerms) -> Nanos {
+pub fn renewal_interval_ns(terms: &LeaseTerms) -> Nanos {
     terms.lease_ns / RENEW_SHARE
 }
 
@@ -29,7 +29,7 @@
     }
 
     /// The place of the one that is followed, of so many.
-    pub fn pick(&self, of: usize) -> usize {
+    pub fn selected_index(&self, of: usize) -> usize {
         self.at % of.max(1)
     }
 
@@ -39,7 +39,7 @@
     }
 
     /// It has refused, or not answered.
-    pub fn failed(&mut self) {
+    pub fn record_failure(&mut self) {
         self.failures += 1;
         if self.failures >= FAILURES {
             *self = UpstreamSelection::new(self.at.wrapping_add(1));
@@ -47,8 +47,8 @@
     }
 
     /// When to ask next.
-    pub fn gap_ns(&self, terms: &LeaseTerms) -> Nanos {
-        let gap_ns = renew_gap_ns(terms);
+    pub fn next_renewal_delay_ns(&self, terms: &LeaseTerms) -> Nanos {
+        let gap_ns = renewal_interval_ns(terms);
         if self.failures > 0 {
             gap_ns.min(AGAIN_NS)
         } else {
--- a/crates/lilacpitch-fleet/src/write_batcher.rs
+++ b/crates/lilacpitch-fleet/src/write_batcher.rs
@@ -36,7 +36,7 @@
     }
 
     /// All of them, if they are due.
-    pub fn due(&mut self, now: Nanos) -> Option<Vec<T>> {
+    pub fn take_due(&mut self, now: Nanos) -> Option<Vec<T>> {
         self.due_ns.is_some_and(|at| at <= now).then(|| self.take())
     }
 
@@ -54,10 +54,10 @@
     fn calls_wait_for_others_and_numbers_take_them_along() {
         let mut gather = WriteBatcher::default();
         assert_eq!(gather.push(10, 'a', false), None);
-        assert_eq!((gather.due(10), gather.due_ns()), (None, Some(10 + GATHER_NS)));
+        assert_eq!((gather.take_due(10), gather.due_ns()), (None, Some(10 + GATHER_NS)));
         assert_eq!(gather.push(11, 'b', true), None);
-        assert_eq!(gather.due(11), Some(vec!['a', 'b']));
-        assert_eq!((gather.due(u64::MAX), gather.due_ns()), (None, None));
+        assert_eq!(gather.take_due(11), Some(vec!['a', 'b']));
+        assert_eq!((gather.take_due(u64::MAX), gather.due_ns()), (None, None));
         let full = (0..MOST).filter_map(|_| gather.push(20, 'c', false)).next();
         assert_eq!(full.map(|all| all.len()), Some(MOST));
     }
--- a/crates/lilacpitch-fleet/tests/cache_orders.rs
+++ b/crates/lilacpitch-fleet/tests/cache_orders.rs
@@ -66,7 +66,7 @@
     let (purging, changed, at) = (cache.clone(), site.clone(), clock.clone());
     let purge = thread::spawn(move || {
         changed.store(2, Ordering::SeqCst);
-        let order = FleetCommand { number: 1, what: CommandAction::Purge(vec![scope]) };
+        let order = FleetCommand { number: 1, action: CommandAction::Purge(vec![scope]) };
         purging.apply(tick(&at), &order);
         // From here on nobody may see what the purge withdrew.
         for _ in 0..2 {
--- a/crates/lilacpitch-fleet/tests/model.rs
+++ b/crates/lilacpitch-fleet/tests/model.rs
@@ -110,8 +110,8 @@
 impl Fleet {
     fn origin(&self) -> AckAggregator {
         let mut root = AckAggregator::new(terms(), self.guards);
-        root.reset(LogTail::at(LogPosition { log: LOG, index: 0 }, BTreeSet::new()));
-        root.may_grant(u64::MAX, LogPosition { log: LOG, index: 0 });
+        root.reset(LogTail::starting_at(LogPosition { log: LOG, index: 0 }, BTreeSet::new()));
+        root.allow_grants_until(u64::MAX, LogPosition { log: LOG, index: 0 });
         root
     }
 
@@ -120,15 +120,15 @@
             Message::Renew(who, life, asked, applied) => {
                 let to = if who == Who::Relay { &mut s.root } else { &mut s.relay.2 };
                 s.asked |= who == Who::Front;
-                let said = to.renew(s.now, &id(who, life), who == Who::Front, applied, 1);
+                let said = to.renew_lease(s.now, &id(who, life), who == Who::Front, applied, 1);
                 s.messages.push(Message::Answer(who, life, asked, said));
             }
             Message::Answer(Who::Front, life, asked, response) if life == s.front.0 => {
-                match s.front.1.answered(asked, response) {
-                    LeaseUpdate::Orders(orders) => apply(s, &orders),
+                match s.front.1.handle_response(asked, response) {
+                    LeaseUpdate::Commands(orders) => apply(s, &orders),
                     // What is being read was read before this, and fills nothing.
-                    LeaseUpdate::Dropped => (s.cached, s.reading) = (None, None),
-                    LeaseUpdate::Nothing => {}
+                    LeaseUpdate::Reset => (s.cached, s.reading) = (None, None),
+                    LeaseUpdate::Unchanged => {}
                 }
             }
             Message::Answer(Who::Relay, life, asked, response) if life == s.relay.0 => {
@@ -136,16 +136,16 @@
                     Response::LeaseGranted { for_ns, position, .. } => Some((asked + for_ns, *position)),
                     _ => None,
                 };
-                match s.relay.1.answered(asked, response) {
-                    LeaseUpdate::Orders(orders) => pass_on(s, orders),
-                    LeaseUpdate::Dropped => {
+                match s.relay.1.handle_response(asked, response) {
+                    LeaseUpdate::Commands(orders) => pass_on(s, orders),
+                    LeaseUpdate::Reset => {
                         let position = s.relay.1.position().unwrap_or_default();
-                        s.relay.2.reset(LogTail::at(position, BTreeSet::new()));
+                        s.relay.2.reset(LogTail::starting_at(position, BTreeSet::new()));
                     }
-                    LeaseUpdate::Nothing => {}
+                    LeaseUpdate::Unchanged => {}
                 }
                 if let Some((until, needs)) = granted {
-                    s.relay.2.may_grant(until, needs);
+                    s.relay.2.allow_grants_until(until, needs);
                 }
             }
             Message::Orders(Who::Front, life, orders) if life == s.front.0 => {
@@ -160,11 +160,11 @@
                 let upto = s.relay.1.position().unwrap_or_default();
                 s.messages.push(Message::Applied(Who::Relay, life, upto));
             }
-            Message::Applied(Who::Front, life, upto) => s.relay.2.applied(&id(Who::Front, life), upto),
-            Message::Applied(Who::Relay, life, upto) => s.root.applied(&id(Who::Relay, life), upto),
+            Message::Applied(Who::Front, life, upto) => s.relay.2.record_applied(&id(Who::Front, life), upto),
+            Message::Applied(Who::Relay, life, upto) => s.root.record_applied(&id(Who::Relay, life), upto),
             Message::Sum(life, upto) => {
                 let sum = AggregatedAck { acknowledged: upto, missing: Vec::new(), missing_count: 0 };
-                s.root.summed(&id(Who::Relay, life), sum);
+                s.root.record_aggregated_ack(&id(Who::Relay, life), sum);
             }
             // Of a former life.
             Message::Answer(..) | Message::Orders(..) => {}
@@ -177,14 +177,14 @@
     for order in orders {
         s.cached = s.cached.filter(|read| *read >= order.number);
         s.reading = None;
-        s.front.1.applied(order);
+        s.front.1.record_applied(order);
     }
 }
 
 fn pass_on(s: &mut State, orders: Vec<FleetCommand>) {
     for order in orders {
-        s.relay.1.applied(&order);
-        s.relay.2.ordered(s.now, order.what);
+        s.relay.1.record_applied(&order);
+        s.relay.2.append_command(s.now, order.action);
     }
 }
 
@@ -249,7 +249,7 @@
             Action::Tick => s.now += 1,
             Action::Change => {
                 s.truth += 1;
-                s.root.ordered(s.now, CommandAction::Purge(vec![PurgeScope::All]));
+                s.root.append_command(s.now, CommandAction::Purge(vec![PurgeScope::All]));
             }
             Action::Renew(Who::Relay) => {
                 s.messages.push(Message::Renew(Who::Relay, s.relay.0, s.now, s.relay.1.position()));
@@ -262,11 +262,12 @@
                     Who::Relay => (&s.root, s.relay.0),
                     Who::Front => (&s.relay.2, s.front.0),
                 };
-                let (_, orders) = from.lacks(&id(who, life)).filter(|(_, orders)| !orders.is_empty())?;
+                let (_, orders) =
+                    from.missing_commands(&id(who, life)).filter(|(_, orders)| !orders.is_empty())?;
                 s.messages.push(Message::Orders(who, life, orders));
             }
             Action::Say => {
-                let upto = s.relay.2.sum(s.now).acknowledged;
+                let upto = s.relay.2.aggregate(s.now).acknowledged;
                 let message = Message::Sum(s.relay.0, upto);
                 if s.messages.contains(&message) {
                     return None;
@@ -290,31 +291,33 @@
             Action::TakeOver => {
                 let position = s.root.position();
                 s.root = self.origin();
-                s.root.reset(LogTail::at(position, BTreeSet::new()));
-                s.root.may_grant(u64::MAX, position);
+                s.root.reset(LogTail::starting_at(position, BTreeSet::new()));
+                s.root.allow_grants_until(u64::MAX, position);
                 // It has counted those below it all the while, and there were none.
-                s.root.sum(s.now);
-                s.root.became_origin(s.now);
+                s.root.aggregate(s.now);
+                s.root.become_origin(s.now);
                 s.taken_over = true;
             }
-            Action::Write => s.wrote = s.relay.2.takes_from(s.now, &id(Who::Front, s.front.0)) && !s.asked,
+            Action::Write => {
+                s.wrote = s.relay.2.accepts_writes_from(s.now, &id(Who::Front, s.front.0)) && !s.asked
+            }
         }
-        s.complete = s.complete.max(s.root.sum(s.now).acknowledged.index);
+        s.complete = s.complete.max(s.root.aggregate(s.now).acknowledged.index);
         Some(s)
     }
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
             Property::always("purged means gone", |_, s: &State| {
-                let serves = s.front.1.usable(s.now).is_ok();
+                let serves = s.front.1.valid_until(s.now).is_ok();
                 !serves || s.cached.is_none_or(|read| read >= s.complete)
             }),
             Property::always("who has not asked writes nothing", |_, s: &State| !s.wrote),
             Property::sometimes("a purge is complete while the front has a lease", |_, s: &State| {
-                s.complete > 0 && s.front.1.usable(s.now).is_ok()
+                s.complete > 0 && s.front.1.valid_until(s.now).is_ok()
             }),
             Property::sometimes("what is cached is used", |_, s: &State| {
-                s.cached.is_some() && s.front.1.usable(s.now).is_ok()
+                s.cached.is_some() && s.front.1.valid_until(s.now).is_ok()
             }),
         ]
     }
--- a/crates/lilacpitch-fleet/tests/pinned_frames.rs
+++ b/crates/lilacpitch-fleet/tests/pinned_frames.rs
@@ -8,7 +8,7 @@
 
 use lilacpitch_fleet::audit::{AuditRecord, Change, Version};
 use lilacpitch_fleet::disk_loss_recovery::LogVote;
-use lilacpitch_fleet::frame::{peek, Writer};
+use lilacpitch_fleet::frame::{peek, FrameWriter};
 use lilacpitch_fleet::message::{
     Body, CommandAction, FleetCommand, Hello, KnownSummary, LogMessage, LogPosition, PendingPurges,
     PurgeScope, RecordChange, RejectReason, Request, Response, Role, SiteSummaryUpdate,
@@ -55,8 +55,13 @@
 }
 
 fn record() -> AuditRecord {
-    let version =
-        Version { settings: 301, endpoint_list: 302, build: "b1".into(), caches: true, takes_calls: false };
+    let version = Version {
+        settings: 301,
+        endpoint_list: 302,
+        build: "b1".into(),
+        uses_cache: true,
+        accepts_calls: false,
+    };
     let change = Change { serial: 5, at_ms: 1_700_000_005, version, position: at(6), moved_to: 8 };
     AuditRecord { front: "edge-1".into(), incarnation: 9, seen_ms: 1_700_000_006, changes: vec![change] }
 }
@@ -66,7 +71,7 @@
     let scopes =
         vec![number, PurgeScope::Prefix("+49".into()), PurgeScope::Owner("server-3".into()), PurgeScope::All];
     let all = [CommandAction::Purge(scopes), CommandAction::Withdraw(401), CommandAction::Reinstate(402)];
-    all.into_iter().zip(11..).map(|(what, number)| FleetCommand { number, what }).collect()
+    all.into_iter().zip(11..).map(|(what, number)| FleetCommand { number, action: what }).collect()
 }
 
 fn site_news(pending: PendingPurges) -> SiteSummaryUpdate {
@@ -91,7 +96,7 @@
     let (class, trunk_group) = (Some("emergency".into()), Some("north".into()));
     let full =
         Query { target: what, kind: Some(Kind::ActiveCall), class, trunk_group, since_ms: Some((500, 600)) };
-    [full, Query::reached(Number::new("112").unwrap())]
+    [full, Query::binding_of(Number::new("112").unwrap())]
 }
 
 fn requests() -> Vec<(&'static str, Request)> {
@@ -110,7 +115,7 @@
         ("renew", Request::RenewLease(Some(at(300)))),
         ("sum", sum),
         ("leave", Request::ReleaseLease),
-        ("orders", Request::Commands { log: 1_700_000_003, orders: orders() }),
+        ("orders", Request::Commands { log: 1_700_000_003, commands: orders() }),
         ("submit", Request::Submit(CommandAction::Withdraw(401))),
         ("progress", Request::Progress),
         ("audit", Request::Audit(vec![record()])),
@@ -152,7 +157,7 @@
     let granted = Response::LeaseGranted {
         for_ns: 2_000_000,
         position: at(15),
-        orders: orders(),
+        commands: orders(),
         store_id: 1_700_000_007,
     };
     let news = vec![site_news(PendingPurges::Some(vec![1 << 40, 2])), site_news(PendingPurges::Many)];
@@ -191,10 +196,10 @@
 
 /// The unsealed payload of the second frame of an end, so that what it names of the other end is in it too.
 fn encoded(label: &str, body: &Body) -> Sample {
-    let mut writer = Writer::new(keys());
-    writer.frame(body, NONCE).unwrap();
-    writer.met(&hello(Role::Front));
-    let sealed = writer.frame(body, NONCE).unwrap();
+    let mut writer = FrameWriter::new(keys());
+    writer.seal(body, NONCE).unwrap();
+    writer.set_peer(&hello(Role::Front));
+    let sealed = writer.seal(body, NONCE).unwrap();
     (label.to_string(), keys().open_for(PURPOSE, &sealed).unwrap())
 }
 
--- a/crates/lilacpitch-fleet/tests/pinned_stored.rs
+++ b/crates/lilacpitch-fleet/tests/pinned_stored.rs
@@ -31,11 +31,16 @@
 
 fn record() -> AuditRecord {
     let position = LogPosition { log: 1_700_000_003, index: 6 };
-    let version =
-        Version { settings: 301, endpoint_list: 302, build: "b1".into(), caches: true, takes_calls: false };
+    let version = Version {
+        settings: 301,
+        endpoint_list: 302,
+        build: "b1".into(),
+        uses_cache: true,
+        accepts_calls: false,
+    };
     let first = Change { serial: 5, at_ms: 1_700_000_005, version, position, moved_to: 8 };
     let mut second = Change { serial: 6, at_ms: 1_700_000_105, moved_to: 9, ..first.clone() };
-    second.version.takes_calls = true;
+    second.version.accepts_calls = true;
     AuditRecord {
         front: "edge-1".into(),
         incarnation: 9,
@@ -62,8 +67,8 @@
         ("audit-record", postcard::to_allocvec(&record()).unwrap()),
         ("audit-ledger", postcard::to_allocvec(&ledger()).unwrap()),
         ("number-hash", Number::new("+4930123").unwrap().hash64().to_be_bytes().to_vec()),
-        ("summary-empty", golomb_coded_set::write(&[])),
-        ("summary-set", golomb_coded_set::write(&fingerprints())),
+        ("summary-empty", golomb_coded_set::encode(&[])),
+        ("summary-set", golomb_coded_set::encode(&fingerprints())),
     ];
     samples.into_iter().map(|(label, bytes)| (label.to_string(), bytes)).collect()
 }
@@ -88,9 +93,9 @@
     assert_decodes("audit-record", &record());
     assert_decodes("audit-ledger", &ledger());
     let mut values: Vec<u32> =
-        fingerprints().iter().map(|found| golomb_coded_set::scaled(*found, VALUES)).collect();
+        fingerprints().iter().map(|found| golomb_coded_set::scale(*found, VALUES)).collect();
     values.sort_unstable();
-    assert_eq!(golomb_coded_set::read(&pinned_bytes("summary-set"), VALUES), Some(values));
+    assert_eq!(golomb_coded_set::decode(&pinned_bytes("summary-set"), VALUES), Some(values));
 }
 
 #[test]
--- a/crates/lilacpitch-gossip/src/peers.rs
+++ b/crates/lilacpitch-gossip/src/peers.rs
@@ -78,17 +78,17 @@
     /// Send a datagram.
     Send(SocketAddr, Vec<u8>),
     /// A peer is there.
-    Joined(MemberId),
+    MemberJoined(MemberId),
     /// A peer is gone: left, or taken to be dead.
-    Left(MemberId),
+    MemberLeft(MemberId),
     /// A peer asks what this front knows: to be answered by [`Peers::answer`].
     ReportsRequested(Requester),
     /// A peer says what it knows, as it was asked; its voice is that of its [`PeerId::origin`].
     ReportsReceived(MemberId, Vec<ServerReport>),
     /// What this front itself knows is wanted, to be told by [`Peers::tell`].
-    News,
+    ReportsWanted,
     /// What fronts, by their origins, have lately met at servers: new here.
-    Heard(Vec<(u64, ServerReport)>),
+    RumorsReceived(Vec<(u64, ServerReport)>),
 }
 
 /// What has been counted.
@@ -171,8 +171,8 @@
 impl Runtime<MemberId> for Gathered {
     fn notify(&mut self, notification: Notification<'_, MemberId>) {
         match notification {
-            Notification::MemberUp(peer) => self.effects.push(Effect::Joined(peer.clone())),
-            Notification::MemberDown(peer) => self.effects.push(Effect::Left(peer.clone())),
+            Notification::MemberUp(peer) => self.effects.push(Effect::MemberJoined(peer.clone())),
+            Notification::MemberDown(peer) => self.effects.push(Effect::MemberLeft(peer.clone())),
             Notification::Rejoin(me) => self.me = Some(me.clone()),
             _ => {}
         }
@@ -240,13 +240,13 @@
         self.now = self.now.max(now);
         let (now, own) = (self.now, self.me.origin());
         for fact in facts {
-            self.board.enter(now, own, fact);
+            self.board.record_report(now, own, fact);
         }
         let mut to: Vec<SocketAddr> = self.swim.iter_members().map(|m| m.id().address).collect();
         if to.is_empty() {
             return;
         }
-        let sheet = self.board.sheet(now, MAX_DATAGRAM_BYTES - OVERHEAD_BYTES - HEADER_BYTES);
+        let sheet = self.board.next_batch(now, MAX_DATAGRAM_BYTES - OVERHEAD_BYTES - HEADER_BYTES);
         if sheet.is_empty() {
             return;
         }
@@ -296,13 +296,13 @@
 
     /// The peers that are there, in order.
     pub fn members(&self) -> Vec<MemberId> {
-        let mut members: Vec<MemberId> = self.seen().cloned().collect();
+        let mut members: Vec<MemberId> = self.member_ids().cloned().collect();
         members.sort();
         members
     }
 
     /// The same, as they come.
-    pub fn seen(&self) -> impl Iterator<Item = &MemberId> {
+    pub fn member_ids(&self) -> impl Iterator<Item = &MemberId> {
         self.swim.iter_members().map(|m| m.id())
     }
 
@@ -327,7 +327,7 @@
                 Due::News => {
                     let gap = NEWS_GAP_NS / 2 + self.rng.random_range(0..=NEWS_GAP_NS);
                     self.later(gap, Due::News);
-                    effects.push(Effect::News);
+                    effects.push(Effect::ReportsWanted);
                 }
             }
         }
@@ -395,7 +395,7 @@
                 let heard = self.board.receive(now, own, sheet)?;
                 self.counters.news.1 += heard.len() as u64;
                 if !heard.is_empty() {
-                    effects.push(Effect::Heard(heard));
+                    effects.push(Effect::RumorsReceived(heard));
                 }
                 Ok(())
             }
--- a/crates/lilacpitch-gossip/src/rumors.rs
+++ b/crates/lilacpitch-gossip/src/rumors.rs
@@ -50,9 +50,9 @@
 
 /// A voice on the board.
 #[derive(Debug)]
-struct Kept {
+struct StoredRumor {
     as_of: Nanos,
-    voice: Rumor,
+    rumor: Rumor,
     /// The rounds in which it was passed on.
     rounds: u8,
 }
@@ -61,7 +61,7 @@
 #[derive(Debug, Default)]
 pub struct RumorBoard {
     /// By server and origin.
-    voices: BTreeMap<String, BTreeMap<u64, Kept>>,
+    rumors: BTreeMap<String, BTreeMap<u64, StoredRumor>>,
     /// The server at which the next sheet begins, so that all get their turn.
     next: String,
 }
@@ -83,20 +83,21 @@
             .flat_map(|(server, voices)| voices.into_iter().map(move |v| (v.origin, v.fact(&server))))
             .collect();
         facts.iter().try_for_each(|(_, fact)| fact.check())?;
-        let fresh = |(origin, fact): &(u64, ServerReport)| *origin != own && self.enter(now, *origin, fact);
+        let fresh =
+            |(origin, fact): &(u64, ServerReport)| *origin != own && self.record_report(now, *origin, fact);
         Ok(facts.into_iter().filter(fresh).collect())
     }
 
     /// Enters what a front knows; whether it was news.
-    pub fn enter(&mut self, now: Nanos, origin: u64, fact: &ServerReport) -> bool {
+    pub fn record_report(&mut self, now: Nanos, origin: u64, fact: &ServerReport) -> bool {
         let as_of = now.saturating_sub(Nanos::from(fact.age_ms) * MS);
         if now - as_of > RUMOR_LIFETIME_NS {
             return false;
         }
-        if !self.voices.contains_key(&fact.server) && self.voices.len() >= MAX_SERVERS {
+        if !self.rumors.contains_key(&fact.server) && self.rumors.len() >= MAX_SERVERS {
             return false;
         }
-        let of_server = self.voices.entry(fact.server.clone()).or_default();
+        let of_server = self.rumors.entry(fact.server.clone()).or_default();
         // Its way is not counted into its age: a voice must not seem newer each time it comes round.
         if of_server.get(&origin).is_some_and(|known| as_of <= known.as_of + NEWER_NS) {
             return false;
@@ -113,7 +114,7 @@
             is_unresponsive: is_unresponsive,
             warming_up_for_ms: warming_up_for_ms,
         };
-        of_server.insert(origin, Kept { as_of, voice, rounds: 0 });
+        of_server.insert(origin, StoredRumor { as_of, rumor: voice, rounds: 0 });
         if of_server.len() > MAX_RUMORS_PER_SERVER {
             let oldest = of_server.iter().min_by_key(|(_, kept)| kept.as_of).map(|(origin, _)| *origin);
             oldest.map(|oldest| of_server.remove(&oldest));
@@ -123,17 +124,17 @@
     }
 
     /// A sheet of at most so many bytes, from the server on whose turn it is.
-    pub fn sheet(&mut self, now: Nanos, room_bytes: usize) -> RumorBatch {
-        self.voices.retain(|_, voices| {
+    pub fn next_batch(&mut self, now: Nanos, room_bytes: usize) -> RumorBatch {
+        self.rumors.retain(|_, voices| {
             voices.retain(|_, kept| now.saturating_sub(kept.as_of) <= RUMOR_LIFETIME_NS);
             !voices.is_empty()
         });
-        let names: Vec<String> = self.voices.keys().cloned().collect();
+        let names: Vec<String> = self.rumors.keys().cloned().collect();
         let from = names.iter().position(|name| *name >= self.next).unwrap_or(0);
         let (mut sheet, mut left) = (RumorBatch::new(), room_bytes.saturating_sub(COUNT_BYTES));
         for name in names.iter().cycle().skip(from).take(names.len()) {
-            let of_server = self.voices.get_mut(name).into_iter().flat_map(BTreeMap::values_mut);
-            let voices: Vec<&mut Kept> = of_server.filter(|kept| kept.rounds < ROUNDS).collect();
+            let of_server = self.rumors.get_mut(name).into_iter().flat_map(BTreeMap::values_mut);
+            let voices: Vec<&mut StoredRumor> = of_server.filter(|kept| kept.rounds < ROUNDS).collect();
             if voices.is_empty() {
                 continue;
             }
@@ -152,10 +153,10 @@
     }
 }
 
-impl Kept {
+impl StoredRumor {
     fn aged(&self, now: Nanos) -> Rumor {
         let age = now.saturating_sub(self.as_of).div_ceil(MS);
-        Rumor { age_ms: u32::try_from(age).unwrap_or(u32::MAX), ..self.voice }
+        Rumor { age_ms: u32::try_from(age).unwrap_or(u32::MAX), ..self.rumor }
     }
 }
 
@@ -198,28 +199,28 @@
     #[test]
     fn a_voice_is_news_once_however_often_it_comes_round() {
         let (mut one, mut two) = (RumorBoard::default(), RumorBoard::default());
-        assert!(one.enter(NOW, 1, &fact("r1", 10, 700)));
-        let heard = two.receive(NOW + 5 * MS, 2, one.sheet(NOW + 3 * MS, 1_000)).unwrap();
+        assert!(one.record_report(NOW, 1, &fact("r1", 10, 700)));
+        let heard = two.receive(NOW + 5 * MS, 2, one.next_batch(NOW + 3 * MS, 1_000)).unwrap();
         assert_eq!(heard.len(), 1);
         assert_eq!((heard[0].0, heard[0].1.wait_ms), (1, 700));
         // Back at its origin, and to the other again: nobody hears it as new, and its age only grows.
-        assert_eq!(one.receive(NOW + 9 * MS, 1, two.sheet(NOW + 7 * MS, 1_000)).unwrap(), vec![]);
-        assert_eq!(two.receive(NOW + 900 * MS, 2, one.sheet(NOW + 890 * MS, 1_000)).unwrap(), vec![]);
-        assert!(two.sheet(NOW + 900 * MS, 1_000)[0].1[0].age_ms >= 905);
-        assert!(two.sheet(NOW + 901 * MS, 1_000).is_empty(), "passed on in two rounds, no more");
-        assert!(one.enter(NOW + 3_000 * MS, 1, &fact("r1", 0, 700)));
-        assert!(one.sheet(NOW + 6_001 * MS, 1_000).is_empty(), "old news is none");
+        assert_eq!(one.receive(NOW + 9 * MS, 1, two.next_batch(NOW + 7 * MS, 1_000)).unwrap(), vec![]);
+        assert_eq!(two.receive(NOW + 900 * MS, 2, one.next_batch(NOW + 890 * MS, 1_000)).unwrap(), vec![]);
+        assert!(two.next_batch(NOW + 900 * MS, 1_000)[0].1[0].age_ms >= 905);
+        assert!(two.next_batch(NOW + 901 * MS, 1_000).is_empty(), "passed on in two rounds, no more");
+        assert!(one.record_report(NOW + 3_000 * MS, 1, &fact("r1", 0, 700)));
+        assert!(one.next_batch(NOW + 6_001 * MS, 1_000).is_empty(), "old news is none");
     }
 
     #[test]
     fn what_a_front_has_out_goes_with_its_voice() {
         let (mut one, mut two) = (RumorBoard::default(), RumorBoard::default());
-        assert!(one.enter(NOW, 1, &ServerReport { in_flight: 3, ..fact("r1", 0, 20) }));
-        let heard = two.receive(NOW + 5 * MS, 2, one.sheet(NOW + 3 * MS, 1_000)).unwrap();
+        assert!(one.record_report(NOW, 1, &ServerReport { in_flight: 3, ..fact("r1", 0, 20) }));
+        let heard = two.receive(NOW + 5 * MS, 2, one.next_batch(NOW + 3 * MS, 1_000)).unwrap();
         assert_eq!(heard[0].1.in_flight, 3);
         // Answered 40 ms later: news again, though it is so soon.
-        assert!(one.enter(NOW + 40 * MS, 1, &fact("r1", 0, 20)));
-        let heard = two.receive(NOW + 45 * MS, 2, one.sheet(NOW + 43 * MS, 1_000)).unwrap();
+        assert!(one.record_report(NOW + 40 * MS, 1, &fact("r1", 0, 20)));
+        let heard = two.receive(NOW + 45 * MS, 2, one.next_batch(NOW + 43 * MS, 1_000)).unwrap();
         assert_eq!(heard.iter().map(|(_, fact)| fact.in_flight).collect::<Vec<_>>(), [0]);
         let many = Rumor {
             origin: 9,
@@ -238,12 +239,12 @@
         let mut board = RumorBoard::default();
         for origin in 0..50 {
             for server in 0..40 {
-                board.enter(NOW, origin, &fact(&format!("server-{server}"), 50 - origin as u32, 1));
+                board.record_report(NOW, origin, &fact(&format!("server-{server}"), 50 - origin as u32, 1));
             }
         }
         let mut told = BTreeMap::new();
         for _ in 0..200 {
-            let sheet = board.sheet(NOW, 1_000);
+            let sheet = board.next_batch(NOW, 1_000);
             if sheet.is_empty() {
                 break;
             }
@@ -276,6 +277,6 @@
         assert_eq!(board.receive(NOW, 1, bad), Err(DatagramError::Malformed("a server's name")));
         let long = Rumor { wait_ms: u32::MAX, ..voice };
         assert!(board.receive(NOW, 1, vec![("r1".to_string(), vec![long])]).is_err());
-        assert!(board.sheet(NOW, 1_000).is_empty(), "nothing of it was taken");
+        assert!(board.next_batch(NOW, 1_000).is_empty(), "nothing of it was taken");
     }
 }
--- a/crates/lilacpitch-gossip/tests/network.rs
+++ b/crates/lilacpitch-gossip/tests/network.rs
@@ -192,7 +192,8 @@
             })
             .collect();
         assert!(still.is_empty(), "{loss} %: noticed by all but {still:?}");
-        let left = net.effects.iter().filter(|(_, _, e)| matches!(e, Effect::Left(p) if p.name == "edge-5"));
+        let left =
+            net.effects.iter().filter(|(_, _, e)| matches!(e, Effect::MemberLeft(p) if p.name == "edge-5"));
         let last = left.map(|(at, _, _)| *at).max().unwrap();
         // At 30 % it is a matter of chance: a front that is itself taken for dead comes back under a new life and
         // begins its suspicions anew. 50 to 60 s were seen; before it probed again after that, not within 120 s.
--- a/crates/lilacpitch-gossip/tests/pinned_datagrams.rs
+++ b/crates/lilacpitch-gossip/tests/pinned_datagrams.rs
@@ -140,11 +140,11 @@
     let told = hand(&mut asking, &pinned("answer"));
     assert!(told.contains(&Effect::ReportsReceived(origin(), facts())), "{told:?}");
     let joined = hand(&mut asking, &pinned("membership"));
-    assert!(joined.contains(&Effect::Joined(origin())), "{joined:?}");
+    assert!(joined.contains(&Effect::MemberJoined(origin())), "{joined:?}");
     let heard = hand(&mut asking, &pinned("news"));
     let without_draining =
         facts().into_iter().map(|fact| (origin().origin(), ServerReport { is_draining: false, ..fact }));
-    assert!(heard.contains(&Effect::Heard(without_draining.collect())), "{heard:?}");
+    assert!(heard.contains(&Effect::RumorsReceived(without_draining.collect())), "{heard:?}");
 }
 
 #[test]
--- a/crates/lilacpitch-location/src/golomb_coded_set.rs
+++ b/crates/lilacpitch-location/src/golomb_coded_set.rs
@@ -14,14 +14,14 @@
 const MOST_HIGH_BITS: u32 = 1 << 20;
 
 /// A fingerprint among `n`.
-pub fn scaled(fingerprint: u32, n: usize) -> u32 {
+pub fn scale(fingerprint: u32, n: usize) -> u32 {
     ((u64::from(fingerprint) * ((n as u64) << P)) >> 32) as u32
 }
 
 /// Writes fingerprints, in any order and with repeats.
-pub fn write(fingerprints: &[u32]) -> Vec<u8> {
+pub fn encode(fingerprints: &[u32]) -> Vec<u8> {
     let n = fingerprints.len();
-    let mut values: Vec<u32> = fingerprints.iter().map(|f| scaled(*f, n)).collect();
+    let mut values: Vec<u32> = fingerprints.iter().map(|f| scale(*f, n)).collect();
     values.sort_unstable();
     let mut out = BitWriter::endian(Vec::new(), BigEndian);
     let mut last = 0;
@@ -36,7 +36,7 @@
 }
 
 /// Reads `n` values in their order. `None`: these are not `n` values.
-pub fn read(bytes: &[u8], n: usize) -> Option<Vec<u32>> {
+pub fn decode(bytes: &[u8], n: usize) -> Option<Vec<u32>> {
     // Each takes more than P bits: no more room is taken than the bytes can hold.
     if n > MAX_VALUES || n.checked_mul(P as usize)? > bytes.len() * 8 {
         return None;
--- a/crates/lilacpitch-location/src/query.rs
+++ b/crates/lilacpitch-location/src/query.rs
@@ -29,7 +29,7 @@
 
 impl Query {
     /// Where one number is reached.
-    pub fn reached(number: Number) -> Self {
+    pub fn binding_of(number: Number) -> Self {
         Query {
             target: QueryTarget::Number(number),
             kind: Some(Kind::Binding),
--- a/crates/lilacpitch-location/src/record.rs
+++ b/crates/lilacpitch-location/src/record.rs
@@ -101,7 +101,7 @@
 
 impl Key {
     /// Not after any key whose number begins so: where a range of them starts.
-    pub fn first_of(digits: &str) -> Self {
+    pub fn lowest_with_prefix(digits: &str) -> Self {
         let holder = Owner { name: String::new(), front: String::new(), incarnation: 0, serial: 0 };
         Key { number: Number(digits.into()), kind: Kind::Binding, owner: holder }
     }
--- a/crates/lilacpitch-location/src/store.rs
+++ b/crates/lilacpitch-location/src/store.rs
@@ -3,7 +3,7 @@
 use crate::error::LocationError;
 use crate::query::{Page, Query, QueryTarget};
 use crate::record::{Key, LocationRecord, Number};
-use crate::summary::{fingerprint, shard_of, Changes, ShardUpdate};
+use crate::summary::{fingerprint, shard_of, ShardChanges, ShardUpdate};
 use crate::sync::RwLock;
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -17,7 +17,7 @@
 #[derive(Debug, Default)]
 struct Shard {
     rows: Records,
-    changes: Changes,
+    changes: ShardChanges,
 }
 
 impl Shard {
@@ -27,7 +27,7 @@
 
     /// Rows from the first on whose number begins so.
     fn from(&self, digits: &str) -> impl Iterator<Item = (&Key, &LocationRecord)> {
-        self.rows.range(Key::first_of(digits)..)
+        self.rows.range(Key::lowest_with_prefix(digits)..)
     }
 
     fn rebase(&mut self) {
@@ -63,7 +63,7 @@
     }
 
     /// Enters a row, in place of one with its key; what stood there.
-    pub fn put(&self, row: LocationRecord) -> Option<LocationRecord> {
+    pub fn upsert(&self, row: LocationRecord) -> Option<LocationRecord> {
         let mut shard = self.shard(&row.key.number).write();
         // Known already: whoever could not rule it out before can't now, and the version needs no step.
         if !shard.has(&row.key.number) {
--- a/crates/lilacpitch-location/src/summary.rs
+++ b/crates/lilacpitch-location/src/summary.rs
@@ -17,7 +17,7 @@
 
 /// A shard's summary as it crosses links: a base, and what was added since, numbered.
 #[derive(Debug, Clone, Default)]
-pub struct Changes {
+pub struct ShardChanges {
     /// The newest version: it grows by one with each number added.
     pub version: u64,
     base_version: u64,
@@ -30,7 +30,7 @@
 const ADDED_SHARE: usize = 16;
 const ADDED_LEAST: usize = 32;
 
-impl Changes {
+impl ShardChanges {
     /// A number has a row now. What is withdrawn stays in until the next base: it errs towards asking.
     pub fn add(&mut self, fingerprint: u32) {
         self.version += 1;
@@ -47,7 +47,7 @@
         // More than a set can hold: an empty base with everything added would do, but a shard is never so large.
         self.version += 1;
         self.base_version = self.version;
-        self.base = golomb_coded_set::write(fingerprints);
+        self.base = golomb_coded_set::encode(fingerprints);
         self.base_count = fingerprints.len();
         self.added.clear();
     }
@@ -87,7 +87,7 @@
 /// The router's side: a shard's summary as last heard, to be judged by and to be passed on.
 #[derive(Debug, Clone, Default)]
 pub struct ShardSummary {
-    heard: Changes,
+    heard: ShardChanges,
     /// The base, decoded.
     base: Vec<u32>,
     late: BTreeSet<u32>,
@@ -107,7 +107,7 @@
     /// Takes news that was asked for with a version that this one had. What is known by now from elsewhere is passed
     /// over, so that a summary never goes back; and so are changes that do not follow on what is known, where another
     /// life was heard between question and answer: the versions then tell that something is missing.
-    pub fn take(&mut self, news: &ShardUpdate) -> Result<(), LocationError> {
+    pub fn apply_update(&mut self, news: &ShardUpdate) -> Result<(), LocationError> {
         let wrong = |what| LocationError::Summary { shard: news.shard, what };
         let first = news.version.checked_sub(news.added.len() as u64);
         let first = first.ok_or(wrong("more changes than versions"))?;
@@ -116,7 +116,7 @@
         }
         let mut added = &news.added[..];
         if let Some((count, bytes)) = &news.base {
-            let base = golomb_coded_set::read(bytes, *count as usize);
+            let base = golomb_coded_set::decode(bytes, *count as usize);
             self.base = base.ok_or(wrong("its bits are not the values it names"))?;
             self.heard.base_version = first;
             self.heard.base = bytes.clone();
@@ -136,7 +136,7 @@
 
     /// Whether a number of this fingerprint could have a row. Never false for one that had one at its moment.
     pub fn may_contain(&self, fingerprint: u32) -> bool {
-        let value = golomb_coded_set::scaled(fingerprint, self.base.len());
+        let value = golomb_coded_set::scale(fingerprint, self.base.len());
         self.late.contains(&fingerprint) || self.base.binary_search(&value).is_ok()
     }
 
--- a/crates/lilacpitch-location/tests/orders.rs
+++ b/crates/lilacpitch-location/tests/orders.rs
@@ -52,7 +52,7 @@
         let (register, entered) = (register.clone(), entered.clone());
         thread::spawn(move || {
             for n in 0..ROWS {
-                register.put(row(n));
+                register.upsert(row(n));
                 entered.store(n + 1, Ordering::SeqCst);
             }
         })
@@ -71,7 +71,7 @@
             let before = entered.load(Ordering::SeqCst);
             for (shard, summary) in known.iter_mut().enumerate() {
                 if let Some(news) = register.summary(shard, Some(summary.version())) {
-                    summary.take(&news).unwrap();
+                    summary.apply_update(&news).unwrap();
                 }
             }
             let there = if looks_first { before } else { entered.load(Ordering::SeqCst) };
--- a/crates/lilacpitch-location/tests/register.rs
+++ b/crates/lilacpitch-location/tests/register.rs
@@ -33,7 +33,7 @@
         for (at, (number, serial, put)) in steps.into_iter().enumerate() {
             let row = row(number, serial, at as u64);
             if put {
-                prop_assert_eq!(register.put(row.clone()), plain.insert(row.key.clone(), row));
+                prop_assert_eq!(register.upsert(row.clone()), plain.insert(row.key.clone(), row));
             } else {
                 prop_assert_eq!(register.withdraw(&row.key), plain.remove(&row.key));
             }
@@ -61,11 +61,11 @@
         let mut known = [None; 4];
         for (at, (number, put)) in steps.into_iter().enumerate() {
             let row = row(number, 0, 0);
-            if put { register.put(row); plain.insert(number); } else { register.withdraw(&row.key); plain.remove(&number); }
+            if put { register.upsert(row); plain.insert(number); } else { register.withdraw(&row.key); plain.remove(&number); }
             if at % look_every == 0 {
                 for (shard, kept) in kept.iter_mut().enumerate() {
                     if let Some(news) = register.summary(shard, known[shard]) {
-                        kept.take(&news).unwrap();
+                        kept.apply_update(&news).unwrap();
                         known[shard] = Some(kept.version());
                     }
                 }
@@ -89,12 +89,12 @@
         for (number, what) in steps {
             let before = router.version();
             match what {
-                0 | 1 => { register.put(row(number, 0, 0)); put.insert(number); }
-                2 => if let Some(news) = register.summary(0, Some(relay.version())) { relay.take(&news).unwrap() },
+                0 | 1 => { register.upsert(row(number, 0, 0)); put.insert(number); }
+                2 => if let Some(news) = register.summary(0, Some(relay.version())) { relay.apply_update(&news).unwrap() },
                 _ => {
                     // Both are asked with one version; the answers come one after the other.
                     let (straight, round) = (register.summary(0, Some(before)), relay.since(0, Some(before)));
-                    for news in straight.iter().chain(&round) { router.take(news).unwrap() }
+                    for news in straight.iter().chain(&round) { router.apply_update(news).unwrap() }
                     in_router.clone_from(&put);
                 }
             }
@@ -105,7 +105,7 @@
 
     #[test]
     fn damaged_bits_are_refused_or_read_and_never_a_panic(bytes in prop::collection::vec(any::<u8>(), 0..200), n in 0usize..500) {
-        if let Some(values) = golomb_coded_set::read(&bytes, n) {
+        if let Some(values) = golomb_coded_set::decode(&bytes, n) {
             prop_assert_eq!(values.len(), n);
             prop_assert!(values.windows(2).all(|pair| pair[0] <= pair[1]));
         }
@@ -118,11 +118,11 @@
         (from..from + 200_000).map(|n| fingerprint(Number::new(&n.to_string()).unwrap().hash64()))
     };
     let inside: Vec<u32> = of(5_000_000).collect();
-    let bytes = golomb_coded_set::write(&inside);
+    let bytes = golomb_coded_set::encode(&inside);
     let bits = bytes.len() as f64 * 8.0 / inside.len() as f64;
     assert!(bits < 12.0, "{bits} bits a number");
-    let values = golomb_coded_set::read(&bytes, inside.len()).unwrap();
-    let could = |f: u32| values.binary_search(&golomb_coded_set::scaled(f, inside.len())).is_ok();
+    let values = golomb_coded_set::decode(&bytes, inside.len()).unwrap();
+    let could = |f: u32| values.binary_search(&golomb_coded_set::scale(f, inside.len())).is_ok();
     assert!(inside.iter().all(|f| could(*f)));
     let false_could = of(9_000_000).filter(|f| could(*f)).count();
     assert!((100..300).contains(&false_could), "{false_could} of 200,000 strangers pass");
@@ -135,7 +135,7 @@
         .map(|thread| {
             let register = register.clone();
             std::thread::spawn(move || {
-                (0..5_000).for_each(|n| drop(register.put(row(thread * 10_000 + n, 0, 0))));
+                (0..5_000).for_each(|n| drop(register.upsert(row(thread * 10_000 + n, 0, 0))));
             })
         })
         .collect();
@@ -153,10 +153,10 @@
 #[test]
 fn the_rows_of_a_fronts_former_lives_go_and_later_ones_stay() {
     let register = LocationStore::new(4).unwrap();
-    (0..100).for_each(|n| drop(register.put(row(n, 0, 0))));
+    (0..100).for_each(|n| drop(register.upsert(row(n, 0, 0))));
     let mut later = row(1_000, 0, 0);
     later.key.owner.incarnation = 8;
-    register.put(later.clone());
+    register.upsert(later.clone());
     assert_eq!(register.remove_older_incarnations("edge-1", 8).len(), 100);
     assert_eq!(register.find(&prefix(""), None, 10).records, vec![later]);
 }
--- a/crates/lilacpitch-rpc/src/link.rs
+++ b/crates/lilacpitch-rpc/src/link.rs
@@ -3,7 +3,7 @@
 use bytes::Bytes;
 use futures_util::{SinkExt, StreamExt};
 use lilacpitch_fleet::error::FrameError;
-use lilacpitch_fleet::frame::{Reader, Writer, MAX_FRAME_BYTES};
+use lilacpitch_fleet::frame::{FrameReader, FrameWriter, MAX_FRAME_BYTES};
 use lilacpitch_fleet::message::{Body, Hello, RejectReason, Request, Response, Role, VERSION};
 use lilacpitch_gossip::Keys;
 use miette::Diagnostic;
@@ -35,7 +35,7 @@
     /// The process's name.
     pub name: String,
     /// This life.
-    pub life: u64,
+    pub incarnation: u64,
     /// What it is.
     pub role: Role,
     /// The keys in force.
@@ -48,7 +48,7 @@
 /// What answers the other end's questions.
 pub trait RequestHandler: Send + Sync {
     /// Answers one. Dropped where the connection ends meanwhile.
-    fn serve(self: Arc<Self>, from: Arc<RpcConnection>, ask: Request) -> ResponseFuture;
+    fn handle(self: Arc<Self>, from: Arc<RpcConnection>, ask: Request) -> ResponseFuture;
 }
 
 /// Why a connection or a question over it failed.
@@ -57,14 +57,14 @@
     /// No connection.
     #[error("connecting to {0}: {1}")]
     #[diagnostic(code(link::unreached), help("start that process, or correct its address in the settings"))]
-    Unreached(SocketAddr, std::io::Error),
+    Unreachable(SocketAddr, std::io::Error),
     /// The other end says no Hello, or not in time.
     #[error("no greeting: {0}")]
     #[diagnostic(
         code(link::greeting),
         help("see what listens at that address, and whether both hold one key")
     )]
-    Greeting(String),
+    Handshake(String),
     /// A frame was refused.
     #[error(transparent)]
     #[diagnostic(transparent)]
@@ -152,8 +152,8 @@
     let late = || std::io::Error::from(std::io::ErrorKind::TimedOut);
     let stream = match tokio::time::timeout(patience, TcpStream::connect(address)).await {
         Ok(Ok(stream)) => stream,
-        Ok(Err(error)) => return Err(RpcError::Unreached(address, error)),
-        Err(_) => return Err(RpcError::Unreached(address, late())),
+        Ok(Err(error)) => return Err(RpcError::Unreachable(address, error)),
+        Err(_) => return Err(RpcError::Unreachable(address, late())),
     };
     accept(stream, me, serve, patience).await
 }
@@ -165,7 +165,7 @@
     serve: Arc<dyn RequestHandler>,
     patience: Duration,
 ) -> Result<Arc<RpcConnection>, RpcError> {
-    let wrong = |what: &str| RpcError::Greeting(what.into());
+    let wrong = |what: &str| RpcError::Handshake(what.into());
     let _ = stream.set_nodelay(true);
     let codec = LengthDelimitedCodec::builder().max_frame_length(MAX_FRAME_BYTES).new_codec();
     let (read, write) = stream.into_split();
@@ -173,10 +173,16 @@
     let mut write = FramedWrite::new(write, codec);
     let mut rng = StdRng::try_from_os_rng().map_err(|e| wrong(&format!("no randomness: {e}")))?;
     let nonce: u64 = rng.random_range(1..=u64::MAX);
-    let hello =
-        Hello { version: VERSION, name: me.name.clone(), incarnation: me.life, role: me.role.clone(), nonce };
-    let (mut reader, mut writer) = (Reader::new(me.keys.clone(), nonce), Writer::new(me.keys.clone()));
-    let first = writer.frame(&Body::Hello(hello), rng.random())?;
+    let hello = Hello {
+        version: VERSION,
+        name: me.name.clone(),
+        incarnation: me.incarnation,
+        role: me.role.clone(),
+        nonce,
+    };
+    let (mut reader, mut writer) =
+        (FrameReader::new(me.keys.clone(), nonce), FrameWriter::new(me.keys.clone()));
+    let first = writer.seal(&Body::Hello(hello), rng.random())?;
     let greeting = async {
         write.send(Bytes::from(first)).await.map_err(|e| wrong(&e.to_string()))?;
         match read.next().await {
@@ -191,7 +197,7 @@
         Ok(Err(error)) => return Err(error),
         Err(_) => return Err(wrong("not in time")),
     };
-    writer.met(&peer);
+    writer.set_peer(&peer);
     let (out, mut queue) = mpsc::channel(QUEUE);
     let asked = Mutex::new(Some(HashMap::new()));
     let link = Arc::new(RpcConnection {
@@ -206,7 +212,7 @@
         let written = async {
             while let Some(body) = queue.recv().await {
                 // A message that is too long is not said; who asked hears nothing in time.
-                match writer.frame(&body, rng.random()) {
+                match writer.seal(&body, rng.random()) {
                     Ok(frame) => write.feed(Bytes::from(frame)).await.map_err(|e| e.to_string())?,
                     Err(error) => return Err(error.to_string()),
                 }
@@ -269,7 +275,7 @@
             };
             let (link, serve) = (link.clone(), serve.clone());
             tokio::spawn(async move {
-                let served = serve.serve(link.clone(), request);
+                let served = serve.handle(link.clone(), request);
                 tokio::select! {
                     response = served => drop(link.out.send(Body::Answer(id, response)).await),
                     () = link.ended() => {}
--- a/crates/lilacpitch-rpc/tests/links.rs
+++ b/crates/lilacpitch-rpc/tests/links.rs
@@ -1,7 +1,7 @@
 //! Two ends of a link over loopback: questions both ways, a stranger's key, rubbish, doubled bytes, silence.
 
 use lilacpitch_fleet::error::FrameError;
-use lilacpitch_fleet::frame::Writer;
+use lilacpitch_fleet::frame::FrameWriter;
 use lilacpitch_fleet::message::*;
 use lilacpitch_gossip::Keys;
 use lilacpitch_rpc::*;
@@ -15,7 +15,7 @@
 struct Echo;
 
 impl RequestHandler for Echo {
-    fn serve(self: Arc<Self>, from: Arc<RpcConnection>, ask: Request) -> ResponseFuture {
+    fn handle(self: Arc<Self>, from: Arc<RpcConnection>, ask: Request) -> ResponseFuture {
         Box::pin(async move {
             match ask {
                 // Asks back over the same link before it answers.
@@ -29,7 +29,12 @@
 }
 
 fn me(name: &str, life: u64, key: u8) -> LocalIdentity {
-    LocalIdentity { name: name.into(), life, role: Role::Front, keys: Keys::from_bytes([key; 32]) }
+    LocalIdentity {
+        name: name.into(),
+        incarnation: life,
+        role: Role::Front,
+        keys: Keys::from_bytes([key; 32]),
+    }
 }
 
 async fn pair(key: u8) -> (Result<Arc<RpcConnection>, RpcError>, Result<Arc<RpcConnection>, RpcError>) {
@@ -52,8 +57,8 @@
 #[tokio::test]
 async fn a_stranger_is_refused_and_an_end_ends_what_waits() {
     let (a, b) = pair(9).await;
-    assert!(matches!(a, Err(RpcError::Frame(_) | RpcError::Greeting(_))));
-    assert!(matches!(b, Err(RpcError::Frame(_) | RpcError::Greeting(_))));
+    assert!(matches!(a, Err(RpcError::Frame(_) | RpcError::Handshake(_))));
+    assert!(matches!(b, Err(RpcError::Frame(_) | RpcError::Handshake(_))));
     let (a, b) = pair(1).await;
     let (a, b) = (a.unwrap(), b.unwrap());
     let asking = a.request(Request::ReleaseLease, SOON);
@@ -74,8 +79,8 @@
     let address = listener.local_addr().unwrap();
     let (name, role) = ("later".to_string(), Role::Front);
     let hello = Hello { version: VERSION + 1, name, incarnation: 1, role, nonce: 7 };
-    let mut writer = Writer::new(Keys::from_bytes([1; 32]));
-    let frame = writer.frame(&Body::Hello(hello), [3; 24]).unwrap();
+    let mut writer = FrameWriter::new(Keys::from_bytes([1; 32]));
+    let frame = writer.seal(&Body::Hello(hello), [3; 24]).unwrap();
     let later = async {
         let mut stream = TcpStream::connect(address).await.unwrap();
         stream.write_u32(frame.len() as u32).await.unwrap();
--- a/crates/lilacpitch-site/src/admin_pages.rs
+++ b/crates/lilacpitch-site/src/admin_pages.rs
@@ -127,20 +127,20 @@
     let position = process.relay.lock().position();
     process.state.beside(|beside| {
         let all: Vec<_> = match at_ms {
-            None => beside.ledger.last().collect(),
+            None => beside.ledger.latest().collect(),
             Some(at_ms) => beside.ledger.at(at_ms).collect(),
         };
         for acted in all {
-            let lags = match acted.span.position.log == position.log {
-                true => position.index.saturating_sub(acted.span.moved_to).to_string(),
+            let lags = match acted.interval.position.log == position.log {
+                true => position.index.saturating_sub(acted.interval.moved_to).to_string(),
                 false => "other-log".into(),
             };
-            let (v, span) = (acted.version, acted.span);
+            let (v, span) = (acted.version, acted.interval);
             let _ = writeln!(
                 out,
                 "{}\tlife {}\tsettings {:016x}\tlist {:016x}\tbuild {}\tcaches {}\ttakes-calls {}\torders {}..{}\t\
                  since {}\tseen {}\tlags {}",
-                acted.front, acted.incarnation, v.settings, v.endpoint_list, v.build, v.caches, v.takes_calls, span.position,
+                acted.front, acted.incarnation, v.settings, v.endpoint_list, v.build, v.uses_cache, v.accepts_calls, span.position,
                 span.moved_to, span.from_ms, acted.seen_ms, lags
             );
         }
@@ -162,7 +162,7 @@
         ("orders", relay_position.index),
         ("children", children as u64),
         ("leads", u64::from(process.leads())),
-        ("sites_unknown", process.catalogue.read().unknown(now()).len() as u64),
+        ("sites_unknown", process.catalogue.read().stale_sites(now()).len() as u64),
         ("found_total", count.found.load(Relaxed)),
         ("full_total", count.full.load(Relaxed)),
         ("behind_total", count.behind.load(Relaxed)),
--- a/crates/lilacpitch-site/src/lease_client.rs
+++ b/crates/lilacpitch-site/src/lease_client.rs
@@ -48,7 +48,7 @@
             Above::Leader(leader) => {
                 let said = leader.request(Request::RenewLease(Some(position)), process.patience()).await;
                 if let Ok(Response::LeaseGranted { for_ns, position, .. }) = said {
-                    process.relay.lock().may_grant(asked_ns + for_ns, position);
+                    process.relay.lock().allow_grants_until(asked_ns + for_ns, position);
                 }
                 false
             }
@@ -56,7 +56,7 @@
                 let applied = process.holder.lock().position();
                 match parent.request(Request::RenewLease(applied), process.patience()).await {
                     Ok(Response::Rejected(why)) => {
-                        process.above.lock().failed();
+                        process.above.lock().record_failure();
                         tracing::debug!(%why, to = %parent.address, "no lease from above");
                         false
                     }
@@ -65,7 +65,7 @@
                         renewed(&process, asked_ns, response)
                     }
                     Err(error) => {
-                        process.above.lock().failed();
+                        process.above.lock().record_failure();
                         tracing::debug!(%error, to = %parent.address, "no lease from above");
                         false
                     }
@@ -75,7 +75,7 @@
         };
         if !again {
             process.acked.send_modify(|count| *count += 1);
-            let gap_ns = process.above.lock().gap_ns(&process.terms);
+            let gap_ns = process.above.lock().next_renewal_delay_ns(&process.terms);
             tokio::time::sleep(Duration::from_nanos(gap_ns)).await;
         }
     }
@@ -89,7 +89,7 @@
         return false;
     }
     if process.origin_term.load(Relaxed) != term {
-        process.relay.lock().became_origin(now());
+        process.relay.lock().become_origin(now());
         process.origin_term.store(term, Relaxed);
         tracing::info!(term, "leads the root");
     }
@@ -103,7 +103,7 @@
         return false;
     }
     let lease_ns = process.settings.terms.lease_ns;
-    process.relay.lock().may_grant(asked_ns + lease_ns, position);
+    process.relay.lock().allow_grants_until(asked_ns + lease_ns, position);
     false
 }
 
@@ -113,24 +113,24 @@
         Response::LeaseGranted { for_ns, position, .. } => Some((asked_ns + for_ns, *position)),
         _ => None,
     };
-    let taken = process.holder.lock().answered(asked_ns, response);
+    let taken = process.holder.lock().handle_response(asked_ns, response);
     match taken {
-        LeaseUpdate::Orders(orders) => apply(process, orders),
-        LeaseUpdate::Dropped => {
+        LeaseUpdate::Commands(orders) => apply(process, orders),
+        LeaseUpdate::Reset => {
             let (position, withdrawn) = {
                 let holder = process.holder.lock();
                 (holder.position().unwrap_or_default(), holder.withdrawn().clone())
             };
             tracing::info!(%position, "a fresh start from above");
-            process.relay.lock().reset(LogTail::at(position, withdrawn));
+            process.relay.lock().reset(LogTail::starting_at(position, withdrawn));
             process.ordered.send_modify(|count| *count += 1);
             return true;
         }
-        LeaseUpdate::Nothing => {}
+        LeaseUpdate::Unchanged => {}
     }
     let Some((until_ns, needs)) = granted else { return false };
     let mut relay = process.relay.lock();
-    relay.may_grant(until_ns, needs);
+    relay.allow_grants_until(until_ns, needs);
     !relay.position().includes(needs)
 }
 
@@ -141,8 +141,8 @@
     }
     let now = now();
     for order in orders {
-        process.holder.lock().applied(&order);
-        process.relay.lock().ordered(now, order.what);
+        process.holder.lock().record_applied(&order);
+        process.relay.lock().append_command(now, order.action);
     }
     process.ordered.send_modify(|count| *count += 1);
     process.acked.send_modify(|count| *count += 1);
@@ -201,7 +201,7 @@
         ordered.borrow_and_update();
         let lacks = {
             let relay = process.relay.lock();
-            relay.lacks(&who).map(|(applied, orders)| (relay.position().log, applied, orders))
+            relay.missing_commands(&who).map(|(applied, orders)| (relay.position().log, applied, orders))
         };
         let Some((log, applied, orders)) = lacks else { return };
         if orders.is_empty() {
@@ -211,9 +211,9 @@
             }
             continue;
         }
-        match link.request(Request::Commands { log, orders }, process.patience()).await {
+        match link.request(Request::Commands { log, commands: orders }, process.patience()).await {
             Ok(Response::Applied(upto)) => {
-                process.relay.lock().applied(&who, upto);
+                process.relay.lock().record_applied(&who, upto);
                 process.acked.send_modify(|count| *count += 1);
                 if upto == applied {
                     // It takes nothing: it asks for its lease again, and what it lacks comes with that.
@@ -239,16 +239,16 @@
     loop {
         applied.borrow_and_update();
         let here = process.relay.lock().position();
-        let (there, orders) = process
-            .state
-            .beside(|beside| (beside.window.position(), beside.window.after(here.index, usize::MAX)));
+        let (there, orders) = process.state.beside(|beside| {
+            (beside.window.position(), beside.window.commands_after(here.index, usize::MAX))
+        });
         if there != here {
             let now = now();
             match orders.filter(|_| there.log == here.log) {
                 Some(orders) => {
                     let mut relay = process.relay.lock();
                     for order in orders {
-                        relay.ordered(now, order.what);
+                        relay.append_command(now, order.action);
                     }
                 }
                 None => {
@@ -271,7 +271,7 @@
     let mut said: Option<(LogPosition, u32, u64)> = None;
     loop {
         let round = *acked.borrow_and_update();
-        let sum = process.relay.lock().sum(now());
+        let sum = process.relay.lock().aggregate(now());
         let to = match above(&process) {
             Above::Leader(way) | Above::Parent(way) => Some(way),
             Above::Origin | Above::Unknown => None,
--- a/crates/lilacpitch-site/src/log/join.rs
+++ b/crates/lilacpitch-site/src/log/join.rs
@@ -38,7 +38,7 @@
                     store.save_vote(&Vote { leader_id, committed: vote.committed }).await.map_err(disk)?;
                 }
             }
-            Verdict::Form | Verdict::Wait => {
+            Verdict::Bootstrap | Verdict::Wait => {
                 store.keep_joined().map_err(disk)?;
                 process.joined.store(true, Relaxed);
             }
@@ -78,7 +78,7 @@
         }
         while let Some(answered) = asking.join_next().await {
             if let Ok((place, Response::HeldVote(vote))) = answered {
-                process.rejoin.lock().heard(place, vote);
+                process.rejoin.lock().record_vote(place, vote);
             }
         }
         if !told && began.elapsed() > PATIENCE {
@@ -111,7 +111,7 @@
 impl Process {
     /// A process of this site with a new disk asks which vote this one holds.
     pub(crate) async fn standing(&self, asks: usize) -> Response {
-        self.rejoin.lock().heard(asks, None);
+        self.rejoin.lock().record_vote(asks, None);
         if !self.joined.load(Relaxed) {
             return Response::HeldVote(None);
         }
--- a/crates/lilacpitch-site/src/log/state.rs
+++ b/crates/lilacpitch-site/src/log/state.rs
@@ -96,7 +96,7 @@
             Command::NewLog(log) => {
                 let mut beside = self.beside.lock();
                 let withdrawn = beside.window.withdrawn().clone();
-                beside.window = LogTail::at(LogPosition { log, index: 0 }, withdrawn);
+                beside.window = LogTail::starting_at(LogPosition { log, index: 0 }, withdrawn);
                 Applied::Done
             }
             Command::Begin(at_ms) => {
@@ -134,7 +134,7 @@
                 RecordChange::Upsert(row) if self.has(&row) => continue,
                 RecordChange::Upsert(row) => {
                     let key = row.key.clone();
-                    self.register.put(row);
+                    self.register.upsert(row);
                     key
                 }
                 RecordChange::Withdraw(key) => match self.register.withdraw(&key) {
--- a/crates/lilacpitch-site/src/process.rs
+++ b/crates/lilacpitch-site/src/process.rs
@@ -132,9 +132,9 @@
 struct Door(OnceLock<Weak<Process>>);
 
 impl RequestHandler for Door {
-    fn serve(self: Arc<Self>, from: Arc<RpcConnection>, ask: Request) -> ResponseFuture {
+    fn handle(self: Arc<Self>, from: Arc<RpcConnection>, ask: Request) -> ResponseFuture {
         match self.0.get().and_then(Weak::upgrade) {
-            Some(process) => process.serve(from, ask),
+            Some(process) => process.handle(from, ask),
             None => Box::pin(std::future::pending()),
         }
     }
@@ -153,7 +153,7 @@
 
     /// The process of the site above that is followed; the root has none.
     pub(crate) fn parent(&self) -> Arc<Dialer> {
-        self.parents[self.above.lock().pick(self.parents.len())].clone()
+        self.parents[self.above.lock().selected_index(self.parents.len())].clone()
     }
 
     /// The place of who leads the site's log, as far as this process knows.
@@ -192,7 +192,7 @@
     let store = Store::open(Path::new(&settings.data), &owner)?;
     let wall_ns = SystemTime::now().duration_since(UNIX_EPOCH).map_or(1, |since| since.as_nanos() as u64);
     let life = store.begin_life(wall_ns)?;
-    let me = LocalIdentity { name: settings.name.clone(), life, role, keys };
+    let me = LocalIdentity { name: settings.name.clone(), incarnation: life, role, keys };
     let state = Arc::new(State::new(settings.shards)?);
     let damaged = |what| LogError::Damaged { path: settings.data.clone(), what };
     let joined = AtomicBool::new(store.joined().map_err(damaged)?);
--- a/crates/lilacpitch-site/src/record_store.rs
+++ b/crates/lilacpitch-site/src/record_store.rs
@@ -230,7 +230,7 @@
     loop {
         tokio::time::sleep(gap).await;
         let now = now();
-        let fronts = process.relay.lock().fronts(now);
+        let fronts = process.relay.lock().front_contacts(now);
         let mut due: Vec<(ChildId, String, u64)> = Vec::new();
         for (id, out_for_ns) in fronts {
             if lives.get(&id.name).is_none_or(|life| *life < id.incarnation) {
@@ -251,7 +251,10 @@
                 Some(place) => {
                     let sweep = Box::new(Request::RemoveOlderIncarnations(front, before));
                     process
-                        .ask(place, Request::Forwarded(process.me.name.clone(), process.me.life, sweep))
+                        .ask(
+                            place,
+                            Request::Forwarded(process.me.name.clone(), process.me.incarnation, sweep),
+                        )
                         .await
                 }
                 None => Response::Rejected(RejectReason::NoLeader),
--- a/crates/lilacpitch-site/src/request_handler.rs
+++ b/crates/lilacpitch-site/src/request_handler.rs
@@ -19,8 +19,8 @@
 const FULL_WAIT_MS: u32 = 20;
 
 impl RequestHandler for Process {
-    fn serve(self: Arc<Self>, from: Arc<RpcConnection>, ask: Request) -> ResponseFuture {
-        Box::pin(async move { self.answer(from, ask).await })
+    fn handle(self: Arc<Self>, from: Arc<RpcConnection>, request: Request) -> ResponseFuture {
+        Box::pin(async move { self.answer(from, request).await })
     }
 }
 
@@ -50,16 +50,18 @@
         match ask {
             Request::RenewLease(applied) => self.renew(&from, who, applied),
             Request::ReportAcknowledged { acknowledged, missing, missing_count } => {
-                self.relay.lock().summed(&who, AggregatedAck { acknowledged, missing, missing_count });
+                self.relay
+                    .lock()
+                    .record_aggregated_ack(&who, AggregatedAck { acknowledged, missing, missing_count });
                 self.acked.send_modify(|count| *count += 1);
                 Response::Done
             }
             Request::ReleaseLease => {
-                self.relay.lock().left(&who);
+                self.relay.lock().remove_child(&who);
                 self.acked.send_modify(|count| *count += 1);
                 Response::Done
             }
-            Request::Commands { log, orders } => self.take_orders(log, orders).await,
+            Request::Commands { log, commands } => self.take_orders(log, commands).await,
             Request::Submit(_) | Request::Progress | Request::Audit(_) => self.up(ask).await,
             Request::Write { first, changes } => self.write(who, first, changes).await,
             Request::Forwarded(name, life, request) if is_sibling => {
@@ -120,7 +122,7 @@
     ) -> Response {
         let is_front = from.peer.role == Role::Front;
         let register = self.state.register_of(&who.name);
-        let said = self.relay.lock().renew(now(), &who, is_front, applied, register);
+        let said = self.relay.lock().renew_lease(now(), &who, is_front, applied, register);
         match &said {
             Response::LeaseGranted { for_ns, .. } => {
                 let counter = if *for_ns > 0 { &self.counters.granted } else { &self.counters.not_granted };
@@ -145,7 +147,8 @@
             match self.leader() {
                 Some(place) if place == self.settings.place => return self.at_root(ask).await,
                 Some(place) => {
-                    let forward = Request::Forwarded(self.me.name.clone(), self.me.life, Box::new(ask));
+                    let forward =
+                        Request::Forwarded(self.me.name.clone(), self.me.incarnation, Box::new(ask));
                     return self.ask(place, forward).await;
                 }
                 None => return refused(RejectReason::NoLeader),
@@ -174,7 +177,7 @@
             Request::Progress if !self.is_origin() || self.lacks_orders() => refused(RejectReason::NoLeader),
             Request::Progress => {
                 let mut relay = self.relay.lock();
-                let sum = relay.sum(now());
+                let sum = relay.aggregate(now());
                 Response::Progress {
                     ordered: relay.position(),
                     complete: sum.acknowledged.index,
@@ -222,7 +225,7 @@
                 return refused(RejectReason::Malformed(what));
             }
         }
-        if !self.relay.lock().takes_from(now(), &who) {
+        if !self.relay.lock().accepts_writes_from(now(), &who) {
             self.counters.fenced.fetch_add(1, Relaxed);
             return refused(RejectReason::Fenced);
         }
--- a/crates/lilacpitch-site/src/summaries.rs
+++ b/crates/lilacpitch-site/src/summaries.rs
@@ -1,7 +1,7 @@
 //! Summaries: of this site for others, and of others from above and below.
 
 use crate::process::{now, Process};
-use lilacpitch_fleet::catalogue::{news_of, MAX_UPDATE_BYTES};
+use lilacpitch_fleet::catalogue::{shard_updates_since, MAX_UPDATE_BYTES};
 use lilacpitch_fleet::message::{KnownSummary, RejectReason, Request, Response, Role, SiteSummaryUpdate};
 use lilacpitch_rpc::{Dialer, RpcConnection};
 use std::sync::atomic::Ordering::Relaxed;
@@ -20,7 +20,7 @@
             all.extend(self.own_news(&known).await);
         }
         let own = &self.settings.site;
-        all.extend(self.catalogue.read().news(now(), &known, |site| site == own));
+        all.extend(self.catalogue.read().updates_since(now(), &known, |site| site == own));
         Response::Summaries(all)
     }
 
@@ -37,10 +37,11 @@
         let total = register.versions().iter().sum();
         let mut room = MAX_UPDATE_BYTES;
         let shard = |at: usize, version| register.summary(at, Some(version));
-        let (news, total, more) = news_of(known, self.me.life, total, register.shards(), &mut room, shard);
+        let (news, total, more) =
+            shard_updates_since(known, self.me.incarnation, total, register.shards(), &mut room, shard);
         Some(SiteSummaryUpdate {
             site: self.settings.site.clone(),
-            incarnation: self.me.life,
+            incarnation: self.me.incarnation,
             shards: register.shards() as u32,
             total,
             age_ns: now().saturating_sub(asked_ns),
@@ -85,7 +86,7 @@
 async fn ask(process: Arc<Process>, way: Way) {
     const ROUNDS: usize = 64;
     for _ in 0..ROUNDS {
-        let (asked_ns, known) = (now(), process.catalogue.read().known());
+        let (asked_ns, known) = (now(), process.catalogue.read().known_summaries());
         let (ask, patience) = (Request::Summaries(known), process.patience());
         let said = match &way {
             Way::Above(dialer) => dialer.request(ask, patience).await,
--- a/crates/lilacpitch-site/tests/pinned_disk.rs
+++ b/crates/lilacpitch-site/tests/pinned_disk.rs
@@ -112,8 +112,13 @@
 }
 
 fn record(serial: u64, at_ms: u64, takes_calls: bool) -> AuditRecord {
-    let version =
-        Version { settings: 301, endpoint_list: 302, build: "b1".into(), caches: true, takes_calls };
+    let version = Version {
+        settings: 301,
+        endpoint_list: 302,
+        build: "b1".into(),
+        uses_cache: true,
+        accepts_calls: takes_calls,
+    };
     let change = Change { serial, at_ms, version, position: at(LOG, 1), moved_to: 3 };
     AuditRecord {
         front: "edge-1".into(),
@@ -195,7 +200,7 @@
 /// CommandAction the snapshot holds beside the rows.
 fn beside_in_snapshot() -> Beside {
     let outbox = [(3, "+4930202"), (4, "+4930103"), (5, "+4930201"), (6, "+4930202")];
-    let mut window = LogTail::at(at(LOG, 0), BTreeSet::new());
+    let mut window = LogTail::starting_at(at(LOG, 0), BTreeSet::new());
     for order in first_orders() {
         window.append(order);
     }
@@ -217,7 +222,7 @@
 /// CommandAction stands beside the rows once the whole log is applied.
 fn beside_at_end() -> Beside {
     let outbox = [(7, "+4930105"), (8, "+4930101"), (9, "+4930201")];
-    let mut window = LogTail::at(at(NEXT_LOG, 0), BTreeSet::from([401, 402]));
+    let mut window = LogTail::starting_at(at(NEXT_LOG, 0), BTreeSet::from([401, 402]));
     for order in later_orders() {
         window.append(order);
     }
@@ -341,7 +346,7 @@
         assert_eq!(acted.len(), 1);
         assert_eq!((acted[0].front, acted[0].incarnation), ("edge-1", EDGE_1_LIFE));
         assert_eq!(*acted[0].version, first_record().changes[0].version);
-        assert_eq!((acted[0].span.position, acted[0].span.moved_to), (at(LOG, 1), 3));
+        assert_eq!((acted[0].interval.position, acted[0].interval.moved_to), (at(LOG, 1), 3));
     });
 }
 
--- a/crates/lilacpitch-testbed/src/fleet/promises_checker.rs
+++ b/crates/lilacpitch-testbed/src/fleet/promises_checker.rs
@@ -504,8 +504,8 @@
         // When each life of a process above had each order for certain: it had sent it to somebody.
         let mut had: BTreeMap<(usize, u64, u64, u64), u64> = BTreeMap::new();
         for (ask, request, _) in &self.asked {
-            if let Request::Commands { log, orders } = request {
-                for order in orders {
+            if let Request::Commands { log, commands } = request {
+                for order in commands {
                     let at = had.entry((ask.from, self.life(ask), *log, order.number)).or_insert(ask.left_ns);
                     *at = (*at).min(ask.left_ns);
                 }
--- a/crates/lilacpitch-testbed/src/fleet/simulated_cluster.rs
+++ b/crates/lilacpitch-testbed/src/fleet/simulated_cluster.rs
@@ -4,7 +4,7 @@
 
 use lilacpitch_fleet::ack_aggregator::{AckAggregator, AggregatedAck, ChildId};
 use lilacpitch_fleet::cache::Cache;
-use lilacpitch_fleet::catalogue::{news_of, Catalogue, MAX_UPDATE_BYTES};
+use lilacpitch_fleet::catalogue::{shard_updates_since, Catalogue, MAX_UPDATE_BYTES};
 use lilacpitch_fleet::lease::LeaseTerms;
 use lilacpitch_fleet::lease_holder::{LeaseHolder, LeaseUpdate};
 use lilacpitch_fleet::locate::{Locate, LocateAnswer, SiteOutcome as SiteSaid};
@@ -13,7 +13,7 @@
     CommandAction, FleetCommand, LogPosition, PurgeScope, RecordChange, RejectReason, Request, Response,
     SiteSummaryUpdate,
 };
-use lilacpitch_fleet::upstream_selection::renew_gap_ns;
+use lilacpitch_fleet::upstream_selection::renewal_interval_ns;
 use lilacpitch_fleet::{Nanos, Safeguards};
 use lilacpitch_location::{Key, Kind, LocationRecord, Number, Owner as RowHolder, Query};
 use lilacpitch_site::log::state::State;
@@ -361,7 +361,7 @@
             let now = self.local(0);
             if let Kindly::Site(root) = &mut self.nodes[0].kind {
                 root.relay.reset(root.state.beside(|beside| beside.window.clone()));
-                root.relay.became_origin(now);
+                root.relay.become_origin(now);
             }
         }
     }
@@ -585,14 +585,17 @@
         let response = match (&mut self.nodes[to].kind, request) {
             (Kindly::Site(site), Request::RenewLease(applied)) => {
                 let register = site.state.register_of(&who.name);
-                let said = site.relay.renew(now, &who, is_front, applied, register);
+                let said = site.relay.renew_lease(now, &who, is_front, applied, register);
                 if matches!(said, Response::LeaseGranted { .. }) {
                     site.links.insert(from, who.incarnation);
                 }
                 Some(said)
             }
             (Kindly::Site(site), Request::ReportAcknowledged { acknowledged, missing, missing_count }) => {
-                site.relay.summed(&who, AggregatedAck { acknowledged: acknowledged, missing, missing_count });
+                site.relay.record_aggregated_ack(
+                    &who,
+                    AggregatedAck { acknowledged: acknowledged, missing, missing_count },
+                );
                 Some(Response::Done)
             }
             (Kindly::Site(site), Request::FindRecords { query, after, limit, .. }) => {
@@ -608,7 +611,7 @@
                     let shard = |at: usize, version| register.summary(at, Some(version));
                     let life = own_life;
                     let (news, total, more) =
-                        news_of(known, life, total, register.shards(), &mut room, shard);
+                        shard_updates_since(known, life, total, register.shards(), &mut room, shard);
                     let (shards, site) = (register.shards() as u32, own.clone());
                     all.push(SiteSummaryUpdate {
                         site,
@@ -622,11 +625,11 @@
                         has_more: more,
                     });
                 }
-                all.extend(site.catalogue.news(now, &known, |site| *site == own));
+                all.extend(site.catalogue.updates_since(now, &known, |site| *site == own));
                 Some(Response::Summaries(all))
             }
             (Kindly::Site(site), Request::Write { first, changes }) => {
-                if site.relay.takes_from(now, &who) {
+                if site.relay.accepts_writes_from(now, &who) {
                     let ends: Vec<Key> = changes
                         .iter()
                         .filter_map(|change| {
@@ -651,8 +654,12 @@
                 }
             }
             (Kindly::Site(_), Request::Submit(what)) => self.submit(from, to, id, what),
-            (Kindly::Site(_), Request::Commands { log, orders }) => Some(self.take_orders(to, log, orders)),
-            (Kindly::Front(_), Request::Commands { log, orders }) => Some(self.take_orders(to, log, orders)),
+            (Kindly::Site(_), Request::Commands { log, commands }) => {
+                Some(self.take_orders(to, log, commands))
+            }
+            (Kindly::Front(_), Request::Commands { log, commands }) => {
+                Some(self.take_orders(to, log, commands))
+            }
             _ => Some(Response::Rejected(RejectReason::Unsupported)),
         };
         if let Some(response) = response {
@@ -670,7 +677,7 @@
         let now = self.local(0);
         let Kindly::Site(root) = &mut self.nodes[0].kind else { return None };
         root.state.apply(Command::Order(vec![what.clone()]));
-        let position = root.relay.ordered(now, what);
+        let position = root.relay.append_command(now, what);
         self.ordered_ns.insert((position.log, position.index), self.now);
         Some(Response::Committed(position))
     }
@@ -687,9 +694,9 @@
         for order in orders {
             match &mut node.kind {
                 Kindly::Front(front) => front.cache.apply(now, &order),
-                Kindly::Site(site) => drop(site.relay.ordered(now, order.what.clone())),
+                Kindly::Site(site) => drop(site.relay.append_command(now, order.action.clone())),
             }
-            node.holder.applied(&order);
+            node.holder.record_applied(&order);
         }
     }
 
@@ -716,7 +723,7 @@
                 if let Kindly::Site(site) = &mut self.nodes[of].kind {
                     site.sending.remove(&child);
                     if let (Response::Applied(upto), Some(life)) = (response, site.links.get(&child)) {
-                        site.relay.applied(&ChildId { incarnation: *life, ..who }, upto);
+                        site.relay.record_applied(&ChildId { incarnation: *life, ..who }, upto);
                     }
                 }
             }
@@ -768,20 +775,20 @@
             }
             _ => None,
         };
-        match self.nodes[of].holder.answered(asked_ns, response) {
-            LeaseUpdate::Orders(orders) => self.apply(of, orders),
-            LeaseUpdate::Dropped => {
+        match self.nodes[of].holder.handle_response(asked_ns, response) {
+            LeaseUpdate::Commands(orders) => self.apply(of, orders),
+            LeaseUpdate::Reset => {
                 let position = self.nodes[of].holder.position().unwrap_or_default();
                 match &mut self.nodes[of].kind {
                     Kindly::Front(front) => front.cache.clear(now),
-                    Kindly::Site(site) => site.relay.reset(LogTail::at(position, BTreeSet::new())),
+                    Kindly::Site(site) => site.relay.reset(LogTail::starting_at(position, BTreeSet::new())),
                 }
                 self.ask_lease(of);
             }
-            LeaseUpdate::Nothing => {}
+            LeaseUpdate::Unchanged => {}
         }
         if let (Some((until_ns, needs)), Kindly::Site(site)) = (granted, &mut self.nodes[of].kind) {
-            site.relay.may_grant(until_ns, needs);
+            site.relay.allow_grants_until(until_ns, needs);
         }
         if !is_site {
             self.write(of);
@@ -798,14 +805,14 @@
 
     fn tick(&mut self, of: usize) {
         let life = self.nodes[of].life;
-        let gap = self.true_span(of, renew_gap_ns(&self.shape.terms));
+        let gap = self.true_span(of, renewal_interval_ns(&self.shape.terms));
         self.at(self.now + gap, Happens::Tick { of, life });
         if of == 0 {
             // Its leadership needs nobody's word.
             let (now, lease_ns) = (self.local(0), self.shape.terms.lease_ns);
             if let Kindly::Site(root) = &mut self.nodes[0].kind {
                 let position = root.relay.position();
-                root.relay.may_grant(now + lease_ns, position);
+                root.relay.allow_grants_until(now + lease_ns, position);
             }
         }
         self.ask_lease(of);
@@ -820,8 +827,8 @@
     fn ask_summaries(&mut self, of: usize, to: usize, round: u32) {
         let asked_ns = self.local(of);
         let known = match &self.nodes[of].kind {
-            Kindly::Site(site) => site.catalogue.known(),
-            Kindly::Front(front) => front.catalogue.known(),
+            Kindly::Site(site) => site.catalogue.known_summaries(),
+            Kindly::Front(front) => front.catalogue.known_summaries(),
         };
         self.ask(of, to, Request::Summaries(known), Then::Summaries { asked_ns, to, round });
     }
@@ -848,12 +855,12 @@
                     format!("e{}", child - self.shape.above.len())
                 };
                 let id = ChildId { name, incarnation: *life };
-                let orders = site.relay.lacks(&id).map_or(Vec::new(), |(_, orders)| orders);
+                let orders = site.relay.missing_commands(&id).map_or(Vec::new(), |(_, orders)| orders);
                 if !orders.is_empty() && !site.sending.contains(child) {
                     sends.push((*child, log, orders));
                 }
             }
-            let sum = site.relay.sum(now);
+            let sum = site.relay.aggregate(now);
             if site.said != Some(sum.acknowledged) {
                 site.said = Some(sum.acknowledged);
                 says = Some(sum);
@@ -861,7 +868,7 @@
             site.sending.extend(sends.iter().map(|(child, ..)| *child));
         }
         for (child, log, orders) in sends {
-            self.ask(of, child, Request::Commands { log, orders }, Then::Orders { child });
+            self.ask(of, child, Request::Commands { log, commands: orders }, Then::Orders { child });
         }
         let Some(sum) = says else { return };
         match above {
@@ -989,17 +996,17 @@
         let node = &self.nodes[at];
         let Kindly::Front(front) = &node.kind else { return };
         let position = node.holder.position().unwrap_or_default();
-        let usable = node.holder.usable(now).is_ok() || !self.shape.guards.cache_leases;
-        let borne = front.catalogue.bears_out(now, number.hash64(), position);
+        let usable = node.holder.valid_until(now).is_ok() || !self.shape.guards.cache_leases;
+        let borne = front.catalogue.confirms_cached(now, number.hash64(), position);
         let (life, began_ns) = (node.life, self.now);
         if let Some(answer) = front.cache.get(&number).filter(|_| usable && borne) {
             self.played.looks.2 += 1;
             self.judge_look(&Looking { front: at, life, number, began_ns, locate: None }, &answer);
             return;
         }
-        let query = Query::reached(number.clone());
+        let query = Query::binding_of(number.clone());
         let locate = Locate::begin(now, query, None, 16, &front.catalogue, self.shape.guards);
-        let open: Vec<usize> = locate.open().filter_map(|site| site[1..].parse().ok()).collect();
+        let open: Vec<usize> = locate.pending_sites().filter_map(|site| site[1..].parse().ok()).collect();
         self.next_id += 1;
         let look = self.next_id;
         self.looks.insert(
@@ -1011,7 +1018,7 @@
             return self.end_look(look);
         }
         for site in open {
-            let query = Query::reached(number.clone());
+            let query = Query::binding_of(number.clone());
             let find = Request::FindRecords { query, after: None, limit: 16, urgent: true };
             self.ask(at, site, find, Then::Find { look, site });
         }
@@ -1027,7 +1034,7 @@
         let Some(looking) = self.looks.get_mut(&look) else { return };
         let Some(locate) = &mut looking.locate else { return };
         locate.answered(&format!("s{site}"), said);
-        if locate.open().next().is_none() {
+        if locate.pending_sites().next().is_none() {
             self.end_look(look);
         }
     }
@@ -1040,7 +1047,7 @@
         }
         let Some(locate) = looking.locate.take() else { return };
         let read_from_ns = locate.read_from_ns();
-        let answer = locate.answer();
+        let answer = locate.into_answer();
         if let (Kindly::Front(front), true) = (&node.kind, answer.is_complete) {
             front.cache.fill(read_from_ns, &looking.number, &answer);
         }
@@ -1111,7 +1118,7 @@
             let node = &self.nodes[index];
             let behind = node.holder.position().is_none_or(|position| !position.includes(upto));
             // One that stands still judges its lease when it wakes, by a clock that went on.
-            if node.up && node.holder.usable(self.local(index)).is_ok() && behind {
+            if node.up && node.holder.valid_until(self.local(index)).is_ok() && behind {
                 wrong.push(format!(
                     "{upto} complete and {} may use what it has at {:?}",
                     node.name,
--- a/crates/lilacpitch-testbed/src/simulated_network.rs
+++ b/crates/lilacpitch-testbed/src/simulated_network.rs
@@ -177,7 +177,7 @@
             index(peer.address, self.rows.len())
                 .is_some_and(|of| self.runs(of) && peer.epoch >= self.rows[of].life)
         };
-        peers.seen().filter(|peer| lives(peer)).count()
+        peers.member_ids().filter(|peer| lives(peer)).count()
     }
 
     /// Whether each front that runs sees all others that run.
@@ -236,9 +236,9 @@
                     self.said(from, answer, noticed);
                     continue;
                 }
-                Effect::Joined(peer) => (peer, true),
-                Effect::Left(peer) => (peer, false),
-                Effect::News | Effect::ReportsReceived(..) | Effect::Heard(_) => continue,
+                Effect::MemberJoined(peer) => (peer, true),
+                Effect::MemberLeft(peer) => (peer, false),
+                Effect::ReportsWanted | Effect::ReportsReceived(..) | Effect::RumorsReceived(_) => continue,
             };
             let Some(of) = index(peer.address, self.rows.len()) else { continue };
             let (at_ns, runs) = (self.now, self.runs(of));
--- a/crates/lilacpitch-testbed/src/simulated_run.rs
+++ b/crates/lilacpitch-testbed/src/simulated_run.rs
@@ -671,11 +671,11 @@
                     }
                     self.datagram(front, usize::from(to.port()) - 20_000, bytes);
                 }
-                Said::News => {
+                Said::ReportsWanted => {
                     let facts = self.facts(front);
                     self.with_peers(front, |peers, now, out| peers.publish_reports(now, &facts, out));
                 }
-                Said::Heard(heard) => self.feed(front, Input::RumorsReceived(heard)),
+                Said::RumorsReceived(heard) => self.feed(front, Input::RumorsReceived(heard)),
                 Said::ReportsRequested(asker) => {
                     let facts = self.facts(front);
                     self.with_peers(front, |peers, now, out| peers.answer_request(now, asker, facts, out));
@@ -683,7 +683,7 @@
                 Said::ReportsReceived(peer, facts) => {
                     self.feed(front, Input::PeerReported(peer.origin(), facts))
                 }
-                Said::Joined(_) | Said::Left(_) => {}
+                Said::MemberJoined(_) | Said::MemberLeft(_) => {}
             }
         }
     }
--- a/crates/lilacpitch-testbed/tests/fleet_measures.rs
+++ b/crates/lilacpitch-testbed/tests/fleet_measures.rs
@@ -47,7 +47,7 @@
                 .map(|thread| {
                     let register = register.clone();
                     std::thread::spawn(move || {
-                        (0..each).for_each(|n| drop(register.put(row(thread * each + n, "e", 1))))
+                        (0..each).for_each(|n| drop(register.upsert(row(thread * each + n, "e", 1))))
                     })
                 })
                 .collect();
@@ -59,14 +59,14 @@
         }
     }
     let register = LocationStore::new(64).unwrap();
-    (0..1_000_000).for_each(|n| drop(register.put(row(n, "e", 1))));
+    (0..1_000_000).for_each(|n| drop(register.upsert(row(n, "e", 1))));
     let began = Instant::now();
     let (mut bytes, mut kept) = (0, Vec::new());
     for shard in 0..64 {
         let news = register.summary(shard, None).unwrap();
         bytes += news.base.as_ref().map_or(0, |(_, b)| b.len()) + 4 * news.added.len();
         let mut summary = ShardSummary::default();
-        summary.take(&news).unwrap();
+        summary.apply_update(&news).unwrap();
         kept.push(summary);
     }
     println!(
@@ -84,12 +84,13 @@
         // Ten seconds of polls 200 ms apart.
         let mut sent = 0;
         for poll in 0..50u64 {
-            (0..per_s / 5)
-                .for_each(|n| drop(register.put(row(2_000_000 + per_s * 1_000 + poll * 1_000 + n, "e", 1))));
+            (0..per_s / 5).for_each(|n| {
+                drop(register.upsert(row(2_000_000 + per_s * 1_000 + poll * 1_000 + n, "e", 1)))
+            });
             for (shard, kept) in kept.iter_mut().enumerate() {
                 if let Some(news) = register.summary(shard, Some(kept.version())) {
                     sent += postcard::to_allocvec(&news).unwrap().len();
-                    kept.take(&news).unwrap();
+                    kept.apply_update(&news).unwrap();
                 }
             }
         }
@@ -100,13 +101,13 @@
     let snapshots = std::thread::spawn(move || {
         for n in 0..20 {
             let snapshot = writer.snapshot();
-            (0..2_000).for_each(|m| drop(writer.put(row(5_000_000 + n * 2_000 + m, "e", 1))));
+            (0..2_000).for_each(|m| drop(writer.upsert(row(5_000_000 + n * 2_000 + m, "e", 1))));
             drop(snapshot);
         }
     });
     while !snapshots.is_finished() {
         let began = Instant::now();
-        let found = register.find(&Query::reached(Number::new("1000000777").unwrap()), None, 1);
+        let found = register.find(&Query::binding_of(Number::new("1000000777").unwrap()), None, 1);
         reads.push(ms(began.elapsed()));
         assert_eq!(found.records.len(), 1);
     }
@@ -144,12 +145,12 @@
 struct Nobody;
 
 impl RequestHandler for Nobody {
-    fn serve(self: Arc<Self>, _: Arc<RpcConnection>, ask: Request) -> ResponseFuture {
+    fn handle(self: Arc<Self>, _: Arc<RpcConnection>, ask: Request) -> ResponseFuture {
         // A front that has no cache: whatever is ordered is applied.
         Box::pin(async move {
             match ask {
-                Request::Commands { log, orders } => {
-                    let order = orders.last().map_or(0, |order| order.number);
+                Request::Commands { log, commands } => {
+                    let order = commands.last().map_or(0, |order| order.number);
                     Response::Applied(lilacpitch_fleet::message::LogPosition { log, index: order })
                 }
                 _ => Response::Done,
@@ -165,7 +166,7 @@
     runtime.block_on(async {
         let me = LocalIdentity {
             name: front.clone(),
-            life: 1,
+            incarnation: 1,
             role: Role::Front,
             keys: Keys::from_bytes([0x5a; 32]),
         };
