--- a/crates/lilacpitch-edge/src/fleet/admin_pages.rs
+++ b/crates/lilacpitch-edge/src/fleet/admin_pages.rs
@@ -94,8 +94,8 @@
         let unknown = self.catalogue.read().stale_sites(now);
         let _ = writeln!(out, "summaries unknown {}: {}", unknown.len(), unknown.join(" "));
         let _ = writeln!(out, "rows waiting {}", self.record_publisher.lock().waiting());
-        let (changes, joined) = self.recorder.lock().counts();
-        let _ = writeln!(out, "audit waiting {changes}, joined {joined}");
+        let backlog = self.recorder.lock().backlog();
+        let _ = writeln!(out, "audit waiting {}, joined {}", backlog.pending, backlog.merged);
         let c = &self.counters;
         let all = [
             ("cached", self.cache.len() as u64),
--- a/crates/lilacpitch-edge/src/fleet/lease_client.rs
+++ b/crates/lilacpitch-edge/src/fleet/lease_client.rs
@@ -19,7 +19,7 @@
                 false
             }
             Ok(response) => {
-                agent.above.lock().answered();
+                agent.above.lock().record_success();
                 agent.renewed(asked_ns, response)
             }
             Err(error) => {
@@ -45,12 +45,12 @@
         let said = agent.above().request(Request::Summaries(known), agent.patience()).await;
         let more = match said {
             Ok(Response::Summaries(news)) => {
-                let (more, wrong) = agent.catalogue.write().take(asked_ns, news);
-                for error in wrong {
+                let applied = agent.catalogue.write().apply_updates(asked_ns, news);
+                for error in applied.errors {
                     Counters::one(&agent.counters.summaries_refused);
                     tracing::warn!(%error, "summary refused");
                 }
-                more
+                applied.has_more
             }
             _ => false,
         };
@@ -117,7 +117,7 @@
             return Response::Rejected(lilacpitch_fleet::message::RejectReason::Unsupported);
         };
         let mut holder = self.holder.lock();
-        match holder.orders(log, commands) {
+        match holder.select_next_commands(log, commands) {
             Ok(next) => self.apply(&mut holder, next),
             Err(error) => tracing::debug!(%error, "orders not taken"),
         }
--- a/crates/lilacpitch-edge/src/fleet/locate.rs
+++ b/crates/lilacpitch-edge/src/fleet/locate.rs
@@ -180,7 +180,7 @@
         let answers = async {
             while let Some(answered) = asking.join_next().await {
                 if let Ok((site, said)) = answered {
-                    locate.answered(&site, said);
+                    locate.record_response(&site, said);
                 }
             }
         };
--- a/crates/lilacpitch-edge/src/net/gossip_socket.rs
+++ b/crates/lilacpitch-edge/src/net/gossip_socket.rs
@@ -80,14 +80,15 @@
         let _ = writeln!(
             out,
             "# sent {} datagrams, {} bytes; taken {}",
-            counted.sent.0, counted.sent.1, counted.accepted
+            counted.sent_datagrams, counted.sent_bytes, counted.accepted
         );
         let _ = writeln!(
             out,
             "# asked {}, answers taken {}, answered {}",
-            counted.requests.0, counted.requests.1, counted.answered
+            counted.requests_sent, counted.responses_accepted, counted.requests_answered
         );
-        let _ = writeln!(out, "# news told {}, voices heard {}", counted.news.0, counted.news.1);
+        let _ =
+            writeln!(out, "# news told {}, voices heard {}", counted.rumor_batches_sent, counted.new_rumors);
         for (refused, count) in &counted.rejected {
             let _ = writeln!(out, "# refused {count}: {refused}");
         }
--- a/crates/lilacpitch-fleet/src/ack_aggregator.rs
+++ b/crates/lilacpitch-fleet/src/ack_aggregator.rs
@@ -51,6 +51,24 @@
     pub missing_count: u32,
 }
 
+/// What a child has applied, and what comes next.
+#[derive(Debug, Clone, PartialEq, Eq)]
+pub struct MissingCommands {
+    /// The child has applied all commands up to here.
+    pub applied: LogPosition,
+    /// The commands after that, [`MAX_COMMANDS`] at most.
+    pub commands: Vec<FleetCommand>,
+}
+
+/// When a front last requested its lease.
+#[derive(Debug, Clone, PartialEq, Eq)]
+pub struct FrontContact {
+    /// The front, in one incarnation.
+    pub id: ChildId,
+    /// For how long it has not requested one, in nanoseconds of this process's steady clock.
+    pub silent_for_ns: Nanos,
+}
+
 /// The children of a process and what they have acknowledged.
 #[derive(Debug, Clone)]
 pub struct AckAggregator {
@@ -228,19 +246,23 @@
     }
 
     /// Fronts below, in each of their lives, and for how long each was not heard.
-    pub fn front_contacts(&self, now: Nanos) -> Vec<(ChildId, Nanos)> {
+    pub fn front_contacts(&self, now: Nanos) -> Vec<FrontContact> {
         let fronts = self.children.iter().filter(|(_, child)| child.is_front);
-        fronts.map(|(id, child)| (id.clone(), now.saturating_sub(child.heard_ns))).collect()
+        let contact = |(id, child): (&ChildId, &Child)| FrontContact {
+            id: id.clone(),
+            silent_for_ns: now.saturating_sub(child.heard_ns),
+        };
+        fronts.map(contact).collect()
     }
 
     /// What a child has applied, and some of what it lacks; `None`: it is not known here.
-    pub fn missing_commands(&self, who: &ChildId) -> Option<(LogPosition, Vec<FleetCommand>)> {
+    pub fn missing_commands(&self, who: &ChildId) -> Option<MissingCommands> {
         let applied = self.children.get(who)?.applied;
-        Some((applied, self.missing_orders(applied)))
+        Some(MissingCommands { applied, commands: self.commands_after(applied) })
     }
 
     /// Up to so many of the orders that a child lacks.
-    fn missing_orders(&self, applied: LogPosition) -> Vec<FleetCommand> {
+    fn commands_after(&self, applied: LogPosition) -> Vec<FleetCommand> {
         let same = applied.log == self.position().log;
         self.window.commands_after(applied.index, MAX_COMMANDS).filter(|_| same).unwrap_or_default()
     }
--- a/crates/lilacpitch-fleet/src/audit.rs
+++ b/crates/lilacpitch-fleet/src/audit.rs
@@ -60,6 +60,15 @@
     pub changes: Vec<Change>,
 }
 
+/// Changes that a front has recorded and its site has not acknowledged.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub struct AuditBacklog {
+    /// How many wait.
+    pub pending: usize,
+    /// How many were merged or dropped so far because too many waited.
+    pub merged: u64,
+}
+
 /// A front's own record.
 #[derive(Debug)]
 pub struct AuditRecorder {
@@ -143,9 +152,9 @@
         }
     }
 
-    /// Changes not taken above yet, and changes joined for want of room.
-    pub fn counts(&self) -> (usize, u64) {
-        (self.waiting.len(), self.joined)
+    /// The changes that wait to be acknowledged.
+    pub fn backlog(&self) -> AuditBacklog {
+        AuditBacklog { pending: self.waiting.len(), merged: self.joined }
     }
 
     /// What is in force.
@@ -200,7 +209,7 @@
 
 impl AuditLog {
     /// Takes what a front says. What is known already is passed over; an error takes nothing.
-    pub fn take(&mut self, record: AuditRecord) -> Result<(), AuditError> {
+    pub fn append(&mut self, record: AuditRecord) -> Result<(), AuditError> {
         if record.changes.len() > MAX_CHANGES {
             return Err(AuditError::Long(record.changes.len()));
         }
@@ -269,7 +278,7 @@
 
     /// What each front acted on at a moment, as far as it has said; a life that is not known to have lasted until
     /// then is left out.
-    pub fn at(&self, moment_ms: u64) -> impl Iterator<Item = ActiveVersion<'_>> {
+    pub fn active_at(&self, moment_ms: u64) -> impl Iterator<Item = ActiveVersion<'_>> {
         self.lives.iter().filter_map(move |(key, of)| {
             let after = of.spans.partition_point(|span| span.from_ms <= moment_ms);
             let span = after.checked_sub(1).and_then(|at| of.spans.get(at))?;
--- a/crates/lilacpitch-fleet/src/catalogue.rs
+++ b/crates/lilacpitch-fleet/src/catalogue.rs
@@ -1,4 +1,6 @@
-//! Summaries of sites as a process has them, and which sites could hold what is asked for.
+//! Summaries of the sites' location records, as a process holds them: which sites may have a record that a query
+//! matches, and which can be ruled out without a request. A summary may only err towards a request.
+//! Summaries reach a process by polling its parent and its children, in versions a shard.
 
 use crate::lease::LeaseTerms;
 use crate::message::{KnownSummary, LogPosition, PendingPurges, SiteSummaryUpdate};
@@ -7,26 +9,30 @@
 use lilacpitch_location::{LocationError, Query, QueryTarget, ShardSummary, ShardUpdate};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Bytes of news in one answer; the rest is asked for again.
+/// Bytes of shard updates in one response; the rest is requested again.
 pub const MAX_UPDATE_BYTES: usize = 1 << 20;
-/// Most shards that a site may say it has.
+/// Most shards that a site may have by its summary.
 const MAX_SHARDS: u32 = 1 << 16;
+/// Most bytes of one fingerprint in a message: a `u32` as a varint of `postcard`.
+const MAX_FINGERPRINT_BYTES: usize = 5;
+/// Bytes of an update beside its base and its fingerprints, rounded up.
+const UPDATE_HEADER_BYTES: usize = 16;
 
-/// What a summary says of a question.
+/// What a summary tells about a query.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum SiteVerdict {
-    /// Nothing there, by this version as of then.
+    /// The site has no matching record, by this version of its summary.
     RuledOut {
-        /// The life of the process whose versions these are.
+        /// The incarnation of the process whose versions these are.
         incarnation: u64,
         /// The sum of the versions of all shards.
         total: u64,
-        /// When it was asked for.
+        /// When the summary was requested, by this process's steady clock.
         as_of_ns: Nanos,
     },
-    /// To be asked: it could be there.
+    /// The site may have a matching record: query it.
     MayContain,
-    /// To be asked: the summary is too old, of a question that it does not cover, or not there.
+    /// The summary is missing, too old, or does not cover the query: query the site.
     Unknown,
 }
 
@@ -35,12 +41,17 @@
     incarnation: u64,
     shards: Vec<ShardSummary>,
     total: u64,
-    /// When what it says was asked for by the first of the way; `None`: not whole yet.
+    /// The moment of which it is true, by this process's steady clock: the first process on its path requested it
+    /// then. `None`: not complete yet.
     as_of_ns: Option<Nanos>,
+    /// Hashes of numbers whose purge is not in the command log yet.
     pending: BTreeSet<u64>,
+    /// There are more of them than are listed.
     many_pending: bool,
-    ordered: LogPosition,
-    lacks: bool,
+    /// The last purge command for this site's changes.
+    purge_position: LogPosition,
+    /// The site's total is greater than that of the versions held here.
+    is_incomplete: bool,
 }
 
 /// The summaries of all sites.
@@ -53,7 +64,7 @@
 }
 
 impl Catalogue {
-    /// Of these sites, none heard of yet; a summary older than `settle_ns` rules nothing out.
+    /// A catalogue of these sites, without summaries yet. A summary older than `settle_ns` rules nothing out.
     pub fn new<'a>(
         sites: impl IntoIterator<Item = &'a str>,
         settle_ns: Nanos,
@@ -64,9 +75,9 @@
         Catalogue { settle_ns, terms, guards, sites }
     }
 
-    fn fresh(&self, summary: &Summary, now: Nanos) -> Option<Nanos> {
-        let young = |at: &Nanos| now.saturating_sub(*at) <= self.settle_ns || !self.guards.summary_age;
-        summary.as_of_ns.filter(young)
+    fn fresh_as_of(&self, summary: &Summary, now: Nanos) -> Option<Nanos> {
+        let is_fresh = |at: &Nanos| now.saturating_sub(*at) <= self.settle_ns || !self.guards.summary_age;
+        summary.as_of_ns.filter(is_fresh)
     }
 
     /// What each site's summary says of a question.
@@ -81,7 +92,7 @@
             QueryTarget::Prefix(_) => None,
         };
         self.sites.iter().map(move |(site, summary)| {
-            let verdict = match (self.fresh(summary, now), hash) {
+            let verdict = match (self.fresh_as_of(summary, now), hash) {
                 (Some(as_of_ns), Some(hash)) => {
                     let shard = &summary.shards[shard_of(hash, summary.shards.len())];
                     let out = SiteVerdict::RuledOut {
@@ -101,28 +112,28 @@
         })
     }
 
-    /// Whether what was cached of a number, by a holder that has applied orders up to `applied`, is still what the
-    /// sites would say: every summary is fresh, and all that changed has been ordered and applied.
+    /// Whether the answer that a lease holder has cached for a number is still what the sites would answer: every
+    /// summary is fresh, and all changes of the number have been purged by commands up to `applied`.
     pub fn confirms_cached(&self, now: Nanos, hash: u64, applied: LogPosition) -> bool {
         self.sites.values().all(|summary| {
-            let ordered = summary.ordered.index == 0 || applied.includes(summary.ordered);
-            let pending = summary.many_pending || summary.pending.contains(&hash);
-            self.fresh(summary, now).is_some() && ordered && !pending
+            let is_purged = summary.purge_position.index == 0 || applied.includes(summary.purge_position);
+            let is_pending = summary.many_pending || summary.pending.contains(&hash);
+            self.fresh_as_of(summary, now).is_some() && is_purged && !is_pending
         })
     }
 
-    /// Sites whose summaries are too old or not there.
+    /// Sites whose summaries are missing or too old.
     pub fn stale_sites(&self, now: Nanos) -> Vec<String> {
-        let stale = self.sites.iter().filter(|(_, summary)| self.fresh(summary, now).is_none());
+        let stale = self.sites.iter().filter(|(_, summary)| self.fresh_as_of(summary, now).is_none());
         stale.map(|(site, _)| site.clone()).collect()
     }
 
-    /// What to ask for news with.
+    /// The versions to request updates with.
     pub fn known_summaries(&self) -> Vec<KnownSummary> {
         let known = |(site, summary): (&String, &Summary)| KnownSummary {
             site: site.clone(),
             incarnation: summary.incarnation,
-            shards: match summary.lacks {
+            shards: match summary.is_incomplete {
                 true => summary.shards.iter().map(ShardSummary::version).collect(),
                 false => Vec::new(),
             },
@@ -131,123 +142,163 @@
         self.sites.iter().map(known).collect()
     }
 
-    /// Takes an answer to a question that was asked at `asked_ns`; whether more is to be asked for at once. News that
-    /// does not read costs that site its summary until the next, and nothing else.
-    pub fn take(&mut self, asked_ns: Nanos, all: Vec<SiteSummaryUpdate>) -> (bool, Vec<LocationError>) {
-        let (mut more, mut wrong) = (false, Vec::new());
-        for news in all {
-            let Some(summary) = self.sites.get_mut(&news.site) else { continue };
-            // Each process of a site numbers its versions for itself: one is kept to while it is heard.
-            let heard = |at: Nanos| asked_ns.saturating_sub(at) <= self.settle_ns / 2;
-            if summary.incarnation != news.incarnation && summary.as_of_ns.is_some_and(heard) {
+    /// Applies the response to a request for summaries that was sent at `asked_ns`, by the steady clock of this
+    /// process. An update that can't be decoded costs its site the summary until the next update, and nothing else.
+    pub fn apply_updates(&mut self, asked_ns: Nanos, updates: Vec<SiteSummaryUpdate>) -> AppliedUpdates {
+        let mut applied = AppliedUpdates::default();
+        for update in updates {
+            let Some(summary) = self.sites.get_mut(&update.site) else { continue };
+            // Each process of a site numbers its versions for itself: the one followed now is kept while it responds.
+            let is_recent = |at: Nanos| asked_ns.saturating_sub(at) <= self.settle_ns / 2;
+            if summary.incarnation != update.incarnation && summary.as_of_ns.is_some_and(is_recent) {
                 continue;
             }
             // Its age was measured by a clock that may be slower than this one.
-            let as_of_ns = asked_ns.saturating_sub(self.terms.worst_case_ns(news.age_ns));
-            match take(summary, as_of_ns, news) {
-                Ok(lacks) => more |= lacks,
+            let as_of_ns = asked_ns.saturating_sub(self.terms.worst_case_ns(update.age_ns));
+            match summary.apply_update(as_of_ns, update) {
+                Ok(has_more) => applied.has_more |= has_more,
                 Err(error) => {
                     *summary = Summary::default();
-                    wrong.push(error);
+                    applied.errors.push(error);
                 }
             }
         }
-        (more, wrong)
+        applied
     }
 
-    /// What another process lacks of these summaries, but for those that `skip` names.
+    /// The updates that another process lacks by what it knows, but for the sites that `skip` names.
     pub fn updates_since(
         &self,
         now: Nanos,
         known: &[KnownSummary],
         skip: impl Fn(&str) -> bool,
     ) -> Vec<SiteSummaryUpdate> {
-        let mut room = MAX_UPDATE_BYTES;
-        let mut all = Vec::new();
+        let mut capacity_bytes = MAX_UPDATE_BYTES;
+        let mut updates = Vec::new();
         for known in known.iter().filter(|known| !skip(&known.site)) {
             let Some(summary) = self.sites.get(&known.site) else { continue };
             let Some(as_of_ns) = summary.as_of_ns else { continue };
-            let shard = |at: usize, version| summary.shards[at].since(at as u32, Some(version));
-            let (life, total, shards) = (summary.incarnation, summary.total, summary.shards.len());
-            let (news, total, more) = shard_updates_since(known, life, total, shards, &mut room, shard);
-            all.push(SiteSummaryUpdate {
+            let shard_since =
+                |index: usize, version| summary.shards[index].since(index as u32, Some(version));
+            let shards = shard_updates_since(
+                known,
+                summary.incarnation,
+                summary.total,
+                summary.shards.len(),
+                &mut capacity_bytes,
+                shard_since,
+            );
+            updates.push(SiteSummaryUpdate {
                 site: known.site.clone(),
                 incarnation: summary.incarnation,
                 shards: summary.shards.len() as u32,
-                total,
+                total: shards.total,
                 age_ns: now.saturating_sub(as_of_ns),
-                pending: match summary.many_pending {
-                    true => PendingPurges::Many,
-                    false => PendingPurges::Some(summary.pending.iter().copied().collect()),
-                },
-                ordered: summary.ordered,
-                shard_updates: news,
-                has_more: more,
+                pending: summary.pending_purges(),
+                purge_position: summary.purge_position,
+                shard_updates: shards.updates,
+                has_more: shards.has_more,
             });
         }
-        all
+        updates
     }
 }
 
-/// What is new of a site's shards for one that knows so much, within the room that is left: the news, the sum of the
-/// versions that it has once it has taken them, and whether there is more.
+/// What [`Catalogue::apply_updates`] has done.
+#[derive(Debug, Default)]
+pub struct AppliedUpdates {
+    /// Some summary is not up to date yet: request updates again at once.
+    pub has_more: bool,
+    /// Why updates were rejected, one for each.
+    pub errors: Vec<LocationError>,
+}
+
+/// The updates of one site's shards that a process lacks.
+#[derive(Debug, Default)]
+pub struct ShardUpdates {
+    /// The updates, by shard.
+    pub updates: Vec<ShardUpdate>,
+    /// The sum of the versions of all shards once these are applied.
+    pub total: u64,
+    /// There are more than these: request again.
+    pub has_more: bool,
+}
+
+/// The updates of a site's shards since the versions that a process knows. Their size in bytes is taken off
+/// `capacity_bytes`; once that is 0 the rest waits for the next request. `shard_since` gives a shard's update, by its
+/// index, since a version.
 pub fn shard_updates_since(
     known: &KnownSummary,
     incarnation: u64,
     total: u64,
     shards: usize,
-    room: &mut usize,
-    mut since: impl FnMut(usize, u64) -> Option<ShardUpdate>,
-) -> (Vec<ShardUpdate>, u64, bool) {
+    capacity_bytes: &mut usize,
+    mut shard_since: impl FnMut(usize, u64) -> Option<ShardUpdate>,
+) -> ShardUpdates {
     if known.incarnation == incarnation && known.total == total {
-        return (Vec::new(), total, false);
+        return ShardUpdates { total, ..ShardUpdates::default() };
     }
     if known.incarnation != incarnation || known.shards.len() != shards {
-        return (Vec::new(), total, true);
+        return ShardUpdates { total, has_more: true, ..ShardUpdates::default() };
     }
-    let (mut news, mut sum) = (Vec::new(), 0);
-    for (at, version) in known.shards.iter().enumerate() {
-        if *room == 0 {
-            return (news, total, true);
+    let (mut updates, mut new_total) = (Vec::new(), 0);
+    for (index, version) in known.shards.iter().enumerate() {
+        if *capacity_bytes == 0 {
+            return ShardUpdates { updates, total, has_more: true };
         }
-        let one = since(at, *version);
-        sum += one.as_ref().map_or(*version, |one| one.version);
-        if let Some(one) = one {
-            let bytes = one.base.as_ref().map_or(0, |(_, bytes)| bytes.len()) + 5 * one.added.len() + 16;
-            *room = room.saturating_sub(bytes);
-            news.push(one);
+        let update = shard_since(index, *version);
+        new_total += update.as_ref().map_or(*version, |update| update.version);
+        if let Some(update) = update {
+            *capacity_bytes = capacity_bytes.saturating_sub(size_on_wire(&update));
+            updates.push(update);
         }
     }
-    (news, sum, false)
+    ShardUpdates { updates, total: new_total, has_more: false }
 }
 
-/// Takes one site's news; whether it lacks something.
-fn take(summary: &mut Summary, as_of_ns: Nanos, news: SiteSummaryUpdate) -> Result<bool, LocationError> {
-    if news.shards == 0 || news.shards > MAX_SHARDS {
-        return Err(LocationError::Shards(news.shards as usize));
-    }
-    if summary.incarnation != news.incarnation || summary.shards.len() != news.shards as usize {
-        let shards = vec![ShardSummary::default(); news.shards as usize];
-        *summary = Summary { incarnation: news.incarnation, shards, ..Summary::default() };
-    }
-    for one in &news.shard_updates {
-        let what = "a shard that the site does not have";
-        let shard = summary.shards.get_mut(one.shard as usize);
-        shard.ok_or(LocationError::Summary { shard: one.shard, what })?.apply_update(one)?;
+/// About how many bytes an update takes in a message.
+fn size_on_wire(update: &ShardUpdate) -> usize {
+    let base_bytes = update.base.as_ref().map_or(0, |(_, bytes)| bytes.len());
+    base_bytes + MAX_FINGERPRINT_BYTES * update.added.len() + UPDATE_HEADER_BYTES
+}
+
+impl Summary {
+    fn pending_purges(&self) -> PendingPurges {
+        match self.many_pending {
+            true => PendingPurges::Many,
+            false => PendingPurges::Some(self.pending.iter().copied().collect()),
+        }
     }
-    summary.total = summary.shards.iter().map(ShardSummary::version).sum();
-    // Who says less than is known here lags behind: nothing is to be had from it.
-    summary.lacks = summary.total < news.total;
-    if summary.total == news.total {
-        // The older of two answers takes nothing back.
-        if summary.as_of_ns.is_none_or(|held| held <= as_of_ns) {
-            summary.as_of_ns = Some(as_of_ns);
-            summary.ordered = news.ordered;
-            (summary.pending, summary.many_pending) = match news.pending {
-                PendingPurges::Some(some) => (some.into_iter().collect(), false),
+
+    /// Applies one site's update; whether the summary still lacks something.
+    fn apply_update(&mut self, as_of_ns: Nanos, update: SiteSummaryUpdate) -> Result<bool, LocationError> {
+        if update.shards == 0 || update.shards > MAX_SHARDS {
+            return Err(LocationError::Shards(update.shards as usize));
+        }
+        if self.incarnation != update.incarnation || self.shards.len() != update.shards as usize {
+            let shards = vec![ShardSummary::default(); update.shards as usize];
+            *self = Summary { incarnation: update.incarnation, shards, ..Summary::default() };
+        }
+        for shard_update in &update.shard_updates {
+            let what = "a shard that the site does not have";
+            let shard = self.shards.get_mut(shard_update.shard as usize);
+            shard
+                .ok_or(LocationError::Summary { shard: shard_update.shard, what })?
+                .apply_update(shard_update)?;
+        }
+        self.total = self.shards.iter().map(ShardSummary::version).sum();
+        // Who has a lower total than is known here lags behind: nothing is to be had from it.
+        self.is_incomplete = self.total < update.total;
+        // The older of two responses takes nothing back.
+        let is_newer = self.as_of_ns.is_none_or(|known_ns| known_ns <= as_of_ns);
+        if self.total == update.total && is_newer {
+            self.as_of_ns = Some(as_of_ns);
+            self.purge_position = update.purge_position;
+            (self.pending, self.many_pending) = match update.pending {
+                PendingPurges::Some(hashes) => (hashes.into_iter().collect(), false),
                 PendingPurges::Many => (BTreeSet::new(), true),
             };
         }
+        Ok(self.is_incomplete)
     }
-    Ok(summary.lacks)
 }
--- a/crates/lilacpitch-fleet/src/lease_holder.rs
+++ b/crates/lilacpitch-fleet/src/lease_holder.rs
@@ -74,7 +74,8 @@
                 {
                     self.lease = Some(Lease { until_ns, position });
                 }
-                self.orders(position.log, commands).map_or(LeaseUpdate::Unchanged, LeaseUpdate::Commands)
+                self.select_next_commands(position.log, commands)
+                    .map_or(LeaseUpdate::Unchanged, LeaseUpdate::Commands)
             }
             Response::ResetRequired { position, withdrawn } => {
                 self.position = Some(position);
@@ -87,22 +88,26 @@
     }
 
     /// Which of these orders are next: those applied already are passed over, a gap is refused.
-    pub fn orders(&mut self, log: u64, orders: Vec<FleetCommand>) -> Result<Vec<FleetCommand>, PurgeError> {
+    pub fn select_next_commands(
+        &mut self,
+        log: u64,
+        commands: Vec<FleetCommand>,
+    ) -> Result<Vec<FleetCommand>, PurgeError> {
         let Some(position) = self.position else { return Err(PurgeError::Gap { found: 0, applied: 0 }) };
         if position.log != log {
             return Err(PurgeError::Log { found: log, ours: position.log });
         }
         let mut next = Vec::new();
         let mut applied = position.index;
-        for order in orders {
-            if order.number <= applied {
+        for command in commands {
+            if command.number <= applied {
                 continue;
             }
-            if order.number != applied + 1 {
-                return Err(PurgeError::Gap { found: order.number, applied });
+            if command.number != applied + 1 {
+                return Err(PurgeError::Gap { found: command.number, applied });
             }
-            applied = order.number;
-            next.push(order);
+            applied = command.number;
+            next.push(command);
         }
         Ok(next)
     }
--- a/crates/lilacpitch-fleet/src/locate.rs
+++ b/crates/lilacpitch-fleet/src/locate.rs
@@ -106,7 +106,7 @@
     }
 
     /// A site has answered, or could not be asked. Doubled and late answers change nothing.
-    pub fn answered(&mut self, site: &str, said: Result<(Page, String), LocateError>) {
+    pub fn record_response(&mut self, site: &str, said: Result<(Page, String), LocateError>) {
         let Some(open) = self.sites.get_mut(site).filter(|said| said.is_none()) else { return };
         *open = Some(match said {
             Ok((page, process)) => {
--- a/crates/lilacpitch-fleet/src/message.rs
+++ b/crates/lilacpitch-fleet/src/message.rs
@@ -143,7 +143,7 @@
     /// Changes without an order.
     pub pending: PendingPurges,
     /// The last order that came of its changes.
-    pub ordered: LogPosition,
+    pub purge_position: LogPosition,
     /// What is new, of the shards whose versions were named.
     pub shard_updates: Vec<ShardUpdate>,
     /// There is more: ask again.
--- a/crates/lilacpitch-fleet/src/upstream_selection.rs
+++ b/crates/lilacpitch-fleet/src/upstream_selection.rs
@@ -34,7 +34,7 @@
     }
 
     /// It has answered with more than a refusal.
-    pub fn answered(&mut self) {
+    pub fn record_success(&mut self) {
         self.failures = 0;
     }
 
--- a/crates/lilacpitch-fleet/tests/model.rs
+++ b/crates/lilacpitch-fleet/tests/model.rs
@@ -149,13 +149,13 @@
                 }
             }
             Message::Orders(Who::Front, life, orders) if life == s.front.0 => {
-                let next = s.front.1.orders(LOG, orders).unwrap_or_default();
+                let next = s.front.1.select_next_commands(LOG, orders).unwrap_or_default();
                 apply(s, &next);
                 let upto = s.front.1.position().unwrap_or_default();
                 s.messages.push(Message::Applied(Who::Front, life, upto));
             }
             Message::Orders(Who::Relay, life, orders) if life == s.relay.0 => {
-                let next = s.relay.1.orders(LOG, orders).unwrap_or_default();
+                let next = s.relay.1.select_next_commands(LOG, orders).unwrap_or_default();
                 pass_on(s, next);
                 let upto = s.relay.1.position().unwrap_or_default();
                 s.messages.push(Message::Applied(Who::Relay, life, upto));
@@ -262,9 +262,9 @@
                     Who::Relay => (&s.root, s.relay.0),
                     Who::Front => (&s.relay.2, s.front.0),
                 };
-                let (_, orders) =
-                    from.missing_commands(&id(who, life)).filter(|(_, orders)| !orders.is_empty())?;
-                s.messages.push(Message::Orders(who, life, orders));
+                let missing = from.missing_commands(&id(who, life));
+                let missing = missing.filter(|missing| !missing.commands.is_empty())?;
+                s.messages.push(Message::Orders(who, life, missing.commands));
             }
             Action::Say => {
                 let upto = s.relay.2.aggregate(s.now).acknowledged;
--- a/crates/lilacpitch-fleet/tests/pinned_frames.rs
+++ b/crates/lilacpitch-fleet/tests/pinned_frames.rs
@@ -85,7 +85,7 @@
         total,
         age_ns: 900_000,
         pending,
-        ordered: at(4),
+        purge_position: at(4),
         shard_updates: news,
         has_more: true,
     }
--- a/crates/lilacpitch-fleet/tests/pinned_stored.rs
+++ b/crates/lilacpitch-fleet/tests/pinned_stored.rs
@@ -51,7 +51,7 @@
 
 fn ledger() -> AuditLog {
     let mut ledger = AuditLog::default();
-    ledger.take(record()).unwrap();
+    ledger.append(record()).unwrap();
     ledger
 }
 
--- a/crates/lilacpitch-fleet/tests/relay.rs
+++ b/crates/lilacpitch-fleet/tests/relay.rs
@@ -151,7 +151,7 @@
     let front = child("edge-1", 1);
     assert_eq!(granted(relay.renew_lease(10 * S, &front, true, Some(at(0)), 0)), 0);
     assert_eq!(
-        relay.missing_commands(&front).map(|(applied, orders)| (applied, orders.len())),
+        relay.missing_commands(&front).map(|missing| (missing.applied, missing.commands.len())),
         Some((at(0), 1))
     );
     assert_eq!(relay.missing_commands(&child("edge-2", 1)), None);
@@ -162,7 +162,7 @@
     let mut above = UpstreamSelection::new(2);
     above.record_failure();
     assert!(above.next_renewal_delay_ns(&TERMS) < renewal_interval_ns(&TERMS), "it is asked again soon");
-    above.answered();
+    above.record_success();
     above.record_failure();
     assert_eq!((above.selected_index(3), above.selected_index(1)), (2, 0));
     above.record_failure();
--- a/crates/lilacpitch-gossip/src/peers.rs
+++ b/crates/lilacpitch-gossip/src/peers.rs
@@ -94,18 +94,24 @@
 /// What has been counted.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Counters {
-    /// Datagrams sent, and their bytes.
-    pub sent: (u64, u64),
-    /// Datagrams taken.
+    /// Datagrams sent.
+    pub sent_datagrams: u64,
+    /// Bytes of the datagrams sent, sealed.
+    pub sent_bytes: u64,
+    /// Datagrams accepted.
     pub accepted: u64,
-    /// Datagrams refused, by reason.
+    /// Datagrams rejected, by reason.
     pub rejected: BTreeMap<DatagramError, u64>,
-    /// Questions asked, and answers taken.
-    pub requests: (u64, u64),
-    /// Questions answered.
-    pub answered: u64,
-    /// Sheets of news told, and voices heard that were new.
-    pub news: (u64, u64),
+    /// Requests for reports sent to other members.
+    pub requests_sent: u64,
+    /// Responses to them that were accepted, one a datagram.
+    pub responses_accepted: u64,
+    /// Requests of other members answered.
+    pub requests_answered: u64,
+    /// Rumor batches sent, one a receiver.
+    pub rumor_batches_sent: u64,
+    /// Rumors received that were new here.
+    pub new_rumors: u64,
 }
 
 #[derive(Serialize, Deserialize)]
@@ -252,7 +258,7 @@
         }
         for _ in 0..NEWS_TO.min(to.len()) {
             let to = to.swap_remove(self.rng.random_range(0..to.len()));
-            self.counters.news.0 += 1;
+            self.counters.rumor_batches_sent += 1;
             self.send(to, Body::News(sheet.clone()), effects);
         }
     }
@@ -393,7 +399,7 @@
             Body::News(sheet) => {
                 let (now, own) = (self.now, self.me.origin());
                 let heard = self.board.receive(now, own, sheet)?;
-                self.counters.news.1 += heard.len() as u64;
+                self.counters.new_rumors += heard.len() as u64;
                 if !heard.is_empty() {
                     effects.push(Effect::RumorsReceived(heard));
                 }
@@ -422,7 +428,7 @@
         if !self.answers.entry(from.clone()).or_default().insert(part) {
             return Err(DatagramError::Unsolicited);
         }
-        self.counters.requests.1 += 1;
+        self.counters.responses_accepted += 1;
         effects.push(Effect::ReportsReceived(from, facts));
         Ok(())
     }
@@ -436,7 +442,7 @@
         effects: &mut Vec<Effect>,
     ) {
         self.now = self.now.max(now);
-        self.counters.answered += 1;
+        self.counters.requests_answered += 1;
         for (part, facts) in facts[..facts.len().min(MAX_REPORTS)].chunks(REPORTS_PER_DATAGRAM).enumerate() {
             let body = Body::Facts { question: asker.question, part: part as u8, facts: facts.to_vec() };
             self.send(asker.peer.address, body, effects);
@@ -457,7 +463,7 @@
         from.retain(|address| !self.answers.keys().any(|peer| peer.address == *address));
         for _ in 0..ASKED_AT_ONCE.min(from.len()) {
             let to = from.swap_remove(self.rng.random_range(0..from.len()));
-            self.counters.requests.0 += 1;
+            self.counters.requests_sent += 1;
             self.send(to, Body::Ask { question: self.question }, effects);
         }
         // Half of the gap is drawn: fronts that start together must not ask in step.
@@ -521,8 +527,8 @@
         self.rng.fill_bytes(&mut nonce);
         let sealed = self.settings.keys.seal(&plain, nonce);
         debug_assert!(sealed.len() <= MAX_DATAGRAM_BYTES, "{} bytes", sealed.len());
-        self.counters.sent.0 += 1;
-        self.counters.sent.1 += sealed.len() as u64;
+        self.counters.sent_datagrams += 1;
+        self.counters.sent_bytes += sealed.len() as u64;
         effects.push(Effect::Send(to, sealed));
     }
 }
--- a/crates/lilacpitch-gossip/src/rumors.rs
+++ b/crates/lilacpitch-gossip/src/rumors.rs
@@ -80,7 +80,7 @@
         }
         let facts: Vec<(u64, ServerReport)> = sheet
             .into_iter()
-            .flat_map(|(server, voices)| voices.into_iter().map(move |v| (v.origin, v.fact(&server))))
+            .flat_map(|(server, voices)| voices.into_iter().map(move |v| (v.origin, v.to_report(&server))))
             .collect();
         facts.iter().try_for_each(|(_, fact)| fact.check())?;
         let fresh =
@@ -161,7 +161,7 @@
 }
 
 impl Rumor {
-    fn fact(&self, server: &str) -> ServerReport {
+    fn to_report(&self, server: &str) -> ServerReport {
         let Rumor { age_ms, wait_ms, in_flight, succeeded, is_unresponsive, warming_up_for_ms, .. } = *self;
         let server = server.to_string();
         ServerReport {
--- a/crates/lilacpitch-gossip/tests/network.rs
+++ b/crates/lilacpitch-gossip/tests/network.rs
@@ -168,8 +168,8 @@
     // The seeds bore it: no front answered more than its allowance, and nobody asked for ever.
     for front in net.fronts.iter().flatten() {
         let counters = front.counters();
-        assert!(counters.answered <= 8 * 20 + 20, "{counters:?}");
-        assert!(counters.requests.0 <= 18, "{counters:?}");
+        assert!(counters.requests_answered <= 8 * 20 + 20, "{counters:?}");
+        assert!(counters.requests_sent <= 18, "{counters:?}");
     }
 }
 
@@ -224,7 +224,7 @@
     net.reach = |a, b| (a < 6) == (b < 6);
     net.run(40 * S);
     assert!((0..12).all(|i| net.sees(i) == 5), "each half sees itself");
-    let sent = |net: &Net| net.fronts.iter().flatten().map(|f| f.counters().sent.0).sum::<u64>();
+    let sent = |net: &Net| net.fronts.iter().flatten().map(|f| f.counters().sent_datagrams).sum::<u64>();
     let before = sent(&net);
     net.run(10 * S);
     let apart = sent(&net) - before;
@@ -242,7 +242,7 @@
     let mut net = Net::new(4, 100);
     net.run(60 * S);
     assert!((0..4).all(|i| net.sees(i) == 0 && net.told(i).is_empty()));
-    assert!(net.fronts.iter().flatten().all(|f| f.counters().requests.0 <= 24));
+    assert!(net.fronts.iter().flatten().all(|f| f.counters().requests_sent <= 24));
 }
 
 /// A front, and a datagram with a question sealed for it by another.
--- a/crates/lilacpitch-site/src/admin_pages.rs
+++ b/crates/lilacpitch-site/src/admin_pages.rs
@@ -128,7 +128,7 @@
     process.state.beside(|beside| {
         let all: Vec<_> = match at_ms {
             None => beside.ledger.latest().collect(),
-            Some(at_ms) => beside.ledger.at(at_ms).collect(),
+            Some(at_ms) => beside.ledger.active_at(at_ms).collect(),
         };
         for acted in all {
             let lags = match acted.interval.position.log == position.log {
--- a/crates/lilacpitch-site/src/lease_client.rs
+++ b/crates/lilacpitch-site/src/lease_client.rs
@@ -2,7 +2,7 @@
 
 use crate::log::Command;
 use crate::process::{now, wall_ms, Process};
-use lilacpitch_fleet::ack_aggregator::ChildId;
+use lilacpitch_fleet::ack_aggregator::{ChildId, MissingCommands};
 use lilacpitch_fleet::lease_holder::LeaseUpdate;
 use lilacpitch_fleet::log_tail::LogTail;
 use lilacpitch_fleet::message::{FleetCommand, LogPosition, Request, Response};
@@ -61,7 +61,7 @@
                         false
                     }
                     Ok(response) => {
-                        process.above.lock().answered();
+                        process.above.lock().record_success();
                         renewed(&process, asked_ns, response)
                     }
                     Err(error) => {
@@ -172,7 +172,7 @@
             let _ = tokio::time::timeout(LOG_PATIENCE, there).await;
             return Response::Applied(self.relay.lock().position());
         }
-        let next = self.holder.lock().orders(log, orders);
+        let next = self.holder.lock().select_next_commands(log, orders);
         match next {
             Ok(next) => apply(self, next),
             Err(error) => tracing::debug!(%error, "orders not taken"),
@@ -201,9 +201,9 @@
         ordered.borrow_and_update();
         let lacks = {
             let relay = process.relay.lock();
-            relay.missing_commands(&who).map(|(applied, orders)| (relay.position().log, applied, orders))
+            relay.missing_commands(&who).map(|missing| (relay.position().log, missing))
         };
-        let Some((log, applied, orders)) = lacks else { return };
+        let Some((log, MissingCommands { applied, commands: orders })) = lacks else { return };
         if orders.is_empty() {
             tokio::select! {
                 changed = ordered.changed() => if changed.is_err() { return },
--- a/crates/lilacpitch-site/src/log/state.rs
+++ b/crates/lilacpitch-site/src/log/state.rs
@@ -113,7 +113,7 @@
             Command::Audit(records) => {
                 let mut beside = self.beside.lock();
                 let refused =
-                    records.into_iter().filter_map(|record| beside.ledger.take(record).err()).last();
+                    records.into_iter().filter_map(|record| beside.ledger.append(record).err()).last();
                 refused.map_or(Applied::Done, |error| Applied::Refused(error.to_string()))
             }
         }
--- a/crates/lilacpitch-site/src/record_store.rs
+++ b/crates/lilacpitch-site/src/record_store.rs
@@ -2,7 +2,7 @@
 
 use crate::log::{Applied, Command, Written};
 use crate::process::{now, wall_ms, Process};
-use lilacpitch_fleet::ack_aggregator::ChildId;
+use lilacpitch_fleet::ack_aggregator::{ChildId, FrontContact};
 use lilacpitch_fleet::audit::AuditRecord;
 use lilacpitch_fleet::message::{CommandAction, PurgeScope, RecordChange, RejectReason, Request, Response};
 use std::collections::{BTreeMap, BTreeSet};
@@ -232,7 +232,7 @@
         let now = now();
         let fronts = process.relay.lock().front_contacts(now);
         let mut due: Vec<(ChildId, String, u64)> = Vec::new();
-        for (id, out_for_ns) in fronts {
+        for FrontContact { id, silent_for_ns: out_for_ns } in fronts {
             if lives.get(&id.name).is_none_or(|life| *life < id.incarnation) {
                 lives.insert(id.name.clone(), id.incarnation);
                 due.push((id.clone(), id.name.clone(), id.incarnation));
--- a/crates/lilacpitch-site/src/summaries.rs
+++ b/crates/lilacpitch-site/src/summaries.rs
@@ -37,18 +37,18 @@
         let total = register.versions().iter().sum();
         let mut room = MAX_UPDATE_BYTES;
         let shard = |at: usize, version| register.summary(at, Some(version));
-        let (news, total, more) =
+        let shards =
             shard_updates_since(known, self.me.incarnation, total, register.shards(), &mut room, shard);
         Some(SiteSummaryUpdate {
             site: self.settings.site.clone(),
             incarnation: self.me.incarnation,
             shards: register.shards() as u32,
-            total,
+            total: shards.total,
             age_ns: now().saturating_sub(asked_ns),
             pending,
-            ordered,
-            shard_updates: news,
-            has_more: more,
+            purge_position: ordered,
+            shard_updates: shards.updates,
+            has_more: shards.has_more,
         })
     }
 }
@@ -93,12 +93,12 @@
             Way::Below(link) => link.request(ask, patience).await,
         };
         let Ok(Response::Summaries(news)) = said else { return };
-        let (more, wrong) = process.catalogue.write().take(asked_ns, news);
-        for error in wrong {
+        let applied = process.catalogue.write().apply_updates(asked_ns, news);
+        for error in applied.errors {
             process.counters.summaries_refused.fetch_add(1, Relaxed);
             tracing::warn!(%error, "summary refused");
         }
-        if !more {
+        if !applied.has_more {
             return;
         }
     }
--- a/crates/lilacpitch-site/tests/pinned_disk.rs
+++ b/crates/lilacpitch-site/tests/pinned_disk.rs
@@ -205,7 +205,7 @@
         window.append(order);
     }
     let mut ledger = AuditLog::default();
-    ledger.take(first_record()).unwrap();
+    ledger.append(first_record()).unwrap();
     Beside {
         outbox: outbox.map(|(change, digits)| (change, number(digits))).into(),
         changes: 6,
@@ -227,8 +227,8 @@
         window.append(order);
     }
     let mut ledger = AuditLog::default();
-    ledger.take(first_record()).unwrap();
-    ledger.take(later_record()).unwrap();
+    ledger.append(first_record()).unwrap();
+    ledger.append(later_record()).unwrap();
     Beside {
         outbox: outbox.map(|(change, digits)| (change, number(digits))).into(),
         changes: 9,
@@ -342,7 +342,7 @@
     state.beside(|beside| {
         assert_eq!(beside.window.position(), at(NEXT_LOG, 3));
         assert_eq!(*beside.window.withdrawn(), BTreeSet::from([401, 403]));
-        let acted: Vec<_> = beside.ledger.at(1_700_000_005_500).collect();
+        let acted: Vec<_> = beside.ledger.active_at(1_700_000_005_500).collect();
         assert_eq!(acted.len(), 1);
         assert_eq!((acted[0].front, acted[0].incarnation), ("edge-1", EDGE_1_LIFE));
         assert_eq!(*acted[0].version, first_record().changes[0].version);
--- a/crates/lilacpitch-testbed/src/fleet/simulated_cluster.rs
+++ b/crates/lilacpitch-testbed/src/fleet/simulated_cluster.rs
@@ -610,19 +610,19 @@
                     let (total, mut room) = (register.versions().iter().sum(), MAX_UPDATE_BYTES);
                     let shard = |at: usize, version| register.summary(at, Some(version));
                     let life = own_life;
-                    let (news, total, more) =
+                    let updates =
                         shard_updates_since(known, life, total, register.shards(), &mut room, shard);
                     let (shards, site) = (register.shards() as u32, own.clone());
                     all.push(SiteSummaryUpdate {
                         site,
                         incarnation: life,
                         shards,
-                        total,
+                        total: updates.total,
                         age_ns: 0,
                         pending,
-                        ordered,
-                        shard_updates: news,
-                        has_more: more,
+                        purge_position: ordered,
+                        shard_updates: updates.updates,
+                        has_more: updates.has_more,
                     });
                 }
                 all.extend(site.catalogue.updates_since(now, &known, |site| *site == own));
@@ -683,7 +683,7 @@
     }
 
     fn take_orders(&mut self, to: usize, log: u64, orders: Vec<FleetCommand>) -> Response {
-        let next = self.nodes[to].holder.orders(log, orders).unwrap_or_default();
+        let next = self.nodes[to].holder.select_next_commands(log, orders).unwrap_or_default();
         self.apply(to, next);
         Response::Applied(self.nodes[to].holder.position().unwrap_or_default())
     }
@@ -707,12 +707,12 @@
             Then::Lease { asked_ns } => self.leased(of, asked_ns, response),
             Then::Summaries { asked_ns, to, round } => {
                 if let Response::Summaries(news) = response {
-                    let (more, wrong) = match &mut self.nodes[of].kind {
-                        Kindly::Site(site) => site.catalogue.take(asked_ns, news),
-                        Kindly::Front(front) => front.catalogue.take(asked_ns, news),
+                    let applied = match &mut self.nodes[of].kind {
+                        Kindly::Site(site) => site.catalogue.apply_updates(asked_ns, news),
+                        Kindly::Front(front) => front.catalogue.apply_updates(asked_ns, news),
                     };
-                    assert!(wrong.is_empty(), "nothing is damaged here: {wrong:?}");
-                    if more && round < 8 {
+                    assert!(applied.errors.is_empty(), "nothing is damaged here: {:?}", applied.errors);
+                    if applied.has_more && round < 8 {
                         self.ask_summaries(of, to, round + 1);
                     }
                 }
@@ -855,7 +855,7 @@
                     format!("e{}", child - self.shape.above.len())
                 };
                 let id = ChildId { name, incarnation: *life };
-                let orders = site.relay.missing_commands(&id).map_or(Vec::new(), |(_, orders)| orders);
+                let orders = site.relay.missing_commands(&id).map_or(Vec::new(), |missing| missing.commands);
                 if !orders.is_empty() && !site.sending.contains(child) {
                     sends.push((*child, log, orders));
                 }
@@ -1033,7 +1033,7 @@
     ) {
         let Some(looking) = self.looks.get_mut(&look) else { return };
         let Some(locate) = &mut looking.locate else { return };
-        locate.answered(&format!("s{site}"), said);
+        locate.record_response(&format!("s{site}"), said);
         if locate.pending_sites().next().is_none() {
             self.end_look(look);
         }
