--- a/crates/lilacpitch-site/src/admin_pages.rs
+++ b/crates/lilacpitch-site/src/admin_pages.rs
@@ -1,46 +1,63 @@
-//! Pages for operators: what a process counts, who acted on which version, how far purges are.
+//! The operator's pages: metrics, the audit, how far purges are, and commands by POST. Each is one HTTP/1.1 request on a
+//! connection of its own.
 
-use crate::process::{now, Process};
+use crate::clock::now;
+use crate::process::Process;
+use lilacpitch_fleet::audit::ActiveVersion;
 use lilacpitch_fleet::error::AuditError;
-use lilacpitch_fleet::message::{CommandAction, PurgeScope, Request, Response};
-use lilacpitch_location::Number;
+use lilacpitch_fleet::message::{CommandAction, LogPosition, PurgeScope, Request, Response};
+use lilacpitch_location::{LocationError, Number};
 use lilacpitch_protocol::handshake::plain_response;
 use lilacpitch_protocol::http;
 use std::fmt::Write;
 use std::sync::atomic::Ordering::Relaxed;
 use std::sync::Arc;
 use std::time::Duration;
+use thiserror::Error;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 
-/// How long one reader may take.
-const PATIENCE: Duration = Duration::from_secs(5);
+/// How long one request may take, and the delay before the next accept after one failed.
+const TIMEOUT: Duration = Duration::from_secs(5);
+/// Longest name of an owner in a purge, in bytes.
+const MAX_OWNER_BYTES: usize = 64;
 const PAGES: &str = "GET /metrics, /audit?at=MS, /purges; POST /purge?number=N|prefix=P|holder=NAME|all, \
                      /withdraw?settings=HEX, /reinstate?settings=HEX\n";
 
-/// Serves readers, each on a task of its own.
+/// Why a POST names no command.
+#[derive(Debug, Error)]
+enum CommandError {
+    #[error(transparent)]
+    Number(LocationError),
+    #[error("settings {0:?}: not hex digits")]
+    SettingsDigest(String),
+    #[error("{path}?{query}: not an order\n{PAGES}")]
+    Unknown { path: String, query: String },
+}
+
+/// Serves requests, each on a task of its own.
 pub(crate) async fn serve(process: Arc<Process>, listener: TcpListener) {
     loop {
         match listener.accept().await {
             Ok((stream, _)) => {
                 let process = process.clone();
                 tokio::spawn(async move {
-                    let _ = tokio::time::timeout(PATIENCE, answer(stream, process)).await;
+                    let _ = tokio::time::timeout(TIMEOUT, serve_connection(stream, process)).await;
                 });
             }
             Err(error) => {
-                tracing::warn!(%error, "pages: not accepted");
-                tokio::time::sleep(PATIENCE).await;
+                tracing::warn!(%error, "accepting a connection for the pages failed");
+                tokio::time::sleep(TIMEOUT).await;
             }
         }
     }
 }
 
-async fn answer(mut stream: TcpStream, process: Arc<Process>) -> Option<()> {
+async fn serve_connection(mut stream: TcpStream, process: Arc<Process>) -> Option<()> {
     let mut bytes = Vec::new();
     let response = loop {
         match http::request(&bytes) {
-            Ok(Some((request, _))) => break page(&process, &request).await,
+            Ok(Some((request, _))) => break respond(&process, &request).await,
             Ok(None) => match stream.read_buf(&mut bytes).await {
                 Ok(read) if read > 0 => {}
                 _ => return None,
@@ -52,16 +69,16 @@
     stream.shutdown().await.ok()
 }
 
-async fn page(process: &Arc<Process>, request: &http::Request) -> Vec<u8> {
-    let (path, asked) = request.target.split_once('?').unwrap_or((&request.target, ""));
+async fn respond(process: &Arc<Process>, request: &http::Request) -> Vec<u8> {
+    let (path, query) = request.target.split_once('?').unwrap_or((&request.target, ""));
     let ok = |body: String| plain_response("200 OK", "", &body);
     match (request.method.as_str(), path) {
-        ("GET", "/metrics") => ok(metrics(process)),
-        ("GET", "/audit") => match moment(asked) {
-            Ok(at_ms) => ok(audit(process, at_ms)),
+        ("GET", "/metrics") => ok(metrics_page(process)),
+        ("GET", "/audit") => match parse_moment(query) {
+            Ok(at_ms) => ok(audit_page(process, at_ms)),
             Err(error) => plain_response("400 Bad Request", "", &format!("{error}\n")),
         },
-        ("GET", "/purges") => match process.up(Request::Progress).await {
+        ("GET", "/purges") => match process.submit_to_root(Request::Progress).await {
             Response::Progress { ordered, complete, missing, missing_count } => {
                 let mut body = format!("ordered {ordered}\ncomplete {complete}\nmissing {missing_count}\n");
                 for name in missing {
@@ -71,106 +88,119 @@
             }
             other => unavailable(&other),
         },
-        ("POST", "/purge" | "/withdraw" | "/reinstate") => match order(path, asked) {
-            Ok(what) => match process.up(Request::Submit(what)).await {
+        ("POST", "/purge" | "/withdraw" | "/reinstate") => match parse_command(path, query) {
+            Ok(action) => match process.submit_to_root(Request::Submit(action)).await {
                 Response::Committed(position) => ok(format!("ordered {position}\n")),
                 other => unavailable(&other),
             },
-            Err(what) => plain_response("400 Bad Request", "", &format!("{what}\n")),
+            Err(error) => plain_response("400 Bad Request", "", &format!("{error}\n")),
         },
         _ => plain_response("404 Not Found", "", PAGES),
     }
 }
 
-fn unavailable(other: &Response) -> Vec<u8> {
-    let why = match other {
-        Response::Rejected(why) => why.to_string(),
+fn unavailable(response: &Response) -> Vec<u8> {
+    let reason = match response {
+        Response::Rejected(reason) => reason.to_string(),
         other => format!("{other:?}"),
     };
-    plain_response("503 Service Unavailable", "", &format!("{why}\n"))
+    plain_response("503 Service Unavailable", "", &format!("{reason}\n"))
 }
 
-fn order(path: &str, asked: &str) -> Result<CommandAction, String> {
-    let (field, value) = asked.split_once('=').unwrap_or((asked, ""));
-    let digest = || u64::from_str_radix(value, 16).map_err(|_| format!("settings {value:?}: not hex digits"));
+/// The command that a path and its query name.
+fn parse_command(path: &str, query: &str) -> Result<CommandAction, CommandError> {
+    let (field, value) = query.split_once('=').unwrap_or((query, ""));
+    let digest = || u64::from_str_radix(value, 16).map_err(|_| CommandError::SettingsDigest(value.into()));
     match (path, field) {
         ("/purge", "number") => {
-            let number = Number::new(&value.replace("%23", "#")).map_err(|e| e.to_string())?;
+            let number = Number::new(&value.replace("%23", "#")).map_err(CommandError::Number)?;
             Ok(CommandAction::Purge(vec![PurgeScope::Number(number)]))
         }
         ("/purge", "prefix") if !value.is_empty() && Number::new(value).is_ok() => {
             Ok(CommandAction::Purge(vec![PurgeScope::Prefix(value.into())]))
         }
-        ("/purge", "holder") if !value.is_empty() && value.len() <= 64 => {
+        ("/purge", "holder") if !value.is_empty() && value.len() <= MAX_OWNER_BYTES => {
             Ok(CommandAction::Purge(vec![PurgeScope::Owner(value.into())]))
         }
         ("/purge", "all") => Ok(CommandAction::Purge(vec![PurgeScope::All])),
         ("/withdraw", "settings") => digest().map(CommandAction::Withdraw),
         ("/reinstate", "settings") => digest().map(CommandAction::Reinstate),
-        _ => Err(format!("{path}?{asked}: not an order\n{PAGES}")),
+        _ => Err(CommandError::Unknown { path: path.into(), query: query.into() }),
     }
 }
 
-/// The moment that is asked for; `None`: what was said last.
-fn moment(asked: &str) -> Result<Option<u64>, AuditError> {
-    match asked.strip_prefix("at=") {
-        None if asked.is_empty() => Ok(None),
-        None => Err(AuditError::Moment(asked.into())),
+/// The moment that a query names, in milliseconds since 1970; `None`: the latest.
+fn parse_moment(query: &str) -> Result<Option<u64>, AuditError> {
+    match query.strip_prefix("at=") {
+        None if query.is_empty() => Ok(None),
+        None => Err(AuditError::Moment(query.into())),
         Some(text) => text.parse().map(Some).map_err(|_| AuditError::Moment(text.into())),
     }
 }
 
-/// Which front acted on which version at a moment; without one, what each life has said last, and by how many orders
+/// Which front acted on which version at a moment; without one, the latest of each incarnation, and by how many commands
 /// it lags.
-fn audit(process: &Process, at_ms: Option<u64>) -> String {
+fn audit_page(process: &Process, at_ms: Option<u64>) -> String {
     let mut out = at_ms.map_or("# last said\n".into(), |at_ms| format!("# at {at_ms}\n"));
-    let position = process.relay.lock().position();
-    process.state.beside(|beside| {
-        let all: Vec<_> = match at_ms {
-            None => beside.ledger.latest().collect(),
-            Some(at_ms) => beside.ledger.active_at(at_ms).collect(),
+    let position = process.ack_aggregator.lock().position();
+    process.state.with_metadata(|metadata| {
+        let active: Vec<ActiveVersion> = match at_ms {
+            None => metadata.audit_log.latest().collect(),
+            Some(at_ms) => metadata.audit_log.active_at(at_ms).collect(),
         };
-        for acted in all {
-            let lags = match acted.interval.position.log == position.log {
-                true => position.index.saturating_sub(acted.interval.moved_to).to_string(),
-                false => "other-log".into(),
-            };
-            let (v, span) = (acted.version, acted.interval);
-            let _ = writeln!(
-                out,
-                "{}\tlife {}\tsettings {:016x}\tlist {:016x}\tbuild {}\tcaches {}\ttakes-calls {}\torders {}..{}\t\
-                 since {}\tseen {}\tlags {}",
-                acted.front, acted.incarnation, v.settings, v.endpoint_list, v.build, v.uses_cache, v.accepts_calls, span.position,
-                span.moved_to, span.from_ms, acted.seen_ms, lags
-            );
+        for active in active {
+            write_audit_line(&mut out, &active, position);
         }
     });
     out
 }
 
-fn metrics(process: &Process) -> String {
-    let (relay_position, children) = {
-        let relay = process.relay.lock();
-        (relay.position(), relay.children(now()).count())
+fn write_audit_line(out: &mut String, active: &ActiveVersion<'_>, position: LogPosition) {
+    let ActiveVersion { front, incarnation, version, interval, seen_ms } = active;
+    let lag = match interval.position.log == position.log {
+        true => position.index.saturating_sub(interval.moved_to).to_string(),
+        false => "other-log".into(),
+    };
+    // Writing to a String cannot fail.
+    let _ = writeln!(
+        out,
+        "{front}\tlife {incarnation}\tsettings {:016x}\tlist {:016x}\tbuild {}\tcaches {}\ttakes-calls {}\t\
+         orders {}..{}\tsince {}\tseen {seen_ms}\tlags {lag}",
+        version.settings,
+        version.endpoint_list,
+        version.build,
+        version.uses_cache,
+        version.accepts_calls,
+        interval.position,
+        interval.moved_to,
+        interval.from_ms,
+    );
+}
+
+fn metrics_page(process: &Process) -> String {
+    let (position, children) = {
+        let ack_aggregator = process.ack_aggregator.lock();
+        (ack_aggregator.position(), ack_aggregator.children(now()).count())
     };
-    let (pending, ordered) = process.state.beside(|beside| (beside.outbox.len(), beside.ordered));
-    let count = &process.counters;
+    let (pending, purge_position) =
+        process.state.with_metadata(|metadata| (metadata.pending_purges.len(), metadata.purge_position));
+    let counters = &process.counters;
     let all = [
-        ("rows", process.state.register.len() as u64),
+        ("rows", process.state.records.len() as u64),
         ("changes_not_ordered", pending as u64),
-        ("changes_ordered", ordered.index),
-        ("orders", relay_position.index),
+        ("changes_ordered", purge_position.index),
+        ("orders", position.index),
         ("children", children as u64),
-        ("leads", u64::from(process.leads())),
+        ("leads", u64::from(process.is_leader())),
         ("sites_unknown", process.catalogue.read().stale_sites(now()).len() as u64),
-        ("found_total", count.found.load(Relaxed)),
-        ("full_total", count.full.load(Relaxed)),
-        ("behind_total", count.behind.load(Relaxed)),
-        ("written_total", count.written.load(Relaxed)),
-        ("fenced_total", count.fenced.load(Relaxed)),
-        ("granted_total", count.granted.load(Relaxed)),
-        ("not_granted_total", count.not_granted.load(Relaxed)),
-        ("summaries_refused_total", count.summaries_refused.load(Relaxed)),
+        ("found_total", counters.found.load(Relaxed)),
+        ("full_total", counters.full.load(Relaxed)),
+        ("behind_total", counters.behind.load(Relaxed)),
+        ("written_total", counters.written.load(Relaxed)),
+        ("fenced_total", counters.fenced.load(Relaxed)),
+        ("granted_total", counters.granted.load(Relaxed)),
+        ("not_granted_total", counters.not_granted.load(Relaxed)),
+        ("summaries_refused_total", counters.summaries_refused.load(Relaxed)),
     ];
     let mut out = String::new();
     for (name, value) in all {
--- a/crates/lilacpitch-site/src/cli.rs
+++ b/crates/lilacpitch-site/src/cli.rs
@@ -1,8 +1,8 @@
 //! The command line of `lilacpitch-site`.
 
-use crate::process::{self, Ready};
+use crate::startup::{self, ListenAddresses, RunError};
 use clap::{Parser, Subcommand};
-use lilacpitch_config::{ConfigError, LogFormat, Site, EDGE_SCHEMA};
+use lilacpitch_config::{ConfigError, Log, LogFormat, Site, EDGE_SCHEMA};
 use lilacpitch_fleet::Safeguards;
 use miette::Diagnostic;
 use std::ffi::OsString;
@@ -43,42 +43,42 @@
     main_with(args, Safeguards::default())
 }
 
-/// With guards switched off: for the laboratory.
+/// Runs the program with some safeguards switched off: for the testbed.
 #[doc(hidden)]
-pub fn main_with(args: impl IntoIterator<Item = OsString>, guards: Safeguards) -> ExitCode {
+pub fn main_with(args: impl IntoIterator<Item = OsString>, safeguards: Safeguards) -> ExitCode {
     let args = match Args::try_parse_from(args) {
         Ok(args) => args,
         Err(error) => {
             let code = if error.use_stderr() { 2 } else { 0 };
-            // Nowhere to say that saying it failed.
+            // Where printing fails there is nowhere to report it.
             let _ = error.print();
             return ExitCode::from(code);
         }
     };
     match args.command {
         Command::Schema => {
-            say(EDGE_SCHEMA.trim_end());
+            print_line(EDGE_SCHEMA.trim_end());
             ExitCode::SUCCESS
         }
         Command::Check { config } => match Site::load(&config) {
             Ok(loaded) => {
                 let sites = loaded.value.sites.len();
-                say(&format!("{}: {sites} sites, no mistakes", config.display()));
+                print_line(&format!("{}: {sites} sites, no mistakes", config.display()));
                 ExitCode::SUCCESS
             }
-            Err(error) => complain(&error),
+            Err(error) => report_settings_error(&error),
         },
-        Command::Run { config } => run(&config, guards),
+        Command::Run { config } => run(&config, safeguards),
     }
 }
 
-fn say(line: &str) {
-    // Whoever reads may have gone: no reason to fail.
+fn print_line(line: &str) {
+    // The reader of standard output may have gone: no reason to fail.
     let mut out = std::io::stdout().lock();
     let _ = writeln!(out, "{line}").and_then(|()| out.flush());
 }
 
-fn complain(error: &ConfigError) -> ExitCode {
+fn report_settings_error(error: &ConfigError) -> ExitCode {
     if std::io::stderr().is_terminal() {
         eprintln!("{}", error.drawn());
     } else {
@@ -87,21 +87,13 @@
     ExitCode::from(2)
 }
 
-fn run(config: &Path, guards: Safeguards) -> ExitCode {
+fn run(config: &Path, safeguards: Safeguards) -> ExitCode {
     let settings = match Site::load(config) {
         Ok(loaded) => loaded.value,
-        Err(error) => return complain(&error),
+        Err(error) => return report_settings_error(&error),
     };
-    let filter = EnvFilter::try_new(&settings.log.level).unwrap_or_default();
-    let log = tracing_subscriber::fmt().with_env_filter(filter).with_writer(std::io::stderr).with_ansi(false);
-    let set = match settings.log.format {
-        LogFormat::Text => log.try_init(),
-        LogFormat::Json => log.json().try_init(),
-    };
-    if let Err(error) = set {
-        eprintln!("lilacpitch-site: logging: {error}");
-    }
-    // One more than asked for: a write to the disk holds one of them.
+    start_logging(&settings.log);
+    // One more than in the settings: a write to the disk holds one of them.
     let threads = settings.threads + 1;
     let runtime =
         match tokio::runtime::Builder::new_multi_thread().worker_threads(threads).enable_all().build() {
@@ -111,23 +103,7 @@
                 return ExitCode::FAILURE;
             }
         };
-    let ready = |ready: Ready| {
-        let pages = ready.pages.map(|p| format!(",\"pages\":\"{p}\"")).unwrap_or_default();
-        say(&format!("{{\"links\":\"{}\"{pages}}}", ready.links));
-    };
-    let ran = runtime.block_on(async {
-        let machine = |e: std::io::Error| process::RunError::Machine(format!("signals: {e}"));
-        let mut term = signal(SignalKind::terminate()).map_err(machine)?;
-        let mut int = signal(SignalKind::interrupt()).map_err(machine)?;
-        let stop = async {
-            tokio::select! {
-                _ = term.recv() => {}
-                _ = int.recv() => {}
-            }
-        };
-        process::run(settings, guards, ready, stop).await
-    });
-    match ran {
+    match runtime.block_on(run_until_signal(settings, safeguards)) {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
             let help = error.help().map(|help| format!("\nhelp: {help}")).unwrap_or_default();
@@ -136,3 +112,33 @@
         }
     }
 }
+
+fn start_logging(settings: &Log) {
+    let filter = EnvFilter::try_new(&settings.level).unwrap_or_default();
+    let log = tracing_subscriber::fmt().with_env_filter(filter).with_writer(std::io::stderr).with_ansi(false);
+    let result = match settings.format {
+        LogFormat::Text => log.try_init(),
+        LogFormat::Json => log.json().try_init(),
+    };
+    if let Err(error) = result {
+        eprintln!("lilacpitch-site: logging: {error}");
+    }
+}
+
+async fn run_until_signal(settings: Site, safeguards: Safeguards) -> Result<(), RunError> {
+    let mut terminate = signal(SignalKind::terminate()).map_err(RunError::Signals)?;
+    let mut interrupt = signal(SignalKind::interrupt()).map_err(RunError::Signals)?;
+    let stop = async {
+        tokio::select! {
+            _ = terminate.recv() => {}
+            _ = interrupt.recv() => {}
+        }
+    };
+    startup::run(settings, safeguards, print_addresses, stop).await
+}
+
+/// The one line that `run` prints once it listens.
+fn print_addresses(addresses: ListenAddresses) {
+    let pages = addresses.pages.map(|address| format!(",\"pages\":\"{address}\"")).unwrap_or_default();
+    print_line(&format!("{{\"links\":\"{}\"{pages}}}", addresses.rpc));
+}
--- /dev/null
+++ b/crates/lilacpitch-site/src/command_log.rs
@@ -0,0 +1,170 @@
+//! The path of commands (purges, withdrawals of settings) through this process: from the root's log or from the parent
+//! into the aggregator's log tail, and from there to each child over its connection.
+
+use crate::clock::{now, wall_clock_ms};
+use crate::log::Command;
+use crate::process::Process;
+use lilacpitch_fleet::ack_aggregator::{ChildId, MissingCommands};
+use lilacpitch_fleet::message::{FleetCommand, LogPosition, Request, Response};
+use lilacpitch_rpc::RpcConnection;
+use std::sync::Arc;
+use std::time::Duration;
+
+/// How long a process of the root waits for its log to bring a command that it was told of, or an entry that is
+/// committed already.
+const LOG_TIMEOUT: Duration = Duration::from_millis(500);
+/// The delay before commands are sent again to a child that applied none of them.
+const RETRY_DELAY: Duration = Duration::from_millis(20);
+
+/// At the root: takes commands from the site's log as entries are applied.
+pub(crate) async fn apply_from_log(process: Arc<Process>) {
+    if !process.is_root() {
+        return;
+    }
+    let mut applied = process.applied.clone();
+    loop {
+        applied.borrow_and_update();
+        take_new_commands(&process);
+        if applied.changed().await.is_err() {
+            return;
+        }
+    }
+}
+
+fn take_new_commands(process: &Process) {
+    let known = process.ack_aggregator.lock().position();
+    let (position, commands) = process.state.with_metadata(|metadata| {
+        let log = &metadata.command_log;
+        (log.position(), log.commands_after(known.index, usize::MAX))
+    });
+    if position == known {
+        return;
+    }
+    let now = now();
+    match commands.filter(|_| position.log == known.log) {
+        Some(commands) => {
+            let mut ack_aggregator = process.ack_aggregator.lock();
+            for command in commands {
+                ack_aggregator.append_command(now, command.action);
+            }
+        }
+        None => {
+            let log_tail = process.state.with_metadata(|metadata| metadata.command_log.clone());
+            process.ack_aggregator.lock().reset(log_tail);
+        }
+    }
+    process.announce_commands();
+}
+
+/// At the root's leader, where a child has applied commands that this log does not have: the root has lost some. A new
+/// log begins, and everybody starts again from its position. Does nothing where the log has them by now.
+pub(crate) async fn replace_lost_log(process: Arc<Process>, child_position: Option<LogPosition>) {
+    let Some(index) = process.read_index().await else { return };
+    if !process.wait_applied(index, LOG_TIMEOUT).await {
+        return;
+    }
+    let position = process.state.with_metadata(|metadata| metadata.command_log.position());
+    let is_ahead = |child: &LogPosition| child.log == position.log && child.index > position.index;
+    let Some(child_position) = child_position.filter(is_ahead) else { return };
+    tracing::error!(%child_position, %position, "commands lost at the root, creating a new command log");
+    if let Some(raft) = process.raft() {
+        let new_log = wall_clock_ms().max(position.log + 1);
+        if let Err(error) = raft.client_write(Command::BeginLog(new_log)).await {
+            tracing::warn!(%error, "creating the command log failed");
+        }
+    }
+}
+
+impl Process {
+    /// Whether the site's log has commands that this process of the root has not taken from it yet.
+    pub(crate) fn lags_command_log(&self) -> bool {
+        let position = self.state.with_metadata(|metadata| metadata.command_log.position());
+        !self.ack_aggregator.lock().position().includes(position)
+    }
+
+    /// Applies commands that the parent has sent, or the root's leader.
+    pub(crate) async fn receive_commands(&self, log: u64, commands: Vec<FleetCommand>) -> Response {
+        if self.is_root() {
+            // They come by the site's log: it is awaited, and the position reported.
+            let last = commands.last().map_or(0, |command| command.number);
+            let mut changed = self.commands_changed.subscribe();
+            let is_there = |_: &u64| self.ack_aggregator.lock().position().index >= last;
+            let _ = tokio::time::timeout(LOG_TIMEOUT, changed.wait_for(is_there)).await;
+            return Response::Applied(self.ack_aggregator.lock().position());
+        }
+        let next = self.lease_holder.lock().select_next_commands(log, commands);
+        match next {
+            Ok(next) => self.apply_commands(next),
+            Err(error) => tracing::debug!(%error, "commands rejected"),
+        }
+        Response::Applied(self.lease_holder.lock().position().unwrap_or_default())
+    }
+
+    /// Applies commands that are next. A site's process caches no answers: it passes the commands on, and moves its
+    /// position.
+    pub(crate) fn apply_commands(&self, commands: Vec<FleetCommand>) {
+        if commands.is_empty() {
+            return;
+        }
+        let now = now();
+        for command in commands {
+            self.lease_holder.lock().record_applied(&command);
+            self.ack_aggregator.lock().append_command(now, command.action);
+        }
+        self.announce_commands();
+    }
+
+    fn announce_commands(&self) {
+        self.commands_changed.send_modify(|count| *count += 1);
+        self.acks_changed.send_modify(|count| *count += 1);
+    }
+
+    /// A child was granted a lease: commands are pushed to it over this connection from now on.
+    pub(crate) fn register_child(self: &Arc<Self>, child: ChildId, connection: &Arc<RpcConnection>) {
+        let mut children = self.children.lock();
+        if children.get(&child).is_some_and(|known| Arc::ptr_eq(known, connection)) {
+            return;
+        }
+        children.retain(|_, connection| !connection.is_closed());
+        children.insert(child.clone(), connection.clone());
+        drop(children);
+        tracing::info!(child = child.name, incarnation = child.incarnation, "child connected");
+        tokio::spawn(push_commands(self.clone(), child, connection.clone()));
+    }
+}
+
+/// Sends a child the commands that it lacks, as they come, until its connection ends.
+async fn push_commands(process: Arc<Process>, child: ChildId, connection: Arc<RpcConnection>) {
+    let mut changed = process.commands_changed.subscribe();
+    loop {
+        changed.borrow_and_update();
+        let missing = {
+            let ack_aggregator = process.ack_aggregator.lock();
+            ack_aggregator.missing_commands(&child).map(|missing| (ack_aggregator.position().log, missing))
+        };
+        let Some((log, MissingCommands { applied, commands })) = missing else { return };
+        if commands.is_empty() {
+            tokio::select! {
+                changed = changed.changed() => if changed.is_err() { return },
+                () = connection.ended() => return,
+            }
+            continue;
+        }
+        match connection.request(Request::Commands { log, commands }, process.request_timeout()).await {
+            Ok(Response::Applied(position)) => {
+                process.ack_aggregator.lock().record_applied(&child, position);
+                process.acks_changed.send_modify(|count| *count += 1);
+                if position == applied {
+                    // It applied none: it renews its lease, and what it lacks comes with the response.
+                    tokio::time::sleep(RETRY_DELAY).await;
+                }
+            }
+            Ok(_) => tokio::time::sleep(RETRY_DELAY).await,
+            Err(error) => {
+                tracing::debug!(child = child.name, %error, "sending commands failed");
+                connection.close();
+                return;
+            }
+        }
+    }
+}
--- a/crates/lilacpitch-site/src/lib.rs
+++ b/crates/lilacpitch-site/src/lib.rs
@@ -1,21 +1,32 @@
-//! A process of a site: its part of the register and, at the root, of the log of orders; the way between the sites
-//! above and the sites and fronts below.
+//! A process of a site: it keeps the site's location records in a replicated log, grants leases to the fronts and the
+//! sites below, passes commands (purges, withdrawals of settings) on to them, and gets its own lease from above.
 //!
-//! - [`log`]: the replicated log of a site, on disk.
-//! - [`process`]: what one process is made of; [`serve`]: what it answers.
-//! - [`follow`]: leases from above, orders downwards, sums upwards. [`rows`]: writes, reads and what is to be purged for
-//!   them. [`summaries`]: summaries from above and below. [`pages`]: what an operator reads.
+//! - [`startup`]: starts a process and its tasks; [`process`]: its state; [`cli`]: the command line.
+//! - [`log`]: the replicated log, on disk; [`log_membership`]: how a process takes part in it, with a new disk too.
+//! - [`request_handler`]: the requests of other processes; [`admin_pages`]: the operator's pages.
+//! - [`lease_client`]: its own lease; [`command_log`]: commands downstream; [`ack_reporter`]: acknowledgements upstream.
+//! - [`record_store`]: writes, reads, purges, creation and removal of records, behind [`write_queue`] and
+//!   [`read_barrier`]; [`summaries`]: which numbers a site has records of.
 //!
-//! **Locks.** The relay, the holder, the catalogue, the children and what is beside the rows each have one, held
-//! neither across an await nor together with another of them.
+//! Arrows go one way: `startup` -> tasks -> `process` -> `log` and the queues.
+//!
+//! **Locks.** [`process::Process`] and [`log::state::SiteState`] name theirs. None is held across an await, nor while
+//! another one is taken.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
-pub mod admin_pages;
+mod ack_reporter;
+mod admin_pages;
 pub mod cli;
-pub mod lease_client;
+mod clock;
+mod command_log;
+mod lease_client;
 pub mod log;
+mod log_membership;
 pub mod process;
-pub mod record_store;
-pub mod request_handler;
-pub mod summaries;
+mod read_barrier;
+mod record_store;
+mod request_handler;
+pub mod startup;
+mod summaries;
+mod write_queue;
--- a/crates/lilacpitch-site/src/log/machine.rs
+++ b/crates/lilacpitch-site/src/log/machine.rs
@@ -1,10 +1,11 @@
-//! The state machine: applies entries to the [`State`], and makes and takes snapshots as files.
+//! The state machine of the log library: applies entries to the [`SiteState`], writes snapshots of it to the disk, and
+//! installs those of the leader.
 // The log library's own error is large, and rare.
 #![allow(clippy::result_large_err)]
 
-use super::state::{Beside, State};
-use super::store::{io, Store};
-use super::{Applied, Types};
+use super::state::{SiteMetadata, SiteState};
+use super::store::{storage_error, LogStore, StoreError};
+use super::{ApplyResult, Types};
 use lilacpitch_location::store::Records;
 use lilacpitch_location::LocationRecord;
 use openraft::storage::{RaftStateMachine, Snapshot};
@@ -20,106 +21,120 @@
 
 type Meta = SnapshotMeta<u64, openraft::BasicNode>;
 
-/// The machine of one process.
-pub struct Machine {
-    state: Arc<State>,
-    store: Store,
-    last: Option<LogId<u64>>,
+/// The state machine of one process.
+pub struct StateMachine {
+    state: Arc<SiteState>,
+    store: LogStore,
+    last_applied: Option<LogId<u64>>,
     membership: StoredMembership<u64, openraft::BasicNode>,
-    /// The index of the last entry applied, for who waits for one.
+    /// The index of the last entry applied: reads wait for it.
     applied: watch::Sender<u64>,
 }
 
-/// A moment of a machine, to be written out.
-pub struct Builder {
-    rows: Vec<Records>,
-    beside: Beside,
+/// The state at one moment, to be written as a snapshot.
+pub struct SnapshotBuilder {
+    records: Vec<Records>,
+    metadata: SiteMetadata,
     meta: Meta,
-    store: Store,
+    store: LogStore,
 }
 
-/// A snapshot as it is written. Rows are counted out one by one: no second copy of them is made.
+/// A snapshot as it is written. Records are serialized one by one: no second copy of them is made.
 #[derive(Serialize)]
-struct Out<'a> {
+struct SnapshotRef<'a> {
     meta: &'a Meta,
-    beside: &'a Beside,
-    #[serde(serialize_with = "each")]
-    rows: &'a [Records],
+    metadata: &'a SiteMetadata,
+    #[serde(serialize_with = "serialize_records")]
+    records: &'a [Records],
 }
 
-fn each<S: Serializer>(all: &&[Records], serializer: S) -> Result<S::Ok, S::Error> {
-    let mut out = serializer.serialize_seq(Some(all.iter().map(|rows| rows.len()).sum()))?;
-    for row in all.iter().flat_map(|rows| rows.values()) {
-        out.serialize_element(row)?;
+fn serialize_records<S: Serializer>(shards: &&[Records], serializer: S) -> Result<S::Ok, S::Error> {
+    let mut sequence = serializer.serialize_seq(Some(shards.iter().map(|shard| shard.len()).sum()))?;
+    for record in shards.iter().flat_map(|shard| shard.values()) {
+        sequence.serialize_element(record)?;
     }
-    out.end()
+    sequence.end()
 }
 
+/// A snapshot as it is read.
 #[derive(Deserialize)]
-struct In {
+struct SnapshotData {
     meta: Meta,
-    beside: Beside,
-    rows: Vec<LocationRecord>,
+    metadata: SiteMetadata,
+    records: Vec<LocationRecord>,
 }
 
-impl Machine {
-    /// Starts from the snapshot on disk, if there is one; what came after it the log applies again.
-    pub fn open(state: Arc<State>, store: Store) -> Result<(Self, watch::Receiver<u64>), String> {
-        let (applied, told) = watch::channel(0);
-        let mut machine =
-            Machine { state, store, last: None, membership: StoredMembership::default(), applied };
+impl StateMachine {
+    /// Starts from the snapshot on disk, if there is one; the log applies again what came after it. The second value
+    /// is the index of the last entry applied.
+    ///
+    /// # Errors
+    /// [`StoreError`], where the snapshot can't be read.
+    pub fn open(state: Arc<SiteState>, store: LogStore) -> Result<(Self, watch::Receiver<u64>), StoreError> {
+        let (applied, applied_index) = watch::channel(0);
+        let mut machine = StateMachine {
+            state,
+            store,
+            last_applied: None,
+            membership: StoredMembership::default(),
+            applied,
+        };
         if let Some(bytes) = machine.store.snapshot()? {
-            machine.take(&bytes)?;
+            machine.restore(&bytes)?;
         }
-        Ok((machine, told))
+        Ok((machine, applied_index))
     }
 
-    fn take(&mut self, bytes: &[u8]) -> Result<Meta, String> {
-        let read: In = postcard::from_bytes(bytes).map_err(|e| format!("snapshot: {e}"))?;
-        self.state.restore(read.rows, read.beside).map_err(|e| e.to_string())?;
-        self.last = read.meta.last_log_id;
-        self.membership = read.meta.last_membership.clone();
-        self.applied.send_replace(self.last.map_or(0, |last| last.index));
-        Ok(read.meta)
+    fn restore(&mut self, bytes: &[u8]) -> Result<(), StoreError> {
+        let snapshot: SnapshotData = postcard::from_bytes(bytes).map_err(StoreError::Snapshot)?;
+        self.state.restore(snapshot.records, snapshot.metadata)?;
+        self.last_applied = snapshot.meta.last_log_id;
+        self.membership = snapshot.meta.last_membership;
+        self.applied.send_replace(self.last_applied.map_or(0, |last| last.index));
+        Ok(())
     }
 }
 
-impl RaftStateMachine<Types> for Machine {
-    type SnapshotBuilder = Builder;
+impl RaftStateMachine<Types> for StateMachine {
+    type SnapshotBuilder = SnapshotBuilder;
 
     async fn applied_state(
         &mut self,
     ) -> Result<(Option<LogId<u64>>, StoredMembership<u64, openraft::BasicNode>), StorageError<u64>> {
-        Ok((self.last, self.membership.clone()))
+        Ok((self.last_applied, self.membership.clone()))
     }
 
-    async fn apply<I>(&mut self, entries: I) -> Result<Vec<Applied>, StorageError<u64>>
+    async fn apply<I>(&mut self, entries: I) -> Result<Vec<ApplyResult>, StorageError<u64>>
     where
         I: IntoIterator<Item = Entry<Types>> + OptionalSend,
         I::IntoIter: OptionalSend,
     {
-        let mut done = Vec::new();
+        let mut results = Vec::new();
         for entry in entries {
-            self.last = Some(entry.log_id);
-            done.push(match entry.payload {
-                EntryPayload::Blank => Applied::Done,
+            self.last_applied = Some(entry.log_id);
+            results.push(match entry.payload {
+                EntryPayload::Blank => ApplyResult::Done,
                 EntryPayload::Normal(command) => self.state.apply(command),
                 EntryPayload::Membership(membership) => {
-                    self.membership = StoredMembership::new(self.last, membership);
-                    Applied::Done
+                    self.membership = StoredMembership::new(self.last_applied, membership);
+                    ApplyResult::Done
                 }
             });
         }
-        self.applied.send_replace(self.last.map_or(0, |last| last.index));
-        Ok(done)
+        self.applied.send_replace(self.last_applied.map_or(0, |last| last.index));
+        Ok(results)
     }
 
-    async fn get_snapshot_builder(&mut self) -> Builder {
+    async fn get_snapshot_builder(&mut self) -> SnapshotBuilder {
         // No entry is applied while this is taken: all shards are of one moment. Writing it out comes later.
-        let id = self.last.map_or(String::new(), |last| format!("{}-{}", last.leader_id, last.index));
-        let meta = Meta { last_log_id: self.last, last_membership: self.membership.clone(), snapshot_id: id };
-        let beside = self.state.beside(Beside::clone);
-        Builder { rows: self.state.register.snapshot(), beside, meta, store: self.store.clone() }
+        let id = self.last_applied.map_or(String::new(), |last| format!("{}-{}", last.leader_id, last.index));
+        let meta = Meta {
+            last_log_id: self.last_applied,
+            last_membership: self.membership.clone(),
+            snapshot_id: id,
+        };
+        let metadata = self.state.with_metadata(SiteMetadata::clone);
+        SnapshotBuilder { records: self.state.records.snapshot(), metadata, meta, store: self.store.clone() }
     }
 
     async fn begin_receiving_snapshot(&mut self) -> Result<Box<Cursor<Vec<u8>>>, StorageError<u64>> {
@@ -133,28 +148,28 @@
     ) -> Result<(), StorageError<u64>> {
         let bytes = snapshot.into_inner();
         tokio::task::block_in_place(|| {
-            self.take(&bytes).map_err(io)?;
-            self.store.keep_snapshot(&bytes).map_err(io)
+            self.restore(&bytes).map_err(storage_error)?;
+            self.store.save_snapshot(&bytes).map_err(storage_error)
         })
     }
 
     async fn get_current_snapshot(&mut self) -> Result<Option<Snapshot<Types>>, StorageError<u64>> {
-        let Some(bytes) = self.store.snapshot().map_err(io)? else { return Ok(None) };
-        // Its head alone; the rows stay as they are.
-        let (meta, _) = postcard::take_from_bytes::<Meta>(&bytes).map_err(io)?;
+        let Some(bytes) = self.store.snapshot().map_err(storage_error)? else { return Ok(None) };
+        // Its head alone; the records stay encoded.
+        let (meta, _) = postcard::take_from_bytes::<Meta>(&bytes).map_err(storage_error)?;
         Ok(Some(Snapshot { meta, snapshot: Box::new(Cursor::new(bytes)) }))
     }
 }
 
-impl RaftSnapshotBuilder<Types> for Builder {
+impl RaftSnapshotBuilder<Types> for SnapshotBuilder {
     async fn build_snapshot(&mut self) -> Result<Snapshot<Types>, StorageError<u64>> {
         let bytes = tokio::task::block_in_place(|| {
-            let out = Out { meta: &self.meta, beside: &self.beside, rows: &self.rows };
-            let bytes = postcard::to_allocvec(&out).map_err(io)?;
-            self.store.keep_snapshot(&bytes).map_err(io)?;
+            let snapshot = SnapshotRef { meta: &self.meta, metadata: &self.metadata, records: &self.records };
+            let bytes = postcard::to_allocvec(&snapshot).map_err(storage_error)?;
+            self.store.save_snapshot(&bytes).map_err(storage_error)?;
             Ok::<_, StorageError<u64>>(bytes)
         })?;
-        tracing::info!(bytes = bytes.len(), id = self.meta.snapshot_id, "snapshot taken");
+        tracing::info!(bytes = bytes.len(), id = self.meta.snapshot_id, "snapshot written");
         Ok(Snapshot { meta: self.meta.clone(), snapshot: Box::new(Cursor::new(bytes)) })
     }
 }
--- a/crates/lilacpitch-site/src/log/mod.rs
+++ b/crates/lilacpitch-site/src/log/mod.rs
@@ -1,11 +1,12 @@
-//! The replicated log of a site: `openraft`, its entries and votes on disk in `redb`, its state in the register.
+//! The replicated log of a site: Raft by `openraft`, entries and votes on disk in `redb`, and the state that the entries
+//! build up.
 //!
-//! **What is durable when.** An entry is answered once it is committed: on the disks of most of the site's processes,
-//! synced, before the one that wrote it hears of it. So are votes. What was applied and not yet put into a snapshot is
+//! **What is durable when.** A write is acknowledged once its entry is committed: synced on the disks of most of the
+//! site's processes. Votes are synced before they are given. Entries that were applied and are not in a snapshot yet are
 //! applied again after a start. A snapshot is a file, checked by a hash, that takes its place by renaming. With a new
-//! disk a process votes for nobody, and leads nobody, before it has all that was acknowledged: `join`.
+//! disk a process votes for nobody, and leads nobody, before it has everything that was acknowledged:
+//! `log_membership`.
 
-pub(crate) mod join;
 pub mod machine;
 pub mod network;
 pub mod state;
@@ -21,62 +22,62 @@
     /// The types of a site's log.
     pub Types:
         D = Command,
-        R = Applied,
+        R = ApplyResult,
         NodeId = u64,
         Node = BasicNode,
         SnapshotData = Cursor<Vec<u8>>,
 );
 
-/// The log.
+/// A handle of the site's log.
 pub type Raft = openraft::Raft<Types>;
 
-/// What an entry does.
+/// The command of a log entry. The order of variants and fields is that on disk.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum Command {
-    /// Rows entered and withdrawn, by front.
-    Rows(Vec<Written>),
-    /// All rows go that a front wrote in lives before this one.
-    WithdrawFront(String, u64),
-    /// Changes up to this number are ordered, the last at this position.
-    Ordered(u64, LogPosition),
-    /// The register begins, empty, at this moment in milliseconds since 1970: what it may have held before is lost.
-    Begin(u64),
-    /// Whoever has rows here has had the time to write them again: what is not found is not there.
-    Ready,
-    /// At the root: orders, in turn.
-    Order(Vec<CommandAction>),
-    /// At the root: a new log of orders begins.
-    NewLog(u64),
-    /// At the root: what fronts say of themselves.
-    Audit(Vec<AuditRecord>),
+    /// Location records are upserted and withdrawn, by front.
+    WriteRecords(Vec<RecordWrite>),
+    /// All records are removed that a front wrote in incarnations before this one.
+    RemoveOlderIncarnations(String, u64),
+    /// Changes up to this number are purged, the last by the command at this position.
+    MarkPurged(u64, LogPosition),
+    /// The record store is created, empty, at this moment in milliseconds since 1970: what a former one held is lost.
+    CreateStore(u64),
+    /// All fronts with records here have had the time to write them again: a record that is not found does not exist.
+    MarkReady,
+    /// At the root: appends commands to the command log, in this order.
+    AppendCommands(Vec<CommandAction>),
+    /// At the root: a new command log begins, with this number.
+    BeginLog(u64),
+    /// At the root: audit records of fronts.
+    AppendAudit(Vec<AuditRecord>),
 }
 
-/// Changes of one front's rows, as it numbered them.
+/// Changes of one front's records, as it numbered them.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Written {
+pub struct RecordWrite {
     /// The front.
     pub front: String,
-    /// Its life.
-    pub life: u64,
-    /// The number of the first change.
-    pub first: u64,
+    /// Its incarnation, in nanoseconds since 1970.
+    pub incarnation: u64,
+    /// The number of the first change, from 1.
+    pub first_change: u64,
     /// The changes.
     pub changes: Vec<RecordChange>,
 }
 
-/// What an entry has done.
+/// The result of applying an entry.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
-pub enum Applied {
-    /// That.
+pub enum ApplyResult {
+    /// Applied.
     #[default]
     Done,
-    /// The last order's position.
-    At(LogPosition),
-    /// Nothing: why.
-    Refused(String),
+    /// Applied: the position of the last command appended.
+    Position(LogPosition),
+    /// Nothing was changed: the reason.
+    Rejected(String),
 }
 
-/// How the log goes on: heartbeats and elections in milliseconds, snapshots by entries.
+/// The settings of the log: heartbeats and elections in milliseconds, snapshots by entries.
 pub fn config() -> Config {
     Config {
         cluster_name: "site".into(),
--- a/crates/lilacpitch-site/src/log/network.rs
+++ b/crates/lilacpitch-site/src/log/network.rs
@@ -1,4 +1,5 @@
-//! The log's own messages, over the links between the processes of a site.
+//! Carries the messages of the log library over the connections between the processes of a site. They cross the wire in
+//! the library's own form, as bytes in [`LogMessage`].
 
 use super::Types;
 use lilacpitch_fleet::message::{LogMessage, Request, Response};
@@ -15,39 +16,42 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// The ways to the processes of a site, by their places.
+/// Connections to the processes of a site, by their index, which is their node id in the log.
 #[derive(Clone)]
 pub struct Network(pub Arc<[Arc<Dialer>]>);
 
-/// The way to one.
-pub struct Way(u64, Arc<Dialer>);
+/// The connection to one of them.
+pub struct RaftPeer {
+    node: u64,
+    dialer: Arc<Dialer>,
+}
 
 impl RaftNetworkFactory<Types> for Network {
-    type Network = Way;
+    type Network = RaftPeer;
 
-    async fn new_client(&mut self, target: u64, _node: &BasicNode) -> Way {
-        // Members are the site's processes: a place beyond them is never asked for, and the last stands in.
-        let at = (target as usize).min(self.0.len() - 1);
-        Way(target, self.0[at].clone())
+    async fn new_client(&mut self, target: u64, _node: &BasicNode) -> RaftPeer {
+        // Members are the site's processes: an index beyond them is never wanted, and the last is taken for it.
+        let index = (target as usize).min(self.0.len() - 1);
+        RaftPeer { node: target, dialer: self.0[index].clone() }
     }
 }
 
-type Failed<E> = RPCError<u64, BasicNode, RaftError<u64, E>>;
+type PeerError<E> = RPCError<u64, BasicNode, RaftError<u64, E>>;
 
-impl Way {
-    async fn say<Q: Serialize, A: DeserializeOwned, E: DeserializeOwned + std::error::Error>(
+impl RaftPeer {
+    async fn send<Req: Serialize, Resp: DeserializeOwned, E: DeserializeOwned + std::error::Error>(
         &self,
         wrap: impl Fn(Vec<u8>) -> LogMessage,
-        rpc: Q,
-        patience: Duration,
-    ) -> Result<A, Failed<E>> {
-        let malformed = |e: postcard::Error| Failed::<E>::Network(NetworkError::new(&e));
+        rpc: Req,
+        timeout: Duration,
+    ) -> Result<Resp, PeerError<E>> {
+        let malformed = |e: postcard::Error| PeerError::<E>::Network(NetworkError::new(&e));
         let bytes = postcard::to_allocvec(&rpc).map_err(malformed)?;
-        match self.1.request(Request::Log(wrap(bytes)), patience).await {
+        match self.dialer.request(Request::Log(wrap(bytes)), timeout).await {
             Ok(Response::Log(Ok(bytes))) => postcard::from_bytes(&bytes).map_err(malformed),
             Ok(Response::Log(Err(bytes))) => {
                 let error: RaftError<u64, E> = postcard::from_bytes(&bytes).map_err(malformed)?;
-                Err(RPCError::RemoteError(RemoteError::new(self.0, error)))
+                Err(RPCError::RemoteError(RemoteError::new(self.node, error)))
             }
             Ok(other) => {
                 let error = std::io::Error::other(format!("answered {other:?}"));
@@ -58,29 +62,29 @@
     }
 }
 
-impl RaftNetwork<Types> for Way {
+impl RaftNetwork<Types> for RaftPeer {
     async fn append_entries(
         &mut self,
         rpc: AppendEntriesRequest<Types>,
         option: RPCOption,
-    ) -> Result<AppendEntriesResponse<u64>, Failed<openraft::error::Infallible>> {
-        self.say(LogMessage::Append, rpc, option.hard_ttl()).await
+    ) -> Result<AppendEntriesResponse<u64>, PeerError<openraft::error::Infallible>> {
+        self.send(LogMessage::Append, rpc, option.hard_ttl()).await
     }
 
     async fn install_snapshot(
         &mut self,
         rpc: InstallSnapshotRequest<Types>,
         option: RPCOption,
-    ) -> Result<InstallSnapshotResponse<u64>, Failed<InstallSnapshotError>> {
-        self.say(LogMessage::Snapshot, rpc, option.hard_ttl()).await
+    ) -> Result<InstallSnapshotResponse<u64>, PeerError<InstallSnapshotError>> {
+        self.send(LogMessage::Snapshot, rpc, option.hard_ttl()).await
     }
 
     async fn vote(
         &mut self,
         rpc: VoteRequest<u64>,
         option: RPCOption,
-    ) -> Result<VoteResponse<u64>, Failed<openraft::error::Infallible>> {
-        self.say(LogMessage::Vote, rpc, option.hard_ttl()).await
+    ) -> Result<VoteResponse<u64>, PeerError<openraft::error::Infallible>> {
+        self.send(LogMessage::Vote, rpc, option.hard_ttl()).await
     }
 
     fn backoff(&self) -> openraft::network::Backoff {
--- a/crates/lilacpitch-site/src/log/state.rs
+++ b/crates/lilacpitch-site/src/log/state.rs
@@ -1,200 +1,236 @@
-//! What a site's log has made so far: the register, what of it is not ordered yet, and at the root the orders and the
-//! audit.
+//! The state that a site's log builds up: location records, the numbers among them whose purge is not committed yet, and
+//! at the root the command log and the audit log. Equal entries give equal state on every process of the site.
 
-use super::{Applied, Command, Written};
-use lilacpitch_fleet::audit::AuditLog;
+use super::{ApplyResult, Command, RecordWrite};
+use lilacpitch_fleet::audit::{AuditLog, AuditRecord};
 use lilacpitch_fleet::log_tail::LogTail;
 use lilacpitch_fleet::message::{CommandAction, LogPosition, PendingPurges, RecordChange, MAX_SCOPES};
 use lilacpitch_location::{Key, Kind, LocationError, LocationRecord, LocationStore, Number};
 use parking_lot::Mutex;
 use serde::{Deserialize, Serialize};
-use std::collections::BTreeMap;
-use std::collections::BTreeSet;
+use std::collections::{BTreeMap, BTreeSet};
 
-/// Numbers without an order that a summary names one by one.
-const PENDING_NAMED: usize = 256;
+/// Most pending numbers that a summary lists one by one.
+const MAX_LISTED_PENDING: usize = 256;
 
-/// What is beside the rows.
+/// The last change of a front's records that was applied.
+#[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
+pub struct WritePosition {
+    /// The front's incarnation.
+    pub incarnation: u64,
+    /// The number of the change in that incarnation.
+    pub change: u64,
+}
+
+/// The state beside the records. The order of fields is that of snapshots on disk.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
-pub struct Beside {
-    /// Numbers whose rows changed and whose purge is not ordered yet, by the change's number.
-    pub outbox: BTreeMap<u64, Number>,
+pub struct SiteMetadata {
+    /// Numbers whose records changed and whose purge is not committed yet, by the number of the change.
+    pub pending_purges: BTreeMap<u64, Number>,
     /// The number of the last change.
-    pub changes: u64,
-    /// The last order of this site's changes.
-    pub ordered: LogPosition,
-    /// At the root: the orders.
-    pub window: LogTail,
-    /// At the root: the audit.
-    pub ledger: AuditLog,
-    /// The last change of each front's rows: its life and its number there.
-    pub written: BTreeMap<String, (u64, u64)>,
-    /// How often a front's rows were swept out: those that live write them again.
-    pub sweeps: BTreeMap<String, u64>,
-    /// When this register began, in milliseconds since 1970: rows of another are not here.
-    pub begun: u64,
-    /// Whoever has rows here has had the time to write them.
-    pub ready: bool,
+    pub last_change: u64,
+    /// The position of the last purge command for this site's changes.
+    pub purge_position: LogPosition,
+    /// At the root: the last commands.
+    pub command_log: LogTail,
+    /// At the root: which front acted on which version.
+    pub audit_log: AuditLog,
+    /// The last applied change of each front's records.
+    pub applied_writes: BTreeMap<String, WritePosition>,
+    /// How often records of a front were removed: a front that is there writes them again.
+    pub removal_counts: BTreeMap<String, u64>,
+    /// When this record store was created, in milliseconds since 1970; 0: not yet.
+    pub created_ms: u64,
+    /// All fronts with records here have had the time to write them.
+    pub is_ready: bool,
+}
+
+/// Changes whose purge is not committed yet.
+#[derive(Debug, Clone, PartialEq, Eq)]
+pub struct UnpurgedChanges {
+    /// The number of the last of them.
+    pub last_change: u64,
+    /// The numbers that changed, each once.
+    pub numbers: BTreeSet<Number>,
 }
 
-/// The state of a site. The register is shared by threads; what is beside it stands under one lock, never held with
-/// a shard's.
+/// The state of a site.
+///
+/// **Locks.** The records are shared by threads, each shard under a lock of its own; the metadata have one lock. None
+/// is held while another is taken.
 #[derive(Debug)]
-pub struct State {
-    /// The rows.
-    pub register: LocationStore,
-    beside: Mutex<Beside>,
+pub struct SiteState {
+    /// The location records.
+    pub records: LocationStore,
+    metadata: Mutex<SiteMetadata>,
 }
 
-impl State {
-    /// An empty one.
+impl SiteState {
+    /// An empty state.
+    ///
+    /// # Errors
+    /// [`LocationError::Shards`], where there can't be so many shards.
     pub fn new(shards: usize) -> Result<Self, LocationError> {
-        Ok(State { register: LocationStore::new(shards)?, beside: Mutex::default() })
+        Ok(SiteState { records: LocationStore::new(shards)?, metadata: Mutex::default() })
     }
 
-    /// Looks at what is beside the rows.
-    pub fn beside<T>(&self, look: impl FnOnce(&Beside) -> T) -> T {
-        look(&self.beside.lock())
+    /// Reads the metadata, under their lock.
+    pub fn with_metadata<T>(&self, read: impl FnOnce(&SiteMetadata) -> T) -> T {
+        read(&self.metadata.lock())
     }
 
-    /// Applies an entry.
-    pub fn apply(&self, command: Command) -> Applied {
+    /// Applies the command of a log entry.
+    pub fn apply(&self, command: Command) -> ApplyResult {
         match command {
-            Command::Rows(all) => {
-                all.into_iter().for_each(|written| self.rows(written));
-                Applied::Done
-            }
-            Command::WithdrawFront(front, before) => {
-                let gone = self.register.remove_older_incarnations(&front, before);
-                let mut beside = self.beside.lock();
-                if !gone.is_empty() {
-                    *beside.sweeps.entry(front).or_default() += 1;
-                }
-                let numbers: BTreeSet<Number> = gone.into_iter().filter_map(purged).collect();
-                numbers.into_iter().for_each(|number| beside.changed(number));
-                Applied::Done
+            Command::WriteRecords(writes) => {
+                writes.into_iter().for_each(|write| self.write_records(write));
+                ApplyResult::Done
             }
-            Command::Ordered(upto, position) => {
-                let mut beside = self.beside.lock();
-                beside.outbox = beside.outbox.split_off(&(upto + 1));
-                beside.ordered = position;
-                Applied::Done
+            Command::RemoveOlderIncarnations(front, before) => {
+                self.remove_older_incarnations(front, before);
+                ApplyResult::Done
             }
-            Command::Order(all) => {
-                let mut beside = self.beside.lock();
-                let wrong = all
-                    .iter()
-                    .any(|what| matches!(what, CommandAction::Purge(scopes) if scopes.len() > MAX_SCOPES));
-                if wrong || beside.window.position().log == 0 {
-                    return Applied::Refused("an order with too many scopes, or no log to order in".into());
-                }
-                for what in all {
-                    beside.window.append(what);
-                }
-                Applied::At(beside.window.position())
+            Command::MarkPurged(last_change, position) => {
+                let mut metadata = self.metadata.lock();
+                metadata.pending_purges = metadata.pending_purges.split_off(&(last_change + 1));
+                metadata.purge_position = position;
+                ApplyResult::Done
             }
-            Command::NewLog(log) => {
-                let mut beside = self.beside.lock();
-                let withdrawn = beside.window.withdrawn().clone();
-                beside.window = LogTail::starting_at(LogPosition { log, index: 0 }, withdrawn);
-                Applied::Done
+            Command::AppendCommands(actions) => self.metadata.lock().append_commands(actions),
+            Command::BeginLog(log) => {
+                let mut metadata = self.metadata.lock();
+                let withdrawn = metadata.command_log.withdrawn().clone();
+                metadata.command_log = LogTail::starting_at(LogPosition { log, index: 0 }, withdrawn);
+                ApplyResult::Done
             }
-            Command::Begin(at_ms) => {
-                let mut beside = self.beside.lock();
-                if beside.begun == 0 {
-                    beside.begun = at_ms;
+            Command::CreateStore(at_ms) => {
+                let mut metadata = self.metadata.lock();
+                if metadata.created_ms == 0 {
+                    metadata.created_ms = at_ms;
                 }
-                Applied::Done
-            }
-            Command::Ready => {
-                self.beside.lock().ready = true;
-                Applied::Done
+                ApplyResult::Done
             }
-            Command::Audit(records) => {
-                let mut beside = self.beside.lock();
-                let refused =
-                    records.into_iter().filter_map(|record| beside.ledger.append(record).err()).last();
-                refused.map_or(Applied::Done, |error| Applied::Refused(error.to_string()))
+            Command::MarkReady => {
+                self.metadata.lock().is_ready = true;
+                ApplyResult::Done
             }
+            Command::AppendAudit(records) => self.metadata.lock().append_audit(records),
         }
     }
 
-    /// Applies a front's changes, each once and in their order: one that was overtaken on its way is out of date.
-    fn rows(&self, written: Written) {
-        let known = self.beside.lock().written.get(&written.front).copied().unwrap_or_default();
-        let last = if known.0 == written.life { known.1 } else { 0 };
-        if known.0 > written.life {
+    /// Applies a front's changes, each once and in their order: one that a later one has overtaken is out of date.
+    fn write_records(&self, write: RecordWrite) {
+        let known = self.metadata.lock().applied_writes.get(&write.front).copied().unwrap_or_default();
+        if known.incarnation > write.incarnation {
             return;
         }
-        let end = (written.first + written.changes.len() as u64).saturating_sub(1);
-        let seen = (last + 1).saturating_sub(written.first) as usize;
-        for change in written.changes.into_iter().skip(seen) {
-            let key = match change {
-                // Written again as it stands: nothing has changed for anybody.
-                RecordChange::Upsert(row) if self.has(&row) => continue,
-                RecordChange::Upsert(row) => {
-                    let key = row.key.clone();
-                    self.register.upsert(row);
-                    key
-                }
-                RecordChange::Withdraw(key) => match self.register.withdraw(&key) {
-                    Some(_) => key,
-                    None => continue,
-                },
-            };
-            if let Some(number) = purged(key) {
-                self.beside.lock().changed(number);
+        let is_new_incarnation = known.incarnation != write.incarnation;
+        let last_applied = if is_new_incarnation { 0 } else { known.change };
+        let last_written = (write.first_change + write.changes.len() as u64).saturating_sub(1);
+        let applied_count = (last_applied + 1).saturating_sub(write.first_change) as usize;
+        for change in write.changes.into_iter().skip(applied_count) {
+            let Some(key) = self.apply_change(change) else { continue };
+            if let Some(number) = purged_number(key) {
+                self.metadata.lock().add_pending_purge(number);
             }
         }
-        if end > last || known.0 != written.life {
-            self.beside.lock().written.insert(written.front, (written.life, end.max(last)));
+        if last_written > last_applied || is_new_incarnation {
+            let position =
+                WritePosition { incarnation: write.incarnation, change: last_written.max(last_applied) };
+            self.metadata.lock().applied_writes.insert(write.front, position);
+        }
+    }
+
+    /// Applies one change; the key of the record, where it has changed.
+    fn apply_change(&self, change: RecordChange) -> Option<Key> {
+        match change {
+            RecordChange::Upsert(record) if self.contains(&record) => None,
+            RecordChange::Upsert(record) => {
+                let key = record.key.clone();
+                self.records.upsert(record);
+                Some(key)
+            }
+            RecordChange::Withdraw(key) => self.records.withdraw(&key).map(|_| key),
         }
     }
 
-    fn has(&self, row: &LocationRecord) -> bool {
-        self.register.get(&row.key).is_some_and(|held| held == *row)
+    fn contains(&self, record: &LocationRecord) -> bool {
+        self.records.get(&record.key).is_some_and(|known| known == *record)
+    }
+
+    fn remove_older_incarnations(&self, front: String, before: u64) {
+        let removed = self.records.remove_older_incarnations(&front, before);
+        let mut metadata = self.metadata.lock();
+        if !removed.is_empty() {
+            *metadata.removal_counts.entry(front).or_default() += 1;
+        }
+        let numbers: BTreeSet<Number> = removed.into_iter().filter_map(purged_number).collect();
+        numbers.into_iter().for_each(|number| metadata.add_pending_purge(number));
     }
 
-    /// For summaries: what changed and is not ordered.
-    pub fn pending(&self) -> (PendingPurges, LogPosition) {
-        let beside = self.beside.lock();
-        let pending = match beside.outbox.len() {
-            0..=PENDING_NAMED => PendingPurges::Some(beside.outbox.values().map(Number::hash64).collect()),
+    /// For summaries: the pending purges, and the position of the last one that was committed.
+    pub fn summary_purges(&self) -> (PendingPurges, LogPosition) {
+        let metadata = self.metadata.lock();
+        let pending = match metadata.pending_purges.len() {
+            0..=MAX_LISTED_PENDING => {
+                PendingPurges::Some(metadata.pending_purges.values().map(Number::hash64).collect())
+            }
             _ => PendingPurges::Many,
         };
-        (pending, beside.ordered)
+        (pending, metadata.purge_position)
     }
 
-    /// Up to so many changes that are not ordered: the last one's number, and their numbers, each once.
-    pub fn unordered(&self, most: usize) -> Option<(u64, BTreeSet<Number>)> {
-        let beside = self.beside.lock();
-        let upto = *beside.outbox.keys().take(most).next_back()?;
-        Some((upto, beside.outbox.range(..=upto).map(|(_, number)| number.clone()).collect()))
+    /// Up to `limit` changes whose purge is not committed yet; `None`: there are none.
+    pub fn unpurged_changes(&self, limit: usize) -> Option<UnpurgedChanges> {
+        let metadata = self.metadata.lock();
+        let last_change = *metadata.pending_purges.keys().take(limit).next_back()?;
+        let changes = metadata.pending_purges.range(..=last_change);
+        Some(UnpurgedChanges { last_change, numbers: changes.map(|(_, number)| number.clone()).collect() })
     }
 
-    /// The register as a front knows it: another number means that its rows are to be written again.
-    pub fn register_of(&self, front: &str) -> u64 {
-        let beside = self.beside.lock();
-        beside.begun.wrapping_add(beside.sweeps.get(front).copied().unwrap_or(0))
+    /// The record store's id as a front is told it: once it changes, the front writes its records again.
+    pub fn store_id_for(&self, front: &str) -> u64 {
+        let metadata = self.metadata.lock();
+        metadata.created_ms.wrapping_add(metadata.removal_counts.get(front).copied().unwrap_or(0))
     }
 
-    /// Puts what a snapshot held in place of everything.
-    pub fn restore(&self, rows: Vec<LocationRecord>, beside: Beside) -> Result<(), LocationError> {
-        self.register.restore(rows)?;
-        *self.beside.lock() = beside;
+    /// Replaces everything by the contents of a snapshot.
+    ///
+    /// # Errors
+    /// [`LocationError`], where the records can't be held; the metadata are not replaced then.
+    pub fn restore(&self, records: Vec<LocationRecord>, metadata: SiteMetadata) -> Result<(), LocationError> {
+        self.records.restore(records)?;
+        *self.metadata.lock() = metadata;
         Ok(())
     }
 }
 
-/// The number that a change of a row has purged. What is cached is where numbers are reached: calls that begin and end
-/// change none of it.
-fn purged(key: Key) -> Option<Number> {
+/// The number that a change of a record has purged. Cached answers tell where numbers are reached: calls that begin and
+/// end change none of them.
+fn purged_number(key: Key) -> Option<Number> {
     (key.kind == Kind::Binding).then_some(key.number)
 }
 
-impl Beside {
-    fn changed(&mut self, number: Number) {
-        self.changes += 1;
-        self.outbox.insert(self.changes, number);
+impl SiteMetadata {
+    fn add_pending_purge(&mut self, number: Number) {
+        self.last_change += 1;
+        self.pending_purges.insert(self.last_change, number);
+    }
+
+    fn append_commands(&mut self, actions: Vec<CommandAction>) -> ApplyResult {
+        let is_too_long = |action: &CommandAction| matches!(action, CommandAction::Purge(scopes) if scopes.len() > MAX_SCOPES);
+        if actions.iter().any(is_too_long) || self.command_log.position().log == 0 {
+            return ApplyResult::Rejected("an order with too many scopes, or no log to order in".into());
+        }
+        for action in actions {
+            self.command_log.append(action);
+        }
+        ApplyResult::Position(self.command_log.position())
+    }
+
+    /// Appends all records that can be; the last error, where some could not.
+    fn append_audit(&mut self, records: Vec<AuditRecord>) -> ApplyResult {
+        let last_error = records.into_iter().filter_map(|record| self.audit_log.append(record).err()).last();
+        last_error.map_or(ApplyResult::Done, |error| ApplyResult::Rejected(error.to_string()))
     }
 }
--- a/crates/lilacpitch-site/src/log/store.rs
+++ b/crates/lilacpitch-site/src/log/store.rs
@@ -1,9 +1,11 @@
-//! Entries, votes and snapshots on disk.
+//! The disk of a process: log entries, the vote and other small values in a `redb` database, the snapshot in a file.
+//! Table names and keys are those of folders that are there already: they stay.
 // The log library's own error is large, and rare.
 #![allow(clippy::result_large_err)]
 
 use super::Types;
 use lilacpitch_fleet::error::LogError;
+use lilacpitch_location::LocationError;
 use openraft::storage::{LogFlushed, RaftLogStorage};
 use openraft::{Entry, LogId, LogState, OptionalSend, RaftLogReader, StorageError, StorageIOError, Vote};
 use redb::{Database, ReadableDatabase, ReadableTable, TableDefinition};
@@ -15,37 +17,91 @@
 use std::ops::{Bound, RangeBounds};
 use std::path::{Path, PathBuf};
 use std::sync::Arc;
+use thiserror::Error;
 use xxhash_rust::xxh3::xxh3_64;
 
+/// Log entries by index.
 const LOG: TableDefinition<u64, &[u8]> = TableDefinition::new("log");
+/// Single values by name.
 const META: TableDefinition<&str, &[u8]> = TableDefinition::new("meta");
+/// The name of the snapshot's file.
 const SNAPSHOT: &str = "snapshot";
 
+/// Why something on the disk could not be read or written. The process reports it as a [`LogError`], which tells an
+/// operator what to do.
+#[derive(Debug, Error)]
+pub enum StoreError {
+    /// The database failed.
+    #[error("{0}")]
+    Database(Box<dyn std::error::Error + Send + Sync>),
+    /// A value can't be decoded.
+    #[error("{name}: {source}")]
+    Value {
+        /// The value's name.
+        name: String,
+        /// The reason.
+        source: postcard::Error,
+    },
+    /// A file can't be read or written.
+    #[error("{}: {source}", path.display())]
+    File {
+        /// The file.
+        path: PathBuf,
+        /// The reason.
+        source: std::io::Error,
+    },
+    /// A snapshot's file was written in part, or changed.
+    #[error("{}: torn or changed: its hash is another", path.display())]
+    SnapshotHash {
+        /// The file.
+        path: PathBuf,
+    },
+    /// A snapshot can't be decoded.
+    #[error("snapshot: {0}")]
+    Snapshot(postcard::Error),
+    /// A snapshot's records can't be held.
+    #[error(transparent)]
+    Records(#[from] LocationError),
+}
+
+impl StoreError {
+    fn database(error: impl std::error::Error + Send + Sync + 'static) -> Self {
+        StoreError::Database(Box::new(error))
+    }
+}
+
 /// The disk of one process.
 #[derive(Clone)]
-pub struct Store {
+pub struct LogStore {
     log: Arc<Database>,
     folder: PathBuf,
 }
 
-/// An error of the disk, as the log library wants it: the process stops on it, and says why.
-pub fn io(error: impl Display) -> StorageError<u64> {
+/// An error of the disk in the log library's form: the process stops on it, and reports it.
+pub fn storage_error(error: impl Display) -> StorageError<u64> {
     let error = std::io::Error::other(error.to_string());
     StorageError::IO { source: StorageIOError::write(&error) }
 }
 
-impl Store {
-    /// Opens or makes a process's folder. One of another process or site is refused, and so is a damaged one.
+impl LogStore {
+    /// Opens or creates a process's folder; `owner` names the process and its site.
+    ///
+    /// # Errors
+    /// [`LogError::Foreign`] where the folder has another owner, [`LogError::Damaged`] where it can't be read, and
+    /// [`LogError::Disk`] where it can't be written.
     pub fn open(folder: &Path, owner: &str) -> Result<Self, LogError> {
-        let disk = |e: std::io::Error| LogError::Disk(format!("{}: {e}", folder.display()));
-        std::fs::create_dir_all(folder).map_err(disk)?;
+        let disk_error = |error: std::io::Error| LogError::Disk(format!("{}: {error}", folder.display()));
+        std::fs::create_dir_all(folder).map_err(disk_error)?;
         let path = folder.join("log.redb");
-        let damaged = |what: String| LogError::Damaged { path: path.display().to_string(), what };
-        let log = Database::create(&path).map_err(|e| damaged(e.to_string()))?;
-        let store = Store { log: Arc::new(log), folder: folder.to_path_buf() };
-        store.make().map_err(&damaged)?;
+        let damaged = |error: StoreError| LogError::Damaged {
+            path: path.display().to_string(),
+            what: error.to_string(),
+        };
+        let log = Database::create(&path).map_err(|error| damaged(StoreError::database(error)))?;
+        let store = LogStore { log: Arc::new(log), folder: folder.to_path_buf() };
+        store.create_tables().map_err(&damaged)?;
         match store.read::<String>("owner").map_err(&damaged)? {
-            None => store.write("owner", &owner).map_err(|e| LogError::Disk(e.to_string()))?,
+            None => store.write("owner", &owner).map_err(|error| LogError::Disk(error.to_string()))?,
             Some(found) if found == owner => {}
             Some(found) => {
                 let (path, ours) = (folder.display().to_string(), owner.to_string());
@@ -55,106 +111,130 @@
         Ok(store)
     }
 
-    fn make(&self) -> Result<(), String> {
-        let all = self.log.begin_write().map_err(|e| e.to_string())?;
-        all.open_table(LOG).map_err(|e| e.to_string())?;
-        all.open_table(META).map_err(|e| e.to_string())?;
-        all.commit().map_err(|e| e.to_string())
+    fn create_tables(&self) -> Result<(), StoreError> {
+        let transaction = self.log.begin_write().map_err(StoreError::database)?;
+        transaction.open_table(LOG).map_err(StoreError::database)?;
+        transaction.open_table(META).map_err(StoreError::database)?;
+        transaction.commit().map_err(StoreError::database)
     }
 
-    fn read<T: DeserializeOwned>(&self, name: &str) -> Result<Option<T>, String> {
-        let at = self.log.begin_read().map_err(|e| e.to_string())?;
-        let meta = at.open_table(META).map_err(|e| e.to_string())?;
-        let found = meta.get(name).map_err(|e| e.to_string())?;
-        found.map(|bytes| postcard::from_bytes(bytes.value()).map_err(|e| format!("{name}: {e}"))).transpose()
+    fn read<T: DeserializeOwned>(&self, name: &str) -> Result<Option<T>, StoreError> {
+        let transaction = self.log.begin_read().map_err(StoreError::database)?;
+        let meta = transaction.open_table(META).map_err(StoreError::database)?;
+        let Some(bytes) = meta.get(name).map_err(StoreError::database)? else { return Ok(None) };
+        match postcard::from_bytes(bytes.value()) {
+            Ok(value) => Ok(Some(value)),
+            Err(source) => Err(StoreError::Value { name: name.into(), source }),
+        }
     }
 
     fn write<T: Serialize>(&self, name: &str, value: &T) -> Result<(), StorageError<u64>> {
-        let bytes = postcard::to_allocvec(value).map_err(io)?;
-        tokio_block(|| {
-            let all = self.log.begin_write().map_err(io)?;
-            all.open_table(META).map_err(io)?.insert(name, &*bytes).map_err(io)?;
-            all.commit().map_err(io)
+        let bytes = postcard::to_allocvec(value).map_err(storage_error)?;
+        run_blocking(|| {
+            let transaction = self.log.begin_write().map_err(storage_error)?;
+            transaction
+                .open_table(META)
+                .map_err(storage_error)?
+                .insert(name, &*bytes)
+                .map_err(storage_error)?;
+            transaction.commit().map_err(storage_error)
         })
     }
 
-    /// Whether this disk holds all that its process ever promised to the site.
-    pub fn joined(&self) -> Result<bool, String> {
+    /// Whether this disk holds everything that its process ever acknowledged or voted for.
+    ///
+    /// # Errors
+    /// [`StoreError`], where that can't be read.
+    pub fn has_joined(&self) -> Result<bool, StoreError> {
         Ok(self.read::<bool>("joined")?.unwrap_or(false))
     }
 
-    /// It does from now on.
-    pub fn keep_joined(&self) -> Result<(), StorageError<u64>> {
+    /// Notes that it does from now on.
+    ///
+    /// # Errors
+    /// The log library's error, where that can't be written.
+    pub fn save_joined(&self) -> Result<(), StorageError<u64>> {
         self.write("joined", &true)
     }
 
-    /// The life that begins now: later than all before it, also where the wall clock was set back meanwhile.
-    pub fn begin_life(&self, wall_ns: u64) -> Result<u64, LogError> {
-        let disk = |e: String| LogError::Disk(format!("{}: {e}", self.folder.display()));
-        let before: u64 = self.read("life").map_err(disk)?.unwrap_or(0);
-        let life = wall_ns.max(before + 1);
-        self.write("life", &life).map_err(|e| disk(e.to_string()))?;
-        Ok(life)
+    /// The incarnation that begins now, by the wall clock in nanoseconds since 1970, and always later than the one
+    /// before: the wall clock may have been set back.
+    ///
+    /// # Errors
+    /// [`LogError::Disk`], where the former one can't be read or this one not be written.
+    pub fn begin_incarnation(&self, wall_ns: u64) -> Result<u64, LogError> {
+        let disk_error = |error: &dyn Display| LogError::Disk(format!("{}: {error}", self.folder.display()));
+        let former: u64 = self.read("life").map_err(|error| disk_error(&error))?.unwrap_or(0);
+        let incarnation = wall_ns.max(former + 1);
+        self.write("life", &incarnation).map_err(|error| disk_error(&error))?;
+        Ok(incarnation)
     }
 
     fn snapshot_path(&self) -> PathBuf {
         self.folder.join(SNAPSHOT)
     }
 
-    /// The snapshot on disk; `None`: there is none. One that is torn or changed is an error.
-    pub fn snapshot(&self) -> Result<Option<Vec<u8>>, String> {
+    /// The bytes of the snapshot on disk; `None`: there is none.
+    ///
+    /// # Errors
+    /// [`StoreError::SnapshotHash`] where it was written in part or changed, [`StoreError::File`] where it can't be
+    /// read.
+    pub fn snapshot(&self) -> Result<Option<Vec<u8>>, StoreError> {
         let path = self.snapshot_path();
         let bytes = match std::fs::read(&path) {
             Ok(bytes) => bytes,
             Err(error) if error.kind() == std::io::ErrorKind::NotFound => return Ok(None),
-            Err(error) => return Err(format!("{}: {error}", path.display())),
+            Err(source) => return Err(StoreError::File { path, source }),
         };
         match bytes.split_last_chunk::<8>() {
-            Some((held, hash)) if xxh3_64(held).to_le_bytes() == *hash => Ok(Some(held.to_vec())),
-            _ => Err(format!("{}: torn or changed: its hash is another", path.display())),
+            Some((data, hash)) if xxh3_64(data).to_le_bytes() == *hash => Ok(Some(data.to_vec())),
+            _ => Err(StoreError::SnapshotHash { path }),
         }
     }
 
-    /// Puts a snapshot in place of the one there is: whole and synced, or not at all.
-    pub fn keep_snapshot(&self, bytes: &[u8]) -> Result<(), String> {
-        let (path, new) = (self.snapshot_path(), self.folder.join("snapshot.new"));
+    /// Replaces the snapshot on disk: whole and synced, or not at all.
+    ///
+    /// # Errors
+    /// [`StoreError::File`], where it can't be written.
+    pub fn save_snapshot(&self, bytes: &[u8]) -> Result<(), StoreError> {
+        let (path, new_path) = (self.snapshot_path(), self.folder.join("snapshot.new"));
         let write = || {
-            let mut file = File::create(&new)?;
+            let mut file = File::create(&new_path)?;
             file.write_all(bytes)?;
             file.write_all(&xxh3_64(bytes).to_le_bytes())?;
             file.sync_all()?;
-            std::fs::rename(&new, &path)?;
+            std::fs::rename(&new_path, &path)?;
             File::open(&self.folder)?.sync_all()
         };
-        write().map_err(|e: std::io::Error| format!("{}: {e}", path.display()))
+        write().map_err(|source| StoreError::File { path: path.clone(), source })
     }
 
     fn entries(&self, range: impl RangeBounds<u64>) -> Result<Vec<Entry<Types>>, StorageError<u64>> {
-        let at = self.log.begin_read().map_err(io)?;
-        let log = at.open_table(LOG).map_err(io)?;
-        let mut all = Vec::new();
-        for entry in log.range(range).map_err(io)? {
-            let (_, bytes) = entry.map_err(io)?;
-            all.push(postcard::from_bytes(bytes.value()).map_err(io)?);
+        let transaction = self.log.begin_read().map_err(storage_error)?;
+        let log = transaction.open_table(LOG).map_err(storage_error)?;
+        let mut entries = Vec::new();
+        for entry in log.range(range).map_err(storage_error)? {
+            let (_, bytes) = entry.map_err(storage_error)?;
+            entries.push(postcard::from_bytes(bytes.value()).map_err(storage_error)?);
         }
-        Ok(all)
+        Ok(entries)
     }
 
-    /// Takes entries out of the log.
-    fn drop_entries(&self, range: (Bound<u64>, Bound<u64>)) -> Result<(), StorageError<u64>> {
-        tokio_block(|| {
-            let all = self.log.begin_write().map_err(io)?;
+    /// Removes entries from the log.
+    fn remove_entries(&self, range: (Bound<u64>, Bound<u64>)) -> Result<(), StorageError<u64>> {
+        run_blocking(|| {
+            let transaction = self.log.begin_write().map_err(storage_error)?;
             {
-                let mut log = all.open_table(LOG).map_err(io)?;
-                log.retain_in(range, |_, _| false).map_err(io)?;
+                let mut log = transaction.open_table(LOG).map_err(storage_error)?;
+                log.retain_in(range, |_, _| false).map_err(storage_error)?;
             }
-            all.commit().map_err(io)
+            transaction.commit().map_err(storage_error)
         })
     }
 }
 
-/// Waits for the disk on this thread, once the runtime has put its other tasks elsewhere.
-fn tokio_block<T>(write: impl FnOnce() -> T) -> T {
+/// Writes to the disk on this thread, once the runtime has moved its other tasks to other threads.
+fn run_blocking<T>(write: impl FnOnce() -> T) -> T {
     match tokio::runtime::Handle::try_current() {
         Ok(handle) if handle.runtime_flavor() == tokio::runtime::RuntimeFlavor::MultiThread => {
             tokio::task::block_in_place(write)
@@ -163,7 +243,7 @@
     }
 }
 
-impl RaftLogReader<Types> for Store {
+impl RaftLogReader<Types> for LogStore {
     async fn try_get_log_entries<RB: RangeBounds<u64> + Clone + Debug + OptionalSend>(
         &mut self,
         range: RB,
@@ -172,21 +252,21 @@
     }
 }
 
-impl RaftLogStorage<Types> for Store {
-    type LogReader = Store;
+impl RaftLogStorage<Types> for LogStore {
+    type LogReader = LogStore;
 
     async fn get_log_state(&mut self) -> Result<LogState<Types>, StorageError<u64>> {
-        let purged: Option<LogId<u64>> = self.read("purged").map_err(io)?;
-        let at = self.log.begin_read().map_err(io)?;
-        let log = at.open_table(LOG).map_err(io)?;
-        let last = log.last().map_err(io)?;
+        let purged: Option<LogId<u64>> = self.read("purged").map_err(storage_error)?;
+        let transaction = self.log.begin_read().map_err(storage_error)?;
+        let log = transaction.open_table(LOG).map_err(storage_error)?;
+        let last = log.last().map_err(storage_error)?;
         let last: Option<Entry<Types>> =
-            last.map(|(_, bytes)| postcard::from_bytes(bytes.value()).map_err(io)).transpose()?;
+            last.map(|(_, bytes)| postcard::from_bytes(bytes.value()).map_err(storage_error)).transpose()?;
         let last_log_id = last.map(|entry| entry.log_id).or(purged);
         Ok(LogState { last_purged_log_id: purged, last_log_id })
     }
 
-    async fn get_log_reader(&mut self) -> Store {
+    async fn get_log_reader(&mut self) -> LogStore {
         self.clone()
     }
 
@@ -195,7 +275,7 @@
     }
 
     async fn read_vote(&mut self) -> Result<Option<Vote<u64>>, StorageError<u64>> {
-        self.read("vote").map_err(io)
+        self.read("vote").map_err(storage_error)
     }
 
     async fn append<I>(&mut self, entries: I, callback: LogFlushed<Types>) -> Result<(), StorageError<u64>>
@@ -203,44 +283,29 @@
         I: IntoIterator<Item = Entry<Types>> + OptionalSend,
         I::IntoIter: OptionalSend,
     {
-        let written = tokio_block(|| {
-            let all = self.log.begin_write().map_err(io)?;
+        let written = run_blocking(|| {
+            let transaction = self.log.begin_write().map_err(storage_error)?;
             {
-                let mut log = all.open_table(LOG).map_err(io)?;
+                let mut log = transaction.open_table(LOG).map_err(storage_error)?;
                 for entry in entries {
-                    let bytes = postcard::to_allocvec(&entry).map_err(io)?;
-                    log.insert(entry.log_id.index, &*bytes).map_err(io)?;
+                    let bytes = postcard::to_allocvec(&entry).map_err(storage_error)?;
+                    log.insert(entry.log_id.index, &*bytes).map_err(storage_error)?;
                 }
             }
-            // Synced when this comes back.
-            all.commit().map_err(io)
+            // Synced when this returns.
+            transaction.commit().map_err(storage_error)
         });
-        let told = written.as_ref().copied().map_err(|e| std::io::Error::other(e.to_string()));
-        callback.log_io_completed(told);
+        let result = written.as_ref().copied().map_err(|e| std::io::Error::other(e.to_string()));
+        callback.log_io_completed(result);
         written
     }
 
     async fn truncate(&mut self, from: LogId<u64>) -> Result<(), StorageError<u64>> {
-        self.drop_entries((Bound::Included(from.index), Bound::Unbounded))
+        self.remove_entries((Bound::Included(from.index), Bound::Unbounded))
     }
 
     async fn purge(&mut self, upto: LogId<u64>) -> Result<(), StorageError<u64>> {
         self.write("purged", &upto)?;
-        self.drop_entries((Bound::Unbounded, Bound::Included(upto.index)))
-    }
-}
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn a_life_is_later_than_the_one_before_whatever_the_clock_says() {
-        let folder = tempfile::tempdir().unwrap();
-        let lives = [1_000, 500, 2_000].map(|wall_ns| {
-            // Each opens the folder anew, as a start does.
-            Store::open(folder.path(), "root/0/root-0").unwrap().begin_life(wall_ns).unwrap()
-        });
-        assert_eq!(lives, [1_000, 1_001, 2_000]);
+        self.remove_entries((Bound::Unbounded, Bound::Included(upto.index)))
     }
 }
--- /dev/null
+++ b/crates/lilacpitch-site/src/record_store/purges.rs
@@ -0,0 +1,42 @@
+//! While this process leads its site: has the root purge the numbers whose records have changed. A purge may be
+//! committed twice, never not at all: a change stays pending until the position of its purge is in the site's log.
+
+use super::RETRY_DELAY;
+use crate::log::Command;
+use crate::process::Process;
+use lilacpitch_fleet::message::{CommandAction, PurgeScope, Request, Response};
+use std::sync::Arc;
+
+/// Most changed numbers in one purge.
+const MAX_PURGE_NUMBERS: usize = 512;
+
+/// Submits purges until the log ends.
+pub(crate) async fn run(process: Arc<Process>) {
+    let mut applied = process.applied.clone();
+    loop {
+        applied.borrow_and_update();
+        let unpurged =
+            if process.is_leader() { process.state.unpurged_changes(MAX_PURGE_NUMBERS) } else { None };
+        let Some(unpurged) = unpurged else {
+            // Leadership moves without an entry of this process.
+            let _ = tokio::time::timeout(RETRY_DELAY * 4, applied.changed()).await;
+            continue;
+        };
+        let scopes = unpurged.numbers.into_iter().map(PurgeScope::Number).collect();
+        match process.submit_to_root(Request::Submit(CommandAction::Purge(scopes))).await {
+            Response::Committed(position) => {
+                let Some(raft) = process.raft() else { continue };
+                let mark = Command::MarkPurged(unpurged.last_change, position);
+                if let Err(error) = raft.client_write(mark).await {
+                    // Whoever leads submits it again.
+                    tracing::debug!(%error, "recording the purge position failed");
+                    tokio::time::sleep(RETRY_DELAY).await;
+                }
+            }
+            response => {
+                tracing::debug!(?response, "purge not committed");
+                tokio::time::sleep(RETRY_DELAY).await;
+            }
+        }
+    }
+}
--- /dev/null
+++ b/crates/lilacpitch-site/src/record_store/removal.rs
@@ -0,0 +1,92 @@
+//! Removes the location records of fronts that are gone: those of former incarnations at once, those of a front that
+//! requests no lease after the retention time of the settings.
+
+use crate::clock::now;
+use crate::process::Process;
+use lilacpitch_fleet::ack_aggregator::{ChildId, FrontContact};
+use lilacpitch_fleet::message::{RejectReason, Request, Response};
+use std::collections::{BTreeMap, BTreeSet};
+use std::sync::Arc;
+use std::time::Duration;
+
+/// Sweeps a lease's length.
+const SWEEPS_PER_LEASE: u64 = 5;
+/// The shortest interval between sweeps, in nanoseconds.
+const MIN_SWEEP_INTERVAL_NS: u64 = 10_000_000;
+
+/// One removal: all records of the front's incarnations before `before`.
+struct Removal {
+    /// For whose sake: what is noted of it is taken back where the removal fails.
+    cause: ChildId,
+    front: String,
+    before: u64,
+}
+
+/// What has been removed already.
+#[derive(Default)]
+struct Sweep {
+    /// The latest incarnation of each front whose former ones were removed.
+    latest: BTreeMap<String, u64>,
+    /// Fronts that were removed for their silence.
+    expired: BTreeSet<ChildId>,
+}
+
+impl Sweep {
+    fn due_removals(&mut self, contacts: Vec<FrontContact>, retention_ns: u64) -> Vec<Removal> {
+        let mut due = Vec::new();
+        for FrontContact { id, silent_for_ns } in contacts {
+            let latest = self.latest.get(&id.name);
+            if latest.is_none_or(|incarnation| *incarnation < id.incarnation) {
+                self.latest.insert(id.name.clone(), id.incarnation);
+                due.push(Removal { cause: id.clone(), front: id.name.clone(), before: id.incarnation });
+            }
+            if silent_for_ns < retention_ns {
+                self.expired.remove(&id);
+                continue;
+            }
+            let is_latest = self.latest.get(&id.name) == Some(&id.incarnation);
+            if is_latest && self.expired.insert(id.clone()) {
+                due.push(Removal { front: id.name.clone(), before: id.incarnation + 1, cause: id });
+            }
+        }
+        due
+    }
+
+    /// A removal failed: it is due again with the next sweep.
+    fn forget(&mut self, cause: &ChildId) {
+        self.expired.remove(cause);
+        self.latest.remove(&cause.name);
+    }
+}
+
+/// Sweeps at intervals, as long as the process runs.
+pub(crate) async fn run(process: Arc<Process>) {
+    let terms = &process.settings.terms;
+    let interval_ns = (terms.lease_ns / SWEEPS_PER_LEASE).max(MIN_SWEEP_INTERVAL_NS);
+    let mut sweep = Sweep::default();
+    loop {
+        tokio::time::sleep(Duration::from_nanos(interval_ns)).await;
+        let now = now();
+        let contacts = process.ack_aggregator.lock().front_contacts(now);
+        for removal in sweep.due_removals(contacts, terms.rows_kept_ns) {
+            let response = remove(&process, removal.front, removal.before).await;
+            if response != Response::Written {
+                sweep.forget(&removal.cause);
+            }
+        }
+    }
+}
+
+/// Removes by way of the site's leader.
+async fn remove(process: &Process, front: String, before: u64) -> Response {
+    match process.leader() {
+        Some(index) if index == process.settings.place => {
+            process.write_queue.remove_older_incarnations(front, before).await
+        }
+        Some(index) => {
+            let request = Request::RemoveOlderIncarnations(front, before);
+            process.forward_to_sibling(index, process.as_child(), request).await
+        }
+        None => Response::Rejected(RejectReason::NoLeader),
+    }
+}
--- a/crates/lilacpitch-site/src/request_handler.rs
+++ b/crates/lilacpitch-site/src/request_handler.rs
@@ -1,10 +1,12 @@
-//! What a process answers to others.
+//! Handles the requests of other processes: of children (fronts and the sites below), of siblings in the same site, and
+//! of the parent, which sends commands. What is for the root or for the site's leader is passed on.
 
+use crate::clock::now;
 use crate::log::Types;
-use crate::process::{now, Process};
+use crate::process::Process;
 use lilacpitch_fleet::ack_aggregator::{AggregatedAck, ChildId};
 use lilacpitch_fleet::message::{
-    LogMessage, RecordChange, RejectReason, Request, Response, Role, MAX_RECORDS,
+    LogMessage, LogPosition, RecordChange, RejectReason, Request, Response, Role, MAX_RECORDS,
 };
 use lilacpitch_location::{Key, Query, QueryTarget};
 use lilacpitch_rpc::{RequestHandler, ResponseFuture, RpcConnection};
@@ -13,282 +15,303 @@
 use serde::Serialize;
 use std::sync::atomic::Ordering::Relaxed;
 use std::sync::Arc;
-use std::time::Duration;
 
-/// What one that is told 'full' is told to wait.
-const FULL_WAIT_MS: u32 = 20;
+/// When to retry a query that came while too many were worked on, in milliseconds.
+const RETRY_AFTER_MS: u32 = 20;
 
 impl RequestHandler for Process {
     fn handle(self: Arc<Self>, from: Arc<RpcConnection>, request: Request) -> ResponseFuture {
-        Box::pin(async move { self.answer(from, request).await })
+        Box::pin(async move { self.respond(from, request).await })
     }
 }
 
-/// A place in the room for questions, left when this is dropped.
-struct Place(Arc<Process>, bool);
+/// A slot of the concurrency limit, released when this is dropped.
+struct QuerySlot {
+    process: Arc<Process>,
+    urgent: bool,
+}
 
-impl Place {
-    fn take(process: &Arc<Process>, urgent: bool) -> Option<Self> {
-        process.room.lock().try_acquire(urgent).then(|| Place(process.clone(), urgent))
+impl QuerySlot {
+    fn try_acquire(process: &Arc<Process>, urgent: bool) -> Option<Self> {
+        let is_acquired = process.concurrency_limit.lock().try_acquire(urgent);
+        is_acquired.then(|| QuerySlot { process: process.clone(), urgent })
     }
 }
 
-impl Drop for Place {
+impl Drop for QuerySlot {
     fn drop(&mut self) {
-        self.0.room.lock().release(self.1);
+        self.process.concurrency_limit.lock().release(self.urgent);
     }
 }
 
-fn refused(why: RejectReason) -> Response {
-    Response::Rejected(why)
+fn rejected(reason: RejectReason) -> Response {
+    Response::Rejected(reason)
 }
 
 impl Process {
-    async fn answer(self: Arc<Self>, from: Arc<RpcConnection>, ask: Request) -> Response {
-        let who = ChildId { name: from.peer.name.clone(), incarnation: from.peer.incarnation };
+    async fn respond(self: Arc<Self>, from: Arc<RpcConnection>, request: Request) -> Response {
+        let child = ChildId { name: from.peer.name.clone(), incarnation: from.peer.incarnation };
         let is_sibling = matches!(&from.peer.role, Role::Process(site, _) if *site == self.settings.site);
-        match ask {
-            Request::RenewLease(applied) => self.renew(&from, who, applied),
+        match request {
+            Request::RenewLease(applied) => self.renew_child_lease(&from, child, applied),
             Request::ReportAcknowledged { acknowledged, missing, missing_count } => {
-                self.relay
-                    .lock()
-                    .record_aggregated_ack(&who, AggregatedAck { acknowledged, missing, missing_count });
-                self.acked.send_modify(|count| *count += 1);
+                let ack = AggregatedAck { acknowledged, missing, missing_count };
+                self.ack_aggregator.lock().record_aggregated_ack(&child, ack);
+                self.acks_changed.send_modify(|count| *count += 1);
                 Response::Done
             }
             Request::ReleaseLease => {
-                self.relay.lock().remove_child(&who);
-                self.acked.send_modify(|count| *count += 1);
+                self.ack_aggregator.lock().remove_child(&child);
+                self.acks_changed.send_modify(|count| *count += 1);
                 Response::Done
             }
-            Request::Commands { log, commands } => self.take_orders(log, commands).await,
-            Request::Submit(_) | Request::Progress | Request::Audit(_) => self.up(ask).await,
-            Request::Write { first, changes } => self.write(who, first, changes).await,
-            Request::Forwarded(name, life, request) if is_sibling => {
-                self.forwarded(ChildId { name, incarnation: life }, *request).await
-            }
+            Request::Commands { log, commands } => self.receive_commands(log, commands).await,
+            Request::Submit(_) | Request::Progress | Request::Audit(_) => self.submit_to_root(request).await,
+            Request::Write { first, changes } => self.write_records(child, first, changes).await,
             Request::FindRecords { query, after, limit, urgent } => {
-                let Some(_place) = Place::take(&self, urgent) else {
+                let Some(_slot) = QuerySlot::try_acquire(&self, urgent) else {
                     self.counters.full.fetch_add(1, Relaxed);
-                    return refused(RejectReason::Overloaded { wait_ms: FULL_WAIT_MS });
+                    return rejected(RejectReason::Overloaded { wait_ms: RETRY_AFTER_MS });
                 };
-                self.find(query, after, limit).await
+                self.find_records(query, after, limit).await
             }
-            Request::Summaries(known) => self.summaries(known).await,
-            Request::ReadIndex if is_sibling => match self.read_index().await {
-                Some(index) => Response::ReadIndex(index),
-                None => refused(RejectReason::Behind),
-            },
-            Request::HeldVote if is_sibling => match &from.peer.role {
-                Role::Process(_, place) => self.standing(*place as usize).await,
-                Role::Front => refused(RejectReason::Unsupported),
-            },
-            Request::Log(message) if is_sibling => self.log_message(message).await,
+            Request::Summaries(known) => self.summaries_since(known).await,
+            sibling_request if is_sibling => self.respond_to_sibling(&from, sibling_request).await,
             Request::Forwarded(..)
             | Request::RemoveOlderIncarnations(..)
             | Request::ReadIndex
             | Request::HeldVote
-            | Request::Log(_) => refused(RejectReason::Unsupported),
+            | Request::Log(_) => rejected(RejectReason::Unsupported),
+        }
+    }
+
+    /// Requests that only a process of the same site may make.
+    async fn respond_to_sibling(self: &Arc<Self>, from: &Arc<RpcConnection>, request: Request) -> Response {
+        match request {
+            Request::Forwarded(name, incarnation, request) => {
+                self.respond_to_forwarded(ChildId { name, incarnation }, *request).await
+            }
+            Request::ReadIndex => match self.read_index().await {
+                Some(index) => Response::ReadIndex(index),
+                None => rejected(RejectReason::Behind),
+            },
+            Request::HeldVote => match &from.peer.role {
+                Role::Process(_, index) => self.report_held_vote(*index as usize).await,
+                Role::Front => rejected(RejectReason::Unsupported),
+            },
+            Request::Log(message) => self.handle_log_message(message).await,
+            _ => rejected(RejectReason::Unsupported),
         }
     }
 
-    async fn find(self: &Arc<Self>, query: Query, after: Option<Key>, limit: u32) -> Response {
-        if self.guards.summary_age && !self.can_tell().await {
+    async fn find_records(self: &Arc<Self>, query: Query, after: Option<Key>, limit: u32) -> Response {
+        if self.safeguards.summary_age && !self.is_current().await {
             self.counters.behind.fetch_add(1, Relaxed);
-            return refused(RejectReason::Behind);
+            return rejected(RejectReason::Behind);
         }
         let limit = (limit as usize).clamp(1, MAX_RECORDS);
         let page = match &query.target {
-            QueryTarget::Number(_) => self.state.register.find(&query, after.as_ref(), limit),
+            QueryTarget::Number(_) => self.state.records.find(&query, after.as_ref(), limit),
             // All shards are walked through: on a thread that nothing else waits for.
             QueryTarget::Prefix(_) => {
                 let process = self.clone();
-                let walk = move || process.state.register.find(&query, after.as_ref(), limit);
-                match tokio::task::spawn_blocking(walk).await {
+                let search = move || process.state.records.find(&query, after.as_ref(), limit);
+                match tokio::task::spawn_blocking(search).await {
                     Ok(page) => page,
-                    Err(error) => return refused(RejectReason::Failed(error.to_string())),
+                    Err(error) => return rejected(RejectReason::Failed(error.to_string())),
                 }
             }
         };
         self.counters.found.fetch_add(1, Relaxed);
-        Response::Found { page, process: self.me.name.clone() }
+        Response::Found { page, process: self.identity.name.clone() }
     }
 
-    fn renew(
+    fn renew_child_lease(
         self: &Arc<Self>,
         from: &Arc<RpcConnection>,
-        who: ChildId,
-        applied: Option<lilacpitch_fleet::message::LogPosition>,
+        child: ChildId,
+        applied: Option<LogPosition>,
     ) -> Response {
         let is_front = from.peer.role == Role::Front;
-        let register = self.state.register_of(&who.name);
-        let said = self.relay.lock().renew_lease(now(), &who, is_front, applied, register);
-        match &said {
+        let store_id = self.state.store_id_for(&child.name);
+        let response = self.ack_aggregator.lock().renew_lease(now(), &child, is_front, applied, store_id);
+        match &response {
             Response::LeaseGranted { for_ns, .. } => {
                 let counter = if *for_ns > 0 { &self.counters.granted } else { &self.counters.not_granted };
                 counter.fetch_add(1, Relaxed);
-                self.child_is_here(who, from);
-                self.acked.send_modify(|count| *count += 1);
+                self.register_child(child, from);
+                self.acks_changed.send_modify(|count| *count += 1);
             }
             Response::Rejected(RejectReason::Ahead) => {
                 self.counters.not_granted.fetch_add(1, Relaxed);
-                if self.is_root() && self.leads() {
-                    tokio::spawn(crate::lease_client::begin_log_anew(self.clone(), applied));
+                if self.is_root() && self.is_leader() {
+                    tokio::spawn(crate::command_log::replace_lost_log(self.clone(), applied));
                 }
             }
-            _ => drop(self.counters.not_granted.fetch_add(1, Relaxed)),
+            _ => {
+                self.counters.not_granted.fetch_add(1, Relaxed);
+            }
         }
-        said
+        response
     }
 
-    /// To be asked at the root: this process if it leads there, else the way up.
-    pub(crate) async fn up(self: &Arc<Self>, ask: Request) -> Response {
+    /// Has the root's leader respond to a request: this process if it is the one, else the next on the path to it.
+    pub(crate) async fn submit_to_root(self: &Arc<Self>, request: Request) -> Response {
         if self.is_root() {
-            match self.leader() {
-                Some(place) if place == self.settings.place => return self.at_root(ask).await,
-                Some(place) => {
-                    let forward =
-                        Request::Forwarded(self.me.name.clone(), self.me.incarnation, Box::new(ask));
-                    return self.ask(place, forward).await;
-                }
-                None => return refused(RejectReason::NoLeader),
-            }
+            return match self.leader() {
+                Some(index) if index == self.settings.place => self.respond_as_root(request).await,
+                Some(index) => self.forward_to_sibling(index, self.as_child(), request).await,
+                None => rejected(RejectReason::NoLeader),
+            };
         }
         let parent = self.parent();
+        // Twice the time of one request: the parent passes it on to its leader.
         parent
-            .request(ask, self.patience() * 2)
+            .request(request, self.request_timeout() * 2)
             .await
-            .unwrap_or_else(|e| refused(RejectReason::Failed(e.to_string())))
+            .unwrap_or_else(|error| rejected(RejectReason::Failed(error.to_string())))
     }
 
-    /// Asks a sibling.
-    pub(crate) async fn ask(&self, place: usize, request: Request) -> Response {
-        let Some(way) = self.siblings.get(place) else { return refused(RejectReason::NoLeader) };
-        way.request(request, self.patience())
+    /// This process as its parent knows it.
+    pub(crate) fn as_child(&self) -> ChildId {
+        ChildId { name: self.identity.name.clone(), incarnation: self.identity.incarnation }
+    }
+
+    /// Sends a request to the sibling of this index.
+    pub(crate) async fn request_sibling(&self, index: usize, request: Request) -> Response {
+        let Some(sibling) = self.siblings.get(index) else { return rejected(RejectReason::NoLeader) };
+        sibling
+            .request(request, self.request_timeout())
             .await
-            .unwrap_or_else(|e| refused(RejectReason::Failed(e.to_string())))
+            .unwrap_or_else(|error| rejected(RejectReason::Failed(error.to_string())))
+    }
+
+    /// Sends a request to a sibling, which leads, on behalf of a front or a process.
+    pub(crate) async fn forward_to_sibling(
+        &self,
+        index: usize,
+        on_behalf_of: ChildId,
+        request: Request,
+    ) -> Response {
+        let ChildId { name, incarnation } = on_behalf_of;
+        self.request_sibling(index, Request::Forwarded(name, incarnation, Box::new(request))).await
     }
 
-    async fn at_root(self: &Arc<Self>, ask: Request) -> Response {
-        match ask {
-            Request::Submit(what) => self.writes.order(what).await,
-            Request::Audit(records) => self.writes.audit(records).await,
-            // Fresh in the lead, it knows of nobody below yet, or has not taken all orders from its log.
-            Request::Progress if !self.is_origin() || self.lacks_orders() => refused(RejectReason::NoLeader),
+    async fn respond_as_root(self: &Arc<Self>, request: Request) -> Response {
+        match request {
+            Request::Submit(action) => self.write_queue.append_command(action).await,
+            Request::Audit(records) => self.write_queue.append_audit(records).await,
+            // A new leader knows of no children yet, or has not taken all commands from its log.
+            Request::Progress if !self.is_origin() || self.lags_command_log() => {
+                rejected(RejectReason::NoLeader)
+            }
             Request::Progress => {
-                let mut relay = self.relay.lock();
-                let sum = relay.aggregate(now());
+                let mut ack_aggregator = self.ack_aggregator.lock();
+                let ack = ack_aggregator.aggregate(now());
                 Response::Progress {
-                    ordered: relay.position(),
-                    complete: sum.acknowledged.index,
-                    missing: sum.missing,
-                    missing_count: sum.missing_count,
+                    ordered: ack_aggregator.position(),
+                    complete: ack.acknowledged.index,
+                    missing: ack.missing,
+                    missing_count: ack.missing_count,
                 }
             }
-            _ => refused(RejectReason::Unsupported),
+            _ => rejected(RejectReason::Unsupported),
         }
     }
 
-    async fn forwarded(self: &Arc<Self>, who: ChildId, request: Request) -> Response {
-        if !self.leads() {
-            return refused(RejectReason::NoLeader);
+    async fn respond_to_forwarded(self: &Arc<Self>, on_behalf_of: ChildId, request: Request) -> Response {
+        if !self.is_leader() {
+            return rejected(RejectReason::NoLeader);
         }
         match request {
-            // The sibling that took it has looked at the front's lease.
-            Request::Write { first, changes } => self.writes.rows(who, first, changes).await,
+            // The sibling that received it has checked the records and the front's lease.
+            Request::Write { first, changes } => {
+                self.write_queue.write_records(on_behalf_of, first, changes).await
+            }
             Request::RemoveOlderIncarnations(front, before) => {
-                self.writes.withdraw_front(front, before).await
+                self.write_queue.remove_older_incarnations(front, before).await
             }
-            other if self.is_root() => self.at_root(other).await,
-            other => {
-                tracing::debug!(who = who.name, ?other, "forwarded, and not wanted");
-                refused(RejectReason::Unsupported)
+            request if self.is_root() => self.respond_as_root(request).await,
+            request => {
+                tracing::debug!(on_behalf_of = on_behalf_of.name, ?request, "forwarded request rejected");
+                rejected(RejectReason::Unsupported)
             }
         }
     }
 
-    async fn write(self: &Arc<Self>, who: ChildId, first: u64, changes: Vec<RecordChange>) -> Response {
-        if changes.len() > MAX_RECORDS {
-            return refused(RejectReason::Malformed(format!(
-                "{} rows, {MAX_RECORDS} at most",
-                changes.len()
-            )));
-        }
-        for change in &changes {
-            let (key, wrong) = match change {
-                RecordChange::Upsert(row) => (&row.key, row.check().err()),
-                RecordChange::Withdraw(key) => (key, None),
-            };
-            let foreign = key.owner.front != who.name || key.owner.incarnation != who.incarnation;
-            let what = wrong.map(|e| e.to_string());
-            if let Some(what) = what.or(foreign.then(|| format!("a row of {}", key.owner.front))) {
-                return refused(RejectReason::Malformed(what));
-            }
+    /// Writes a front's record changes, by way of the site's leader.
+    async fn write_records(
+        self: &Arc<Self>,
+        front: ChildId,
+        first: u64,
+        changes: Vec<RecordChange>,
+    ) -> Response {
+        if let Err(reason) = check_changes(&front, &changes) {
+            return rejected(reason);
         }
-        if !self.relay.lock().accepts_writes_from(now(), &who) {
+        if !self.ack_aggregator.lock().accepts_writes_from(now(), &front) {
             self.counters.fenced.fetch_add(1, Relaxed);
-            return refused(RejectReason::Fenced);
+            return rejected(RejectReason::Fenced);
         }
         match self.leader() {
-            Some(place) if place == self.settings.place => self.writes.rows(who, first, changes).await,
-            Some(place) => {
-                let forward = Request::Forwarded(
-                    who.name,
-                    who.incarnation,
-                    Box::new(Request::Write { first, changes }),
-                );
-                self.ask(place, forward).await
+            Some(index) if index == self.settings.place => {
+                self.write_queue.write_records(front, first, changes).await
             }
-            None => refused(RejectReason::NoLeader),
+            Some(index) => self.forward_to_sibling(index, front, Request::Write { first, changes }).await,
+            None => rejected(RejectReason::NoLeader),
         }
     }
 
-    async fn log_message(&self, message: LogMessage) -> Response {
-        let Some(raft) = self.raft() else { return refused(RejectReason::NoLeader) };
-        fn read<T: DeserializeOwned>(bytes: &[u8]) -> Result<T, RejectReason> {
-            postcard::from_bytes(bytes).map_err(|e| RejectReason::Malformed(e.to_string()))
-        }
-        fn said<A: Serialize, E: Serialize>(result: Result<A, E>) -> Response {
-            let bytes = match &result {
-                Ok(answer) => postcard::to_allocvec(answer).map(Ok),
-                Err(error) => postcard::to_allocvec(error).map(Err),
-            };
-            bytes.map_or_else(|e| refused(RejectReason::Malformed(e.to_string())), Response::Log)
-        }
+    async fn handle_log_message(&self, message: LogMessage) -> Response {
+        let Some(raft) = self.raft() else { return rejected(RejectReason::NoLeader) };
         match message {
-            LogMessage::Append(bytes) => match read::<AppendEntriesRequest<Types>>(&bytes) {
-                Ok(rpc) => said(raft.append_entries(rpc).await),
-                Err(refusal) => refused(refusal),
+            LogMessage::Append(bytes) => match decode::<AppendEntriesRequest<Types>>(&bytes) {
+                Ok(rpc) => encode_result(raft.append_entries(rpc).await),
+                Err(reason) => rejected(reason),
             },
             // On a former disk this process may have promised what such a vote would break.
-            LogMessage::Vote(_) if !self.joined.load(Relaxed) => refused(RejectReason::Behind),
-            LogMessage::Vote(bytes) => match read::<VoteRequest<u64>>(&bytes) {
-                Ok(rpc) => said(raft.vote(rpc).await),
-                Err(refusal) => refused(refusal),
+            LogMessage::Vote(_) if !self.has_joined.load(Relaxed) => rejected(RejectReason::Behind),
+            LogMessage::Vote(bytes) => match decode::<VoteRequest<u64>>(&bytes) {
+                Ok(rpc) => encode_result(raft.vote(rpc).await),
+                Err(reason) => rejected(reason),
             },
-            LogMessage::Snapshot(bytes) => match read::<InstallSnapshotRequest<Types>>(&bytes) {
-                Ok(rpc) => said(raft.install_snapshot(rpc).await),
-                Err(refusal) => refused(refusal),
+            LogMessage::Snapshot(bytes) => match decode::<InstallSnapshotRequest<Types>>(&bytes) {
+                Ok(rpc) => encode_result(raft.install_snapshot(rpc).await),
+                Err(reason) => rejected(reason),
             },
         }
     }
+}
 
-    /// Waits until this process can tell what its site holds: all that was acknowledged before now, and nothing lost
-    /// with a disk that those who wrote it have not had the time to write again.
-    pub(crate) async fn can_tell(&self) -> bool {
-        self.reads.barrier().await && self.state.beside(|beside| beside.ready)
+/// Whether a front may make these changes: well-formed, not too many, and all of records that it owns.
+fn check_changes(front: &ChildId, changes: &[RecordChange]) -> Result<(), RejectReason> {
+    if changes.len() > MAX_RECORDS {
+        return Err(RejectReason::Malformed(format!("{} rows, {MAX_RECORDS} at most", changes.len())));
     }
-
-    /// Up to which entry a read must wait; `None`: this process does not lead, or can't tell.
-    pub(crate) async fn read_index(&self) -> Option<u64> {
-        let (read, _) = self.raft()?.get_read_log_id().await.ok()?;
-        Some(read.map_or(0, |id| id.index))
+    for change in changes {
+        let (key, malformed) = match change {
+            RecordChange::Upsert(record) => (&record.key, record.check().err()),
+            RecordChange::Withdraw(key) => (key, None),
+        };
+        if let Some(error) = malformed {
+            return Err(RejectReason::Malformed(error.to_string()));
+        }
+        if key.owner.front != front.name || key.owner.incarnation != front.incarnation {
+            return Err(RejectReason::Malformed(format!("a row of {}", key.owner.front)));
+        }
     }
+    Ok(())
+}
 
-    /// Waits until everything up to an entry is applied here.
-    pub(crate) async fn wait_applied(&self, index: u64, patience: Duration) -> bool {
-        let mut applied = self.applied.clone();
-        let waited = tokio::time::timeout(patience, applied.wait_for(|applied| *applied >= index)).await;
-        matches!(waited, Ok(Ok(_)))
-    }
+fn decode<T: DeserializeOwned>(bytes: &[u8]) -> Result<T, RejectReason> {
+    postcard::from_bytes(bytes).map_err(|error| RejectReason::Malformed(error.to_string()))
+}
+
+/// The log library's response, or its error, as a message.
+fn encode_result<T: Serialize, E: Serialize>(result: Result<T, E>) -> Response {
+    let bytes = match &result {
+        Ok(response) => postcard::to_allocvec(response).map(Ok),
+        Err(error) => postcard::to_allocvec(error).map(Err),
+    };
+    bytes.map_or_else(|error| rejected(RejectReason::Malformed(error.to_string())), Response::Log)
 }
--- a/crates/lilacpitch-site/src/summaries.rs
+++ b/crates/lilacpitch-site/src/summaries.rs
@@ -1,102 +1,125 @@
-//! Summaries: of this site for others, and of others from above and below.
+//! Summaries of location records: this site's own, given to who polls, and those of other sites, polled from the parent
+//! and from the sites below.
 
-use crate::process::{now, Process};
+use crate::clock::now;
+use crate::process::Process;
 use lilacpitch_fleet::catalogue::{shard_updates_since, MAX_UPDATE_BYTES};
 use lilacpitch_fleet::message::{KnownSummary, RejectReason, Request, Response, Role, SiteSummaryUpdate};
-use lilacpitch_rpc::{Dialer, RpcConnection};
+use lilacpitch_rpc::{Dialer, RpcConnection, RpcError};
 use std::sync::atomic::Ordering::Relaxed;
 use std::sync::Arc;
 use std::time::Duration;
+use tokio::task::JoinSet;
+
+/// Most requests to one process in one poll, for an update that does not fit into one response.
+const MAX_ROUNDS: usize = 64;
 
 impl Process {
-    /// What another process lacks.
-    pub(crate) async fn summaries(self: &Arc<Self>, known: Vec<KnownSummary>) -> Response {
+    /// The summary updates that another process lacks.
+    pub(crate) async fn summaries_since(self: &Arc<Self>, known: Vec<KnownSummary>) -> Response {
         if known.len() > self.settings.sites.len() {
             return Response::Rejected(RejectReason::Malformed(format!("{} sites", known.len())));
         }
-        let own = known.iter().find(|known| known.site == self.settings.site).cloned();
-        let mut all = Vec::new();
-        if let Some(known) = own {
-            all.extend(self.own_news(&known).await);
+        let own_site = &self.settings.site;
+        let mut updates = Vec::new();
+        if let Some(known) = known.iter().find(|known| known.site == *own_site) {
+            updates.extend(self.own_summary_since(known).await);
         }
-        let own = &self.settings.site;
-        all.extend(self.catalogue.read().updates_since(now(), &known, |site| site == own));
-        Response::Summaries(all)
+        updates.extend(self.catalogue.read().updates_since(now(), &known, |site| site == own_site));
+        Response::Summaries(updates)
     }
 
-    /// News of this site; none while this process can't tell whether it lags behind.
-    async fn own_news(&self, known: &KnownSummary) -> Option<SiteSummaryUpdate> {
-        let asked_ns = now();
-        if self.guards.summary_age && !self.can_tell().await {
+    /// The update of this site's own summary; none while this process can't tell whether it lags behind its site.
+    async fn own_summary_since(&self, known: &KnownSummary) -> Option<SiteSummaryUpdate> {
+        let requested_ns = now();
+        if self.safeguards.summary_age && !self.is_current().await {
             return None;
         }
-        // What is not ordered is looked at first: a change that comes between is in the summary then, and if its
-        // order comes between as well, the position is the older one.
-        let (pending, ordered) = self.state.pending();
-        let register = &self.state.register;
-        let total = register.versions().iter().sum();
-        let mut room = MAX_UPDATE_BYTES;
-        let shard = |at: usize, version| register.summary(at, Some(version));
-        let shards =
-            shard_updates_since(known, self.me.incarnation, total, register.shards(), &mut room, shard);
+        // The pending purges are read before the summary: a change that comes between the two is in the summary then,
+        // and if its purge comes between as well, the purge position is the older one.
+        let (pending, purge_position) = self.state.summary_purges();
+        let records = &self.state.records;
+        let total = records.versions().iter().sum();
+        let mut capacity_bytes = MAX_UPDATE_BYTES;
+        let shard_since = |index: usize, version| records.summary(index, Some(version));
+        let incarnation = self.identity.incarnation;
+        let shards = shard_updates_since(
+            known,
+            incarnation,
+            total,
+            records.shards(),
+            &mut capacity_bytes,
+            shard_since,
+        );
         Some(SiteSummaryUpdate {
             site: self.settings.site.clone(),
-            incarnation: self.me.incarnation,
-            shards: register.shards() as u32,
+            incarnation,
+            shards: records.shards() as u32,
             total: shards.total,
-            age_ns: now().saturating_sub(asked_ns),
+            age_ns: now().saturating_sub(requested_ns),
             pending,
-            purge_position: ordered,
+            purge_position,
             shard_updates: shards.updates,
             has_more: shards.has_more,
         })
     }
 }
 
-/// Asks above and below for summaries, again and again.
+/// Polls the parent and the processes below at intervals, as long as this process runs.
 pub(crate) async fn poll(process: Arc<Process>) {
-    let gap = Duration::from_nanos(process.settings.terms.poll_ns);
+    let interval = Duration::from_nanos(process.settings.terms.poll_ns);
     loop {
-        let below: Vec<Arc<RpcConnection>> = process.children.lock().values().cloned().collect();
-        let processes = below.into_iter().filter(|link| matches!(link.peer.role, Role::Process(..)));
-        let mut ways: Vec<Way> = processes.map(Way::Below).collect();
-        if !process.is_root() {
-            ways.push(Way::Above(process.parent()));
-        } else if let Some(place) = process.leader().filter(|place| *place != process.settings.place) {
-            ways.extend(process.siblings.get(place).cloned().map(Way::Above));
+        let mut polls = JoinSet::new();
+        for source in summary_sources(&process) {
+            polls.spawn(poll_source(process.clone(), source));
         }
-        let mut asking = tokio::task::JoinSet::new();
-        for way in ways {
-            asking.spawn(ask(process.clone(), way));
+        // One that does not respond must not hold back what the others send.
+        let _ = tokio::time::timeout(interval, async { while polls.join_next().await.is_some() {} }).await;
+        polls.detach_all();
+        tokio::time::sleep(interval).await;
+    }
+}
+
+/// A process whose summaries are polled.
+enum SummarySource {
+    /// The parent; at the root, its leader.
+    Upstream(Arc<Dialer>),
+    /// A process of a site below.
+    Child(Arc<RpcConnection>),
+}
+
+impl SummarySource {
+    async fn request(&self, request: Request, timeout: Duration) -> Result<Response, RpcError> {
+        match self {
+            SummarySource::Upstream(dialer) => dialer.request(request, timeout).await,
+            SummarySource::Child(connection) => connection.request(request, timeout).await,
         }
-        // One that stands still must not keep the others' news back.
-        let _ = tokio::time::timeout(gap, async { while asking.join_next().await.is_some() {} }).await;
-        asking.detach_all();
-        tokio::time::sleep(gap).await;
     }
 }
 
-/// The way to a process that is asked.
-enum Way {
-    Above(Arc<Dialer>),
-    Below(Arc<RpcConnection>),
+fn summary_sources(process: &Process) -> Vec<SummarySource> {
+    let children: Vec<Arc<RpcConnection>> = process.children.lock().values().cloned().collect();
+    let is_process = |child: &Arc<RpcConnection>| matches!(child.peer.role, Role::Process(..));
+    let mut sources: Vec<SummarySource> =
+        children.into_iter().filter(is_process).map(SummarySource::Child).collect();
+    if !process.is_root() {
+        sources.push(SummarySource::Upstream(process.parent()));
+    } else if let Some(index) = process.leader().filter(|index| *index != process.settings.place) {
+        sources.extend(process.siblings.get(index).cloned().map(SummarySource::Upstream));
+    }
+    sources
 }
 
-/// Asks one process until it has nothing more to say.
-async fn ask(process: Arc<Process>, way: Way) {
-    const ROUNDS: usize = 64;
-    for _ in 0..ROUNDS {
-        let (asked_ns, known) = (now(), process.catalogue.read().known_summaries());
-        let (ask, patience) = (Request::Summaries(known), process.patience());
-        let said = match &way {
-            Way::Above(dialer) => dialer.request(ask, patience).await,
-            Way::Below(link) => link.request(ask, patience).await,
-        };
-        let Ok(Response::Summaries(news)) = said else { return };
-        let applied = process.catalogue.write().apply_updates(asked_ns, news);
+/// Polls one process until it has no more updates.
+async fn poll_source(process: Arc<Process>, source: SummarySource) {
+    for _ in 0..MAX_ROUNDS {
+        let (requested_ns, known) = (now(), process.catalogue.read().known_summaries());
+        let response = source.request(Request::Summaries(known), process.request_timeout()).await;
+        let Ok(Response::Summaries(updates)) = response else { return };
+        let applied = process.catalogue.write().apply_updates(requested_ns, updates);
         for error in applied.errors {
             process.counters.summaries_refused.fetch_add(1, Relaxed);
-            tracing::warn!(%error, "summary refused");
+            tracing::warn!(%error, "summary update rejected");
         }
         if !applied.has_more {
             return;
--- a/crates/lilacpitch-site/tests/pinned_disk.rs
+++ b/crates/lilacpitch-site/tests/pinned_disk.rs
@@ -10,10 +10,10 @@
 use lilacpitch_fleet::log_tail::LogTail;
 use lilacpitch_fleet::message::{CommandAction, LogPosition, PurgeScope, RecordChange};
 use lilacpitch_location::{Key, Kind, LocationRecord, Number, Owner};
-use lilacpitch_site::log::machine::Machine;
-use lilacpitch_site::log::state::{Beside, State};
-use lilacpitch_site::log::store::Store;
-use lilacpitch_site::log::{Applied, Command, Types, Written};
+use lilacpitch_site::log::machine::StateMachine;
+use lilacpitch_site::log::state::{SiteMetadata, SiteState, WritePosition};
+use lilacpitch_site::log::store::LogStore;
+use lilacpitch_site::log::{ApplyResult, Command, RecordWrite, Types};
 use openraft::storage::{RaftLogStorage, RaftLogStorageExt, RaftStateMachine};
 use openraft::{
     BasicNode, CommittedLeaderId, Entry, EntryPayload, LogId, Membership, RaftLogReader, RaftSnapshotBuilder,
@@ -85,8 +85,8 @@
     row("+4930202", Kind::Binding, "edge-2", EDGE_2_LIFE, 2)
 }
 
-fn written(front: &str, life: u64, first: u64, changes: Vec<RecordChange>) -> Written {
-    Written { front: front.into(), life, first, changes }
+fn written(front: &str, life: u64, first: u64, changes: Vec<RecordChange>) -> RecordWrite {
+    RecordWrite { front: front.into(), incarnation: life, first_change: first, changes }
 }
 
 fn at(log: u64, order: u64) -> LogPosition {
@@ -143,18 +143,18 @@
     let edge_2 = vec![Upsert(row_201(EDGE_2_LIFE)), Upsert(row_202())];
     let edge_1_later = vec![Upsert(row_103()), Withdraw(row_102_standing().key), Upsert(row_104_standing())];
     vec![
-        Command::Begin(BEGUN_MS),
-        Command::NewLog(LOG),
-        Command::Rows(vec![
+        Command::CreateStore(BEGUN_MS),
+        Command::BeginLog(LOG),
+        Command::WriteRecords(vec![
             written("edge-1", EDGE_1_LIFE, 1, edge_1),
             written("edge-2", EDGE_2_LIFE, 1, edge_2),
         ]),
-        Command::Order(first_orders()),
-        Command::Audit(vec![first_record()]),
-        Command::Rows(vec![written("edge-1", EDGE_1_LIFE, 3, edge_1_later)]),
-        Command::Ordered(2, at(LOG, 1)),
-        Command::WithdrawFront("edge-2".into(), EDGE_2_NEXT_LIFE),
-        Command::Ready,
+        Command::AppendCommands(first_orders()),
+        Command::AppendAudit(vec![first_record()]),
+        Command::WriteRecords(vec![written("edge-1", EDGE_1_LIFE, 3, edge_1_later)]),
+        Command::MarkPurged(2, at(LOG, 1)),
+        Command::RemoveOlderIncarnations("edge-2".into(), EDGE_2_NEXT_LIFE),
+        Command::MarkReady,
     ]
 }
 
@@ -164,17 +164,17 @@
     let edge_1 = vec![Upsert(row_105()), Withdraw(row_101().key)];
     let edge_2 = vec![Upsert(row_201(EDGE_2_NEXT_LIFE))];
     vec![
-        Command::Rows(vec![
+        Command::WriteRecords(vec![
             written("edge-1", EDGE_1_LIFE, 6, edge_1),
             written("edge-2", EDGE_2_NEXT_LIFE, 1, edge_2),
         ]),
-        Command::WithdrawFront("edge-2".into(), EDGE_2_NEXT_LIFE),
-        Command::Ordered(6, at(LOG, 2)),
-        Command::Begin(BEGUN_MS + 1),
-        Command::Ready,
-        Command::NewLog(NEXT_LOG),
-        Command::Order(later_orders()),
-        Command::Audit(vec![later_record()]),
+        Command::RemoveOlderIncarnations("edge-2".into(), EDGE_2_NEXT_LIFE),
+        Command::MarkPurged(6, at(LOG, 2)),
+        Command::CreateStore(BEGUN_MS + 1),
+        Command::MarkReady,
+        Command::BeginLog(NEXT_LOG),
+        Command::AppendCommands(later_orders()),
+        Command::AppendAudit(vec![later_record()]),
     ]
 }
 
@@ -198,7 +198,7 @@
 }
 
 /// CommandAction the snapshot holds beside the rows.
-fn beside_in_snapshot() -> Beside {
+fn beside_in_snapshot() -> SiteMetadata {
     let outbox = [(3, "+4930202"), (4, "+4930103"), (5, "+4930201"), (6, "+4930202")];
     let mut window = LogTail::starting_at(at(LOG, 0), BTreeSet::new());
     for order in first_orders() {
@@ -206,21 +206,25 @@
     }
     let mut ledger = AuditLog::default();
     ledger.append(first_record()).unwrap();
-    Beside {
-        outbox: outbox.map(|(change, digits)| (change, number(digits))).into(),
-        changes: 6,
-        ordered: at(LOG, 1),
-        window,
-        ledger,
-        written: [("edge-1".into(), (EDGE_1_LIFE, 5)), ("edge-2".into(), (EDGE_2_LIFE, 2))].into(),
-        sweeps: [("edge-2".into(), 1)].into(),
-        begun: BEGUN_MS,
-        ready: true,
+    SiteMetadata {
+        pending_purges: outbox.map(|(change, digits)| (change, number(digits))).into(),
+        last_change: 6,
+        purge_position: at(LOG, 1),
+        command_log: window,
+        audit_log: ledger,
+        applied_writes: applied_writes([("edge-1", EDGE_1_LIFE, 5), ("edge-2", EDGE_2_LIFE, 2)]),
+        removal_counts: [("edge-2".into(), 1)].into(),
+        created_ms: BEGUN_MS,
+        is_ready: true,
     }
 }
 
-/// CommandAction stands beside the rows once the whole log is applied.
-fn beside_at_end() -> Beside {
+fn applied_writes(writes: [(&str, u64, u64); 2]) -> BTreeMap<String, WritePosition> {
+    writes.map(|(front, incarnation, change)| (front.into(), WritePosition { incarnation, change })).into()
+}
+
+/// The metadata once the whole log is applied.
+fn beside_at_end() -> SiteMetadata {
     let outbox = [(7, "+4930105"), (8, "+4930101"), (9, "+4930201")];
     let mut window = LogTail::starting_at(at(NEXT_LOG, 0), BTreeSet::from([401, 402]));
     for order in later_orders() {
@@ -229,16 +233,16 @@
     let mut ledger = AuditLog::default();
     ledger.append(first_record()).unwrap();
     ledger.append(later_record()).unwrap();
-    Beside {
-        outbox: outbox.map(|(change, digits)| (change, number(digits))).into(),
-        changes: 9,
-        ordered: at(LOG, 2),
-        window,
-        ledger,
-        written: [("edge-1".into(), (EDGE_1_LIFE, 7)), ("edge-2".into(), (EDGE_2_NEXT_LIFE, 1))].into(),
-        sweeps: [("edge-2".into(), 1)].into(),
-        begun: BEGUN_MS,
-        ready: true,
+    SiteMetadata {
+        pending_purges: outbox.map(|(change, digits)| (change, number(digits))).into(),
+        last_change: 9,
+        purge_position: at(LOG, 2),
+        command_log: window,
+        audit_log: ledger,
+        applied_writes: applied_writes([("edge-1", EDGE_1_LIFE, 7), ("edge-2", EDGE_2_NEXT_LIFE, 1)]),
+        removal_counts: [("edge-2".into(), 1)].into(),
+        created_ms: BEGUN_MS,
+        is_ready: true,
     }
 }
 
@@ -255,13 +259,13 @@
     folder
 }
 
-fn open(folder: &TempDir) -> Store {
-    Store::open(folder.path(), OWNER).unwrap()
+fn open(folder: &TempDir) -> LogStore {
+    LogStore::open(folder.path(), OWNER).unwrap()
 }
 
-fn start(store: &Store) -> (Machine, Arc<State>) {
-    let state = Arc::new(State::new(SHARDS).unwrap());
-    let (machine, _) = Machine::open(state.clone(), store.clone()).unwrap();
+fn start(store: &LogStore) -> (StateMachine, Arc<SiteState>) {
+    let state = Arc::new(SiteState::new(SHARDS).unwrap());
+    let (machine, _) = StateMachine::open(state.clone(), store.clone()).unwrap();
     (machine, state)
 }
 
@@ -269,8 +273,8 @@
     tokio::runtime::Builder::new_multi_thread().worker_threads(1).build().unwrap().block_on(task)
 }
 
-fn rows(state: &State) -> Vec<LocationRecord> {
-    let shards = state.register.snapshot();
+fn rows(state: &SiteState) -> Vec<LocationRecord> {
+    let shards = state.records.snapshot();
     let mut rows: Vec<LocationRecord> = shards.iter().flat_map(|shard| shard.values()).cloned().collect();
     rows.sort_by(|a, b| a.key.cmp(&b.key));
     rows
@@ -293,14 +297,14 @@
     let folder = copied_disk();
     let mut store = open(&folder);
     assert_eq!(block_on(store.read_vote()).unwrap(), Some(Vote::new_committed(TERM + 1, NODE)));
-    assert_eq!(store.joined(), Ok(true));
-    assert_eq!(store.begin_life(0).unwrap(), STORE_LIFE + 1);
+    assert!(store.has_joined().unwrap());
+    assert_eq!(store.begin_incarnation(0).unwrap(), STORE_LIFE + 1);
 }
 
 #[test]
 fn a_pinned_disk_is_refused_to_another_owner() {
     let folder = copied_disk();
-    let refused = Store::open(folder.path(), "root/0/root-1").err();
+    let refused = LogStore::open(folder.path(), "root/0/root-1").err();
     assert!(matches!(refused, Some(LogError::Foreign { found, .. }) if found == OWNER));
 }
 
@@ -312,7 +316,7 @@
     assert_eq!(last, Some(log_id(LAST_IN_SNAPSHOT)));
     assert_eq!(members, StoredMembership::new(Some(log_id(0)), membership()));
     assert_eq!(rows(&state), [row_101(), row_103(), row_104_standing()]);
-    assert_eq!(state.beside(Beside::clone), beside_in_snapshot());
+    assert_eq!(state.with_metadata(SiteMetadata::clone), beside_in_snapshot());
 }
 
 #[test]
@@ -334,15 +338,15 @@
     let (mut machine, state) = start(&store);
     let rest = block_on(store.try_get_log_entries(LAST_IN_SNAPSHOT + 1..)).unwrap();
     let answers = block_on(machine.apply(rest)).unwrap();
-    let mut expected = vec![Applied::Done; commands_after_snapshot().len()];
-    expected[6] = Applied::At(at(NEXT_LOG, 3));
+    let mut expected = vec![ApplyResult::Done; commands_after_snapshot().len()];
+    expected[6] = ApplyResult::Position(at(NEXT_LOG, 3));
     assert_eq!(answers, expected);
     assert_eq!(rows(&state), [row_103(), row_104_standing(), row_105(), row_201(EDGE_2_NEXT_LIFE)]);
-    assert_eq!(state.beside(Beside::clone), beside_at_end());
-    state.beside(|beside| {
-        assert_eq!(beside.window.position(), at(NEXT_LOG, 3));
-        assert_eq!(*beside.window.withdrawn(), BTreeSet::from([401, 403]));
-        let acted: Vec<_> = beside.ledger.active_at(1_700_000_005_500).collect();
+    assert_eq!(state.with_metadata(SiteMetadata::clone), beside_at_end());
+    state.with_metadata(|beside| {
+        assert_eq!(beside.command_log.position(), at(NEXT_LOG, 3));
+        assert_eq!(*beside.command_log.withdrawn(), BTreeSet::from([401, 403]));
+        let acted: Vec<_> = beside.audit_log.active_at(1_700_000_005_500).collect();
         assert_eq!(acted.len(), 1);
         assert_eq!((acted[0].front, acted[0].incarnation), ("edge-1", EDGE_1_LIFE));
         assert_eq!(*acted[0].version, first_record().changes[0].version);
@@ -366,9 +370,9 @@
 }
 
 async fn write_disk(folder: &Path) {
-    let mut store = Store::open(folder, OWNER).unwrap();
-    store.begin_life(STORE_LIFE).unwrap();
-    store.keep_joined().unwrap();
+    let mut store = LogStore::open(folder, OWNER).unwrap();
+    store.begin_incarnation(STORE_LIFE).unwrap();
+    store.save_joined().unwrap();
     store.save_vote(&Vote::new_committed(TERM + 1, NODE)).await.unwrap();
     store.blocking_append(entries()).await.unwrap();
     let (mut machine, _) = start(&store);
--- a/crates/lilacpitch-testbed/src/fleet/simulated_cluster.rs
+++ b/crates/lilacpitch-testbed/src/fleet/simulated_cluster.rs
@@ -16,8 +16,8 @@
 use lilacpitch_fleet::upstream_selection::renewal_interval_ns;
 use lilacpitch_fleet::{Nanos, Safeguards};
 use lilacpitch_location::{Key, Kind, LocationRecord, Number, Owner as RowHolder, Query};
-use lilacpitch_site::log::state::State;
-use lilacpitch_site::log::{Command, Written};
+use lilacpitch_site::log::state::{SiteState, UnpurgedChanges};
+use lilacpitch_site::log::{Command, RecordWrite};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 use std::collections::{BTreeMap, BTreeSet};
@@ -177,7 +177,7 @@
 }
 
 struct SiteNode {
-    state: State,
+    state: SiteState,
     relay: AckAggregator,
     catalogue: Catalogue,
     ordering: bool,
@@ -321,7 +321,7 @@
             shape,
         };
         if let Kindly::Site(root) = &town.nodes[0].kind {
-            root.state.apply(Command::NewLog(7));
+            root.state.apply(Command::BeginLog(7));
         }
         for index in 0..town.nodes.len() {
             town.begin(index);
@@ -360,7 +360,7 @@
             // The root's one process leads from its start: holders of its former life are reckoned with.
             let now = self.local(0);
             if let Kindly::Site(root) = &mut self.nodes[0].kind {
-                root.relay.reset(root.state.beside(|beside| beside.window.clone()));
+                root.relay.reset(root.state.with_metadata(|beside| beside.command_log.clone()));
                 root.relay.become_origin(now);
             }
         }
@@ -584,7 +584,7 @@
         let (own, own_life) = (self.nodes[to].name.clone(), self.nodes[to].life);
         let response = match (&mut self.nodes[to].kind, request) {
             (Kindly::Site(site), Request::RenewLease(applied)) => {
-                let register = site.state.register_of(&who.name);
+                let register = site.state.store_id_for(&who.name);
                 let said = site.relay.renew_lease(now, &who, is_front, applied, register);
                 if matches!(said, Response::LeaseGranted { .. }) {
                     site.links.insert(from, who.incarnation);
@@ -599,14 +599,14 @@
                 Some(Response::Done)
             }
             (Kindly::Site(site), Request::FindRecords { query, after, limit, .. }) => {
-                let page = site.state.register.find(&query, after.as_ref(), limit as usize);
+                let page = site.state.records.find(&query, after.as_ref(), limit as usize);
                 Some(Response::Found { page, process: own })
             }
             (Kindly::Site(site), Request::Summaries(known)) => {
                 let mut all = Vec::new();
                 if let Some(known) = known.iter().find(|known| known.site == own) {
-                    let (pending, ordered) = site.state.pending();
-                    let register = &site.state.register;
+                    let (pending, ordered) = site.state.summary_purges();
+                    let register = &site.state.records;
                     let (total, mut room) = (register.versions().iter().sum(), MAX_UPDATE_BYTES);
                     let shard = |at: usize, version| register.summary(at, Some(version));
                     let life = own_life;
@@ -640,9 +640,14 @@
                             }
                         })
                         .collect();
-                    let written = Written { front: who.name, life: who.incarnation, first, changes };
-                    site.state.apply(Command::Rows(vec![written]));
-                    let change = site.state.beside(|beside| beside.changes);
+                    let written = RecordWrite {
+                        front: who.name,
+                        incarnation: who.incarnation,
+                        first_change: first,
+                        changes,
+                    };
+                    site.state.apply(Command::WriteRecords(vec![written]));
+                    let change = site.state.with_metadata(|beside| beside.last_change);
                     for key in ends {
                         if let Some(truth) = self.truth.get_mut(&key) {
                             truth.gone_change.get_or_insert(change);
@@ -676,7 +681,7 @@
         }
         let now = self.local(0);
         let Kindly::Site(root) = &mut self.nodes[0].kind else { return None };
-        root.state.apply(Command::Order(vec![what.clone()]));
+        root.state.apply(Command::AppendCommands(vec![what.clone()]));
         let position = root.relay.append_command(now, what);
         self.ordered_ns.insert((position.log, position.index), self.now);
         Some(Response::Committed(position))
@@ -732,7 +737,7 @@
                 if let (Kindly::Site(site), Response::Committed(position)) =
                     (&mut self.nodes[of].kind, &response)
                 {
-                    site.state.apply(Command::Ordered(upto, *position));
+                    site.state.apply(Command::MarkPurged(upto, *position));
                     for truth in self.truth.values_mut().filter(|t| t.site == of) {
                         if truth.order.is_none() && truth.gone_change.is_some_and(|change| change <= upto) {
                             truth.order = Some(*position);
@@ -893,7 +898,9 @@
         if site.ordering {
             return;
         }
-        let Some((upto, numbers)) = site.state.unordered(512) else { return };
+        let Some(UnpurgedChanges { last_change: upto, numbers }) = site.state.unpurged_changes(512) else {
+            return;
+        };
         let what = CommandAction::Purge(numbers.into_iter().map(PurgeScope::Number).collect());
         if of == 0 {
             // No row is written at the root here.
@@ -1135,19 +1142,19 @@
     }
 }
 
-fn empty() -> State {
-    State::new(1).unwrap_or_else(|_| unreachable!("one shard is allowed"))
+fn empty() -> SiteState {
+    SiteState::new(1).unwrap_or_else(|_| unreachable!("one shard is allowed"))
 }
 
 /// A site's process; with the disk of its former life, if it had one.
-fn site_node(shape: &Shape, names: &[String], index: usize, disk: Option<State>) -> SiteNode {
+fn site_node(shape: &Shape, names: &[String], index: usize, disk: Option<SiteState>) -> SiteNode {
     let others = names.iter().enumerate().filter(|(at, _)| *at != index).map(|(_, name)| name.as_str());
     // A process that starts again reads its rows from its disk: its summary has versions of its own.
-    let state = State::new(8).unwrap_or_else(|_| empty());
+    let state = SiteState::new(8).unwrap_or_else(|_| empty());
     if let Some(disk) = disk {
         let rows: Vec<LocationRecord> =
-            disk.register.snapshot().iter().flat_map(|rows| rows.values().cloned()).collect();
-        let beside = disk.beside(Clone::clone);
+            disk.records.snapshot().iter().flat_map(|rows| rows.values().cloned()).collect();
+        let beside = disk.with_metadata(Clone::clone);
         if state.restore(rows, beside).is_err() {
             unreachable!("its own rows are sound");
         }
--- a/crates/lilacpitch-testbed/tests/fleet/parted.rs
+++ b/crates/lilacpitch-testbed/tests/fleet/parted.rs
@@ -98,7 +98,7 @@
             };
             assert!(scene.until(SOON, all), "{}", report(&scene.town));
             // And it takes part in full: with the stale one it goes on without the former leader.
-            let joined = |s: &mut Scene| s.town.log(lost_at).contains("takes part in full");
+            let joined = |s: &mut Scene| s.town.log(lost_at).contains("caught up, voting enabled");
             assert!(scene.until(SOON, joined), "{}", scene.town.log(lost_at));
             scene.town.kill(leader_at);
             assert!(complete_past(&mut scene, lost, ordered - 1).is_some(), "{}", report(&scene.town));
@@ -151,7 +151,7 @@
         scene.town.start_process(other).unwrap();
         ordered(&mut scene, "leaf0-0");
     }
-    let joined = |s: &mut Scene| s.town.log(at).contains("takes part in full");
+    let joined = |s: &mut Scene| s.town.log(at).contains("caught up, voting enabled");
     assert!(scene.until(SOON, joined), "{}", scene.town.log(at));
     // The new one and one of the old are enough.
     scene.town.kill(scene.town.index(leader));
