--- a/crates/lilacpitch-fleet/src/ack_aggregator.rs
+++ b/crates/lilacpitch-fleet/src/ack_aggregator.rs
@@ -1,8 +1,9 @@
-//! A process with others below it: it grants them leases, passes orders on, and counts what they acknowledge.
+//! The parent's side of leases and commands: grants leases to children, holds the commands that they lack, and aggregates
+//! what they have acknowledged.
 //!
-//! The root's leader is the origin: it may grant while its leadership is confirmed. Every other process of a site is
-//! a holder of the one above and grants no longer than its own lease runs. What a child acknowledged counts for that
-//! life of it; a life is out once its lease has surely run out, be it dead, cut off, or superseded by a later one.
+//! The root's leader is the origin: it may grant while its leadership is confirmed. Every other process of a site holds
+//! a lease from its parent and grants none that outlasts it. An acknowledgement counts for one incarnation of a child;
+//! an incarnation no longer counts once its lease has surely expired, be it dead, cut off, or superseded by a later one.
 
 use crate::lease::LeaseTerms;
 use crate::log_tail::LogTail;
@@ -12,40 +13,42 @@
 use crate::{Nanos, Safeguards};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-/// Children whose lives are over are forgotten this long after their leases.
+/// A child is forgotten so long after its lease has expired.
 const FORGET_NS: Nanos = 600_000_000_000;
 
-/// A holder below, in one of its lives.
+/// A child: a front or a process of a site below, in one of its incarnations.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub struct ChildId {
-    /// Its name.
+    /// The name in its settings.
     pub name: String,
-    /// That life, in nanoseconds since 1970.
+    /// The incarnation: when it started, in nanoseconds since 1970.
     pub incarnation: u64,
 }
 
 #[derive(Debug, Clone)]
 struct Child {
-    /// A front answers for itself, a process for all below it.
+    /// A front acknowledges for itself, a process for everybody below it.
     is_front: bool,
+    /// It has applied all commands up to here.
     applied: LogPosition,
-    sum: LogPosition,
-    /// Its lease has surely run out from then on.
-    in_until_ns: Nanos,
-    /// When it last asked for one.
-    heard_ns: Nanos,
-    /// It was too far behind for one then.
-    straggles: bool,
+    /// Everybody below it has acknowledged all commands up to here.
+    aggregated: LogPosition,
+    /// From then on its lease has surely expired, by any clock of the fleet.
+    lease_expires_ns: Nanos,
+    /// When it last requested one.
+    last_renewal_ns: Nanos,
+    /// It was too far behind for one then: it has no lease, and its writes are rejected.
+    is_lagging: bool,
     missing: Vec<String>,
     missing_count: u32,
 }
 
-/// How far purges are below a process.
+/// Up to where everybody below a process has acknowledged commands.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct AggregatedAck {
-    /// All below have acknowledged up to here, or are out.
+    /// Everybody has acknowledged up to here, or has no lease any more.
     pub acknowledged: LogPosition,
-    /// Some who have not acknowledged all there is.
+    /// The names of some who have not acknowledged all commands, [`MAX_NAMES`] at most.
     pub missing: Vec<String>,
     /// How many have not.
     pub missing_count: u32,
@@ -73,216 +76,225 @@
 #[derive(Debug, Clone)]
 pub struct AckAggregator {
     terms: LeaseTerms,
-    guards: Safeguards,
-    window: LogTail,
-    /// When orders came here, newest last: those of the last straggler span.
-    came: VecDeque<(u64, Nanos)>,
+    safeguards: Safeguards,
+    log_tail: LogTail,
+    /// The index of each recent command and when it came here, newest last.
+    arrivals: VecDeque<(u64, Nanos)>,
     children: BTreeMap<ChildId, Child>,
-    own_until_ns: Nanos,
-    own_needs: LogPosition,
-    /// Until then holders of a former origin may be unknown here.
-    quiet_until_ns: Nanos,
+    grants_until_ns: Nanos,
+    grants_require: LogPosition,
+    /// Until then there may be holders of leases of a former origin that are unknown here.
+    former_leases_until_ns: Nanos,
     complete: u64,
 }
 
 impl AckAggregator {
-    /// Without children, orders or a lease.
-    pub fn new(terms: LeaseTerms, guards: Safeguards) -> Self {
+    /// An aggregator without children, commands or a lease.
+    pub fn new(terms: LeaseTerms, safeguards: Safeguards) -> Self {
         AckAggregator {
             terms,
-            guards,
-            window: LogTail::default(),
-            came: VecDeque::new(),
+            safeguards,
+            log_tail: LogTail::default(),
+            arrivals: VecDeque::new(),
             children: BTreeMap::new(),
-            own_until_ns: 0,
-            own_needs: LogPosition::default(),
-            quiet_until_ns: 0,
+            grants_until_ns: 0,
+            grants_require: LogPosition::default(),
+            former_leases_until_ns: 0,
             complete: 0,
         }
     }
 
-    /// The last order here.
+    /// The position of the last command here.
     pub fn position(&self) -> LogPosition {
-        self.window.position()
+        self.log_tail.position()
     }
 
-    /// Settings versions that are withdrawn.
+    /// The settings versions that are withdrawn.
     pub fn withdrawn(&self) -> &BTreeSet<u64> {
-        self.window.withdrawn()
+        self.log_tail.withdrawn()
     }
 
-    /// This process may grant until then, once it has applied everything up to a position.
-    pub fn allow_grants_until(&mut self, until_ns: Nanos, needs: LogPosition) {
-        (self.own_until_ns, self.own_needs) = (until_ns, needs);
+    /// Allows leases to be granted until a moment, once all commands up to `required` are here.
+    pub fn allow_grants_until(&mut self, until_ns: Nanos, required: LogPosition) {
+        (self.grants_until_ns, self.grants_require) = (until_ns, required);
     }
 
-    /// This process has just become the origin: holders of a former one may live on leases of its own. What was
-    /// complete below this process alone says nothing of them.
+    /// This process has just become the origin: children of a former one may still hold leases. What this process's own
+    /// children have acknowledged says nothing of them.
     pub fn become_origin(&mut self, now: Nanos) {
         self.complete = 0;
-        self.quiet_until_ns = now + self.terms.worst_case_ns(self.terms.lease_ns);
+        self.former_leases_until_ns = now + self.terms.worst_case_ns(self.terms.lease_ns);
     }
 
-    /// All orders up to there are taken from elsewhere at once.
-    pub fn reset(&mut self, window: LogTail) {
-        if window.position().log != self.window.position().log {
+    /// Replaces the log tail: the commands up to its position are applied elsewhere at once.
+    pub fn reset(&mut self, log_tail: LogTail) {
+        if log_tail.position().log != self.log_tail.position().log {
             self.complete = 0;
         }
-        self.window = window;
-        self.came.clear();
+        self.log_tail = log_tail;
+        self.arrivals.clear();
     }
 
-    /// The next order is there.
-    pub fn append_command(&mut self, now: Nanos, what: CommandAction) -> LogPosition {
-        let position = self.window.append(what);
-        self.came.push_back((position.index, now));
+    /// Appends the next command; its position.
+    pub fn append_command(&mut self, now: Nanos, action: CommandAction) -> LogPosition {
+        let position = self.log_tail.append(action);
+        self.arrivals.push_back((position.index, now));
         while self
-            .came
+            .arrivals
             .front()
             .is_some_and(|(_, at)| now.saturating_sub(*at) > 2 * self.terms.lagging_after_ns)
         {
-            self.came.pop_front();
+            self.arrivals.pop_front();
         }
         position
     }
 
-    /// The last order that is old enough for everybody to have applied it.
-    fn due(&self, now: Nanos) -> u64 {
-        let young = self.came.iter().find(|(_, at)| now.saturating_sub(*at) <= self.terms.lagging_after_ns);
-        young.map_or(self.position().index, |(order, _)| order - 1)
+    /// The index of the last command that is old enough for everybody to have applied it.
+    fn last_overdue_index(&self, now: Nanos) -> u64 {
+        let is_recent = |at: Nanos| now.saturating_sub(at) <= self.terms.lagging_after_ns;
+        let first_recent = self.arrivals.iter().find(|(_, at)| is_recent(*at));
+        first_recent.map_or(self.position().index, |(index, _)| index - 1)
     }
 
-    /// Whether this process may grant at all now.
+    /// Whether this process may grant leases now.
     fn has_lease(&self, now: Nanos) -> bool {
-        now < self.own_until_ns && self.position().includes(self.own_needs)
+        now < self.grants_until_ns && self.position().includes(self.grants_require)
     }
 
-    /// A child asks for its lease.
+    /// Responds to a child's request for its lease: with a lease and the commands that it lacks, with a reset, or with the
+    /// reason why not. A lagging child gets commands and a lease of length 0.
     pub fn renew_lease(
         &mut self,
         now: Nanos,
-        who: &ChildId,
+        id: &ChildId,
         is_front: bool,
         applied: Option<LogPosition>,
-        register: u64,
+        store_id: u64,
     ) -> Response {
-        if self.is_superseded(who) {
+        if self.is_superseded(id) {
             return Response::Rejected(RejectReason::Superseded);
         }
         let position = self.position();
-        if let Some(child) = self.children.get_mut(who) {
-            child.heard_ns = now;
+        if let Some(child) = self.children.get_mut(id) {
+            child.last_renewal_ns = now;
         }
         if !self.has_lease(now) {
             return Response::Rejected(RejectReason::NoLease);
         }
-        let fresh =
+        let reset =
             Response::ResetRequired { position, withdrawn: self.withdrawn().iter().copied().collect() };
-        let Some(applied) = applied.filter(|applied| applied.log == position.log) else { return fresh };
+        let Some(applied) = applied.filter(|applied| applied.log == position.log) else { return reset };
         if applied.index > position.index {
             return Response::Rejected(RejectReason::Ahead);
         }
-        let Some(orders) = self.window.commands_after(applied.index, MAX_COMMANDS) else { return fresh };
-        let straggles = self.guards.lagging_holders && applied.index < self.due(now);
+        let Some(commands) = self.log_tail.commands_after(applied.index, MAX_COMMANDS) else { return reset };
+        let is_lagging = self.safeguards.lagging_holders && applied.index < self.last_overdue_index(now);
         let for_ns =
-            if straggles { 0 } else { self.terms.lease_ns.min(self.own_until_ns.saturating_sub(now)) };
-        let in_until_ns = now + self.terms.worst_case_ns(for_ns);
-        let child = self.children.entry(who.clone()).or_insert_with(|| Child {
+            if is_lagging { 0 } else { self.terms.lease_ns.min(self.grants_until_ns.saturating_sub(now)) };
+        let lease_expires_ns = now + self.terms.worst_case_ns(for_ns);
+        let child = self.children.entry(id.clone()).or_insert_with(|| Child {
             is_front,
             applied,
-            sum: LogPosition::default(),
-            in_until_ns: 0,
-            heard_ns: now,
-            straggles,
+            aggregated: LogPosition::default(),
+            lease_expires_ns: 0,
+            last_renewal_ns: now,
+            is_lagging,
             missing: Vec::new(),
             missing_count: 0,
         });
-        // Its own word of this life, and never of what it was only sent.
+        // What it has applied by its own report, and never what it was only sent.
         child.applied = applied;
-        child.straggles = straggles;
+        child.is_lagging = is_lagging;
         if for_ns > 0 {
-            child.in_until_ns = child.in_until_ns.max(in_until_ns);
+            child.lease_expires_ns = child.lease_expires_ns.max(lease_expires_ns);
         }
-        Response::LeaseGranted { for_ns, position, commands: orders, store_id: register }
+        Response::LeaseGranted { for_ns, position, commands, store_id }
     }
 
-    fn is_superseded(&self, who: &ChildId) -> bool {
-        let after = ChildId { name: who.name.clone(), incarnation: who.incarnation.saturating_add(1) };
-        self.children.range(after..).next().is_some_and(|(id, _)| id.name == who.name)
+    fn is_superseded(&self, id: &ChildId) -> bool {
+        let after = ChildId { name: id.name.clone(), incarnation: id.incarnation.saturating_add(1) };
+        self.children.range(after..).next().is_some_and(|(later, _)| later.name == id.name)
     }
 
-    /// A child has applied orders up to there.
-    pub fn record_applied(&mut self, who: &ChildId, upto: LogPosition) {
-        if let Some(child) = self.children.get_mut(who).filter(|_| upto.log == self.window.position().log) {
-            child.applied = upto;
+    /// Records that a child has applied all commands up to a position.
+    pub fn record_applied(&mut self, id: &ChildId, acknowledged: LogPosition) {
+        if let Some(child) =
+            self.children.get_mut(id).filter(|_| acknowledged.log == self.log_tail.position().log)
+        {
+            child.applied = acknowledged;
         }
     }
 
-    /// A relay below says how far all below it are.
-    pub fn record_aggregated_ack(&mut self, who: &ChildId, sum: AggregatedAck) {
-        if let Some(child) = self.children.get_mut(who) {
-            child.sum = sum.acknowledged;
-            child.missing = sum.missing;
-            child.missing_count = sum.missing_count;
+    /// Records what a process below has aggregated.
+    pub fn record_aggregated_ack(&mut self, id: &ChildId, aggregated: AggregatedAck) {
+        if let Some(child) = self.children.get_mut(id) {
+            child.aggregated = aggregated.acknowledged;
+            child.missing = aggregated.missing;
+            child.missing_count = aggregated.missing_count;
         }
     }
 
-    /// A child has dropped what it cached, and is out at once.
-    pub fn remove_child(&mut self, who: &ChildId) {
-        self.children.remove(who);
+    /// Removes a child that has released its lease.
+    pub fn remove_child(&mut self, id: &ChildId) {
+        self.children.remove(id);
     }
 
-    /// Whether what a front writes is taken: it is heard, as this life, and not fenced as a straggler. A site that is
-    /// cut off from those above grants no leases and takes rows all the same.
-    pub fn accepts_writes_from(&self, now: Nanos, who: &ChildId) -> bool {
-        let span_ns = self.terms.worst_case_ns(self.terms.lease_ns);
-        let heard = |child: &Child| now < child.heard_ns + span_ns && !child.straggles;
-        (self.children.get(who).is_some_and(heard) && !self.is_superseded(who)) || !self.guards.write_fencing
+    /// Whether a front's writes are accepted: this incarnation of it renews, and it does not lag. A site that is cut off
+    /// from its parent grants no leases, and accepts writes all the same.
+    pub fn accepts_writes_from(&self, now: Nanos, id: &ChildId) -> bool {
+        let duration_ns = self.terms.worst_case_ns(self.terms.lease_ns);
+        let is_heard = |child: &Child| now < child.last_renewal_ns + duration_ns && !child.is_lagging;
+        (self.children.get(id).is_some_and(is_heard) && !self.is_superseded(id))
+            || !self.safeguards.write_fencing
     }
 
     /// Children that may still have a lease, with what each has applied.
     pub fn children(&self, now: Nanos) -> impl Iterator<Item = (&ChildId, LogPosition)> {
-        self.children.iter().filter(move |(_, child)| now < child.in_until_ns).map(|(id, c)| (id, c.applied))
+        self.children
+            .iter()
+            .filter(move |(_, child)| now < child.lease_expires_ns)
+            .map(|(id, c)| (id, c.applied))
     }
 
-    /// Fronts below, in each of their lives, and for how long each was not heard.
+    /// The fronts among the children, each incarnation, and for how long each has not renewed.
     pub fn front_contacts(&self, now: Nanos) -> Vec<FrontContact> {
         let fronts = self.children.iter().filter(|(_, child)| child.is_front);
         let contact = |(id, child): (&ChildId, &Child)| FrontContact {
             id: id.clone(),
-            silent_for_ns: now.saturating_sub(child.heard_ns),
+            silent_for_ns: now.saturating_sub(child.last_renewal_ns),
         };
         fronts.map(contact).collect()
     }
 
-    /// What a child has applied, and some of what it lacks; `None`: it is not known here.
-    pub fn missing_commands(&self, who: &ChildId) -> Option<MissingCommands> {
-        let applied = self.children.get(who)?.applied;
+    /// What a child has applied, and some of the commands that it lacks; `None`: it is not known here.
+    pub fn missing_commands(&self, id: &ChildId) -> Option<MissingCommands> {
+        let applied = self.children.get(id)?.applied;
         Some(MissingCommands { applied, commands: self.commands_after(applied) })
     }
 
-    /// Up to so many of the orders that a child lacks.
+    /// The commands after a position, [`MAX_COMMANDS`] at most; none where it is of another log.
     fn commands_after(&self, applied: LogPosition) -> Vec<FleetCommand> {
-        let same = applied.log == self.position().log;
-        self.window.commands_after(applied.index, MAX_COMMANDS).filter(|_| same).unwrap_or_default()
+        let is_same_log = applied.log == self.position().log;
+        self.log_tail.commands_after(applied.index, MAX_COMMANDS).filter(|_| is_same_log).unwrap_or_default()
     }
 
-    /// How far purges are below, now.
+    /// Aggregates what all children have acknowledged by now, and forgets those that have long expired.
     pub fn aggregate(&mut self, now: Nanos) -> AggregatedAck {
         let position = self.position();
-        let over =
-            |child: &Child| now.saturating_sub(child.in_until_ns) > FORGET_NS && now > child.in_until_ns;
-        self.children.retain(|_, child| !over(child));
-        let (mut upto, mut missing, mut missing_count) = (position.index, Vec::new(), 0);
-        let counted = self.children.iter().filter(|(_, child)| now < child.in_until_ns);
-        for (id, child) in counted.filter(|_| self.guards.acknowledgements) {
-            let acked = if child.is_front { child.applied } else { child.sum };
-            let acked = if acked.log == position.log { acked.index } else { 0 };
-            if acked < position.index {
-                upto = upto.min(acked);
-                let below = child.missing_count > 0;
-                missing_count += if below { child.missing_count } else { 1 };
-                if below {
+        let is_forgotten = |child: &Child| {
+            now.saturating_sub(child.lease_expires_ns) > FORGET_NS && now > child.lease_expires_ns
+        };
+        self.children.retain(|_, child| !is_forgotten(child));
+        let (mut acknowledged, mut missing, mut missing_count) = (position.index, Vec::new(), 0);
+        let counted = self.children.iter().filter(|(_, child)| now < child.lease_expires_ns);
+        for (id, child) in counted.filter(|_| self.safeguards.acknowledgements) {
+            let child_acked = if child.is_front { child.applied } else { child.aggregated };
+            let child_acked = if child_acked.log == position.log { child_acked.index } else { 0 };
+            if child_acked < position.index {
+                acknowledged = acknowledged.min(child_acked);
+                let has_missing = child.missing_count > 0;
+                missing_count += if has_missing { child.missing_count } else { 1 };
+                if has_missing {
                     missing.extend(child.missing.iter().cloned());
                 } else {
                     missing.push(id.name.clone());
@@ -290,13 +302,13 @@
             }
         }
         missing.truncate(MAX_NAMES);
-        if now < self.quiet_until_ns {
-            upto = upto.min(self.complete);
+        if now < self.former_leases_until_ns {
+            acknowledged = acknowledged.min(self.complete);
             if missing.is_empty() && self.complete < position.index {
                 (missing, missing_count) = (vec!["holders of a former leader".into()], 1);
             }
         }
-        self.complete = self.complete.max(upto);
+        self.complete = self.complete.max(acknowledged);
         AggregatedAck {
             acknowledged: LogPosition { index: self.complete, ..position },
             missing,
@@ -304,9 +316,10 @@
         }
     }
 
-    /// When a lease runs out next that a sum may wait for.
+    /// When a lease expires next that the aggregate may wait for.
     pub fn next_expiry_ns(&self, now: Nanos) -> Option<Nanos> {
-        let ends = self.children.values().map(|child| child.in_until_ns).chain([self.quiet_until_ns]);
-        ends.filter(|at| *at > now).min()
+        let expiries =
+            self.children.values().map(|child| child.lease_expires_ns).chain([self.former_leases_until_ns]);
+        expiries.filter(|at| *at > now).min()
     }
 }
--- a/crates/lilacpitch-fleet/src/audit.rs
+++ b/crates/lilacpitch-fleet/src/audit.rs
@@ -1,60 +1,62 @@
-//! Who acted on which version, and when: recorded by each front for itself, kept at the site, bounded.
+//! The audit: which front acted on which version of settings and build, and when. Each front records its own changes; the
+//! root's log retains them. Both are bounded.
 
 use crate::error::AuditError;
 use crate::message::LogPosition;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, VecDeque};
 
-/// Changes that a front keeps until they are taken above; then the oldest are joined.
-const KEPT_HERE: usize = 1_024;
-/// Changes taken in one record.
+/// Most changes that wait to be acknowledged; beyond that the oldest are merged.
+const MAX_PENDING_CHANGES: usize = 1_024;
+/// Most changes in one record.
 pub const MAX_CHANGES: usize = 256;
-/// Changes kept of one life at a site, and lives kept in all.
-const KEPT_A_LIFE: usize = 4_096;
-const KEPT_LIVES: usize = 2_048;
-/// Versions from which on those are dropped that no span names.
-const KEPT_VERSIONS: usize = 8_192;
-/// Moves of the position alone, closer than this, are one change that names both ends.
-const JOINED_MS: u64 = 100;
+/// Most intervals that are retained of one incarnation of a front.
+const MAX_INTERVALS: usize = 4_096;
+/// Most incarnations of all fronts that are retained.
+const MAX_INCARNATIONS: usize = 2_048;
+/// With more versions than this, those are dropped that no interval refers to.
+const MAX_VERSIONS: usize = 8_192;
+/// Changes of the purge position alone, closer than this, are one change that names both ends.
+const MERGE_WITHIN_MS: u64 = 100;
 
-/// What a process acts on.
+/// The version that a front acts on.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Version {
-    /// Digest of its settings.
+    /// The digest of its settings.
     pub settings: u64,
-    /// Digest of the pool list that it follows.
+    /// The digest of its endpoint list.
     pub endpoint_list: u64,
     /// Its build.
     pub build: String,
-    /// Cached answers are used.
+    /// It uses cached answers.
     pub uses_cache: bool,
-    /// New calls are taken.
+    /// It accepts new calls.
     pub accepts_calls: bool,
 }
 
-/// From a moment on a process acted on this.
+/// A change of the version or the purge position that a front acts on.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Change {
-    /// Its number in the life, from 1, without gaps but where changes were joined.
+    /// Its number in the incarnation, from 1, with gaps only where changes were merged.
     pub serial: u64,
-    /// From when on, by the front's clock, in milliseconds since 1970.
+    /// When it took effect, by the front's clock, in milliseconds since 1970.
     pub at_ms: u64,
     /// The version.
     pub version: Version,
-    /// The purge position at that moment,
+    /// The purge position at that moment.
     pub position: LogPosition,
-    /// and the one it had moved on to before the next change.
+    /// The index that the position had moved on to before the next change.
     pub moved_to: u64,
 }
 
-/// What a front says of itself.
+/// Changes that a front reports of itself.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AuditRecord {
     /// The front.
     pub front: String,
-    /// Its life, in nanoseconds since 1970.
+    /// Its incarnation, in nanoseconds since 1970.
     pub incarnation: u64,
-    /// Until when it lived at least, in milliseconds since 1970.
+    /// Until when it was running at least, in milliseconds since 1970.
     pub seen_ms: u64,
     /// Changes, in their order.
     pub changes: Vec<Change>,
@@ -69,41 +71,42 @@
     pub merged: u64,
 }
 
-/// A front's own record.
+/// Records the changes of one front.
 #[derive(Debug)]
 pub struct AuditRecorder {
     front: String,
     incarnation: u64,
     serial: u64,
-    waiting: VecDeque<Change>,
-    /// What is in force, also after it was taken above.
+    pending: VecDeque<Change>,
+    /// The last change, also after it was acknowledged.
     last: Option<Change>,
-    /// Joined for want of room.
-    joined: u64,
+    /// How many changes were merged or dropped because too many were pending.
+    merged: u64,
 }
 
 impl AuditRecorder {
-    /// Of a front's life.
-    pub fn new(front: &str, life: u64) -> Self {
+    /// A recorder for one incarnation of a front.
+    pub fn new(front: &str, incarnation: u64) -> Self {
         AuditRecorder {
             front: front.into(),
-            incarnation: life,
+            incarnation,
             serial: 0,
-            waiting: VecDeque::new(),
+            pending: VecDeque::new(),
             last: None,
-            joined: 0,
+            merged: 0,
         }
     }
 
-    /// What it acts on now; nothing is noted where nothing has changed.
+    /// Records the version and position that the front acts on now, where one has changed.
     pub fn record_version(&mut self, at_ms: u64, version: Version, position: LogPosition) {
         if let Some(last) = &mut self.last {
             if last.version == version && last.position.log == position.log {
                 if last.moved_to == position.index {
                     return;
                 }
-                let close = at_ms.saturating_sub(last.at_ms) < JOINED_MS;
-                if let Some(open) = self.waiting.back_mut().filter(|open| close && open.serial == last.serial)
+                let is_close = at_ms.saturating_sub(last.at_ms) < MERGE_WITHIN_MS;
+                if let Some(open) =
+                    self.pending.back_mut().filter(|open| is_close && open.serial == last.serial)
                 {
                     open.moved_to = position.index;
                     last.moved_to = position.index;
@@ -114,101 +117,104 @@
         self.serial += 1;
         let change = Change { serial: self.serial, at_ms, version, position, moved_to: position.index };
         self.last = Some(change.clone());
-        self.waiting.push_back(change);
-        if self.waiting.len() > KEPT_HERE {
-            self.join_oldest();
+        self.pending.push_back(change);
+        if self.pending.len() > MAX_PENDING_CHANGES {
+            self.merge_oldest();
         }
     }
 
-    /// Makes room: two neighbours of one version become one, else the oldest goes.
-    fn join_oldest(&mut self) {
-        self.joined += 1;
-        let alike = |at: usize| {
-            let (a, b) = (&self.waiting[at], &self.waiting[at + 1]);
+    /// Merges the two oldest neighbours of one version, or else drops the oldest change.
+    fn merge_oldest(&mut self) {
+        self.merged += 1;
+        let is_mergeable = |at: usize| {
+            let (a, b) = (&self.pending[at], &self.pending[at + 1]);
             a.version == b.version && a.position.log == b.position.log
         };
-        if let Some(at) = (0..self.waiting.len() - 2).find(|at| alike(*at)) {
-            if let Some(later) = self.waiting.remove(at + 1) {
-                self.waiting[at].moved_to = later.moved_to;
+        if let Some(at) = (0..self.pending.len() - 2).find(|at| is_mergeable(*at)) {
+            if let Some(later) = self.pending.remove(at + 1) {
+                self.pending[at].moved_to = later.moved_to;
             }
         } else {
-            self.waiting.pop_front();
+            self.pending.pop_front();
         }
     }
 
-    /// What is to be sent above. The last change stays open while its position may still move within it.
+    /// The record to be reported. The last change may still move its position, and is reported again then.
     pub fn pending_record(&self, now_ms: u64) -> AuditRecord {
-        let changes = self.waiting.iter().take(MAX_CHANGES).cloned().collect();
+        let changes = self.pending.iter().take(MAX_CHANGES).cloned().collect();
         AuditRecord { front: self.front.clone(), incarnation: self.incarnation, seen_ms: now_ms, changes }
     }
 
-    /// It was taken above, up to there.
+    /// The record was acknowledged: its changes are no longer pending.
     pub fn acknowledge(&mut self, record: &AuditRecord) {
         for sent in &record.changes {
             // One that moved on since it was sent is sent again.
-            if self.waiting.front().is_some_and(|first| first == sent) {
-                self.waiting.pop_front();
+            if self.pending.front().is_some_and(|first| first == sent) {
+                self.pending.pop_front();
             }
         }
     }
 
     /// The changes that wait to be acknowledged.
     pub fn backlog(&self) -> AuditBacklog {
-        AuditBacklog { pending: self.waiting.len(), merged: self.joined }
+        AuditBacklog { pending: self.pending.len(), merged: self.merged }
     }
 
-    /// What is in force.
+    /// The last change.
     pub fn latest(&self) -> Option<&Change> {
         self.last.as_ref()
     }
 }
 
-/// A span in which a front acted on one version.
+/// An interval in which a front acted on one version. The order of fields is that on disk.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct VersionInterval {
     /// The change that began it.
     serial: u64,
     /// From when on, in milliseconds since 1970, by the front's clock.
     pub from_ms: u64,
-    /// The version, by its place in the ledger.
+    /// The index of the version.
     version: u32,
-    /// The purge position at its begin,
+    /// The purge position at its begin.
     pub position: LogPosition,
-    /// and at its end.
+    /// The index of the purge position at its end.
     pub moved_to: u64,
 }
 
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
-struct Life {
-    spans: VecDeque<VersionInterval>,
+struct IncarnationHistory {
+    intervals: VecDeque<VersionInterval>,
     seen_ms: u64,
 }
 
-/// What a front acted on at a moment.
+/// The version that a front acted on at a moment.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ActiveVersion<'a> {
     /// The front.
     pub front: &'a str,
-    /// Its life.
+    /// Its incarnation.
     pub incarnation: u64,
-    /// On this,
+    /// The version.
     pub version: &'a Version,
-    /// in this span.
+    /// The interval.
     pub interval: &'a VersionInterval,
-    /// Until when the front lived for certain, in milliseconds since 1970.
+    /// Until when the front was running for certain, in milliseconds since 1970.
     pub seen_ms: u64,
 }
 
-/// The audit of a site: spans by front and life.
+/// The audit log: intervals by front and incarnation. The order of fields is that on disk.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AuditLog {
-    lives: BTreeMap<(String, u64), Life>,
-    /// Each once, in the order they were met.
+    histories: BTreeMap<(String, u64), IncarnationHistory>,
+    /// Each version once, in the order of its first use.
     versions: Vec<Version>,
 }
 
 impl AuditLog {
-    /// Takes what a front says. What is known already is passed over; an error takes nothing.
+    /// Appends what a front reports; what is known already is passed over.
+    ///
+    /// # Errors
+    /// [`AuditError`], where there are too many changes or they are out of order; nothing is appended then.
     pub fn append(&mut self, record: AuditRecord) -> Result<(), AuditError> {
         if record.changes.len() > MAX_CHANGES {
             return Err(AuditError::Long(record.changes.len()));
@@ -217,12 +223,13 @@
             return Err(AuditError::Order { found: pair[1].serial, known: pair[0].serial });
         }
         let key = (record.front, record.incarnation);
-        if !self.lives.contains_key(&key) && self.lives.len() >= KEPT_LIVES {
-            let oldest = self.lives.iter().min_by_key(|(_, life)| life.seen_ms).map(|(key, _)| key.clone());
-            oldest.and_then(|oldest| self.lives.remove(&oldest));
+        if !self.histories.contains_key(&key) && self.histories.len() >= MAX_INCARNATIONS {
+            let oldest =
+                self.histories.iter().min_by_key(|(_, history)| history.seen_ms).map(|(key, _)| key.clone());
+            oldest.and_then(|oldest| self.histories.remove(&oldest));
         }
-        let life = self.lives.entry(key).or_default();
-        life.seen_ms = life.seen_ms.max(record.seen_ms);
+        let history = self.histories.entry(key).or_default();
+        history.seen_ms = history.seen_ms.max(record.seen_ms);
         for change in record.changes {
             let known = self.versions.iter().rposition(|version| *version == change.version);
             let version = known.unwrap_or(self.versions.len()) as u32;
@@ -230,65 +237,67 @@
                 self.versions.push(change.version);
             }
             let Change { serial, at_ms: from_ms, position, moved_to, .. } = change;
-            let span = VersionInterval { serial, from_ms, version, position, moved_to };
-            match life.spans.back_mut() {
-                Some(last) if last.serial == serial => *last = span,
+            let interval = VersionInterval { serial, from_ms, version, position, moved_to };
+            match history.intervals.back_mut() {
+                Some(last) if last.serial == serial => *last = interval,
                 Some(last) if last.serial > serial => {}
-                _ => life.spans.push_back(span),
+                _ => history.intervals.push_back(interval),
             }
-            if life.spans.len() > KEPT_A_LIFE {
-                life.spans.pop_front();
+            if history.intervals.len() > MAX_INTERVALS {
+                history.intervals.pop_front();
             }
         }
-        if self.versions.len() > KEPT_VERSIONS {
+        if self.versions.len() > MAX_VERSIONS {
             self.forget_versions();
         }
         Ok(())
     }
 
-    /// Drops versions that no span names any more.
+    /// Drops versions that no interval refers to any more.
     fn forget_versions(&mut self) {
-        let spans = self.lives.values().flat_map(|life| &life.spans);
-        let mut places: BTreeMap<u32, u32> = spans.map(|span| (span.version, 0)).collect();
-        let mut kept = Vec::with_capacity(places.len());
-        for (was, is) in &mut places {
-            *is = kept.len() as u32;
-            kept.push(self.versions[*was as usize].clone());
+        let intervals = self.histories.values().flat_map(|history| &history.intervals);
+        let mut new_indexes: BTreeMap<u32, u32> = intervals.map(|interval| (interval.version, 0)).collect();
+        let mut retained = Vec::with_capacity(new_indexes.len());
+        for (old_index, new_index) in &mut new_indexes {
+            *new_index = retained.len() as u32;
+            retained.push(self.versions[*old_index as usize].clone());
         }
-        for span in self.lives.values_mut().flat_map(|life| &mut life.spans) {
-            span.version = places[&span.version];
+        for interval in self.histories.values_mut().flat_map(|history| &mut history.intervals) {
+            interval.version = new_indexes[&interval.version];
         }
-        self.versions = kept;
+        self.versions = retained;
     }
 
-    fn acted<'a>(
+    fn active_version<'a>(
         &'a self,
-        (front, life): &'a (String, u64),
+        (front, incarnation): &'a (String, u64),
         interval: &'a VersionInterval,
         seen_ms: u64,
     ) -> ActiveVersion<'a> {
         ActiveVersion {
             front,
-            incarnation: *life,
+            incarnation: *incarnation,
             version: &self.versions[interval.version as usize],
             interval,
             seen_ms,
         }
     }
 
-    /// What each front acted on at a moment, as far as it has said; a life that is not known to have lasted until
-    /// then is left out.
+    /// The version of each front at a moment, in milliseconds since 1970. An incarnation that is not known to have run
+    /// until then is left out.
     pub fn active_at(&self, moment_ms: u64) -> impl Iterator<Item = ActiveVersion<'_>> {
-        self.lives.iter().filter_map(move |(key, of)| {
-            let after = of.spans.partition_point(|span| span.from_ms <= moment_ms);
-            let span = after.checked_sub(1).and_then(|at| of.spans.get(at))?;
-            let lived = after < of.spans.len() || of.seen_ms >= moment_ms;
-            lived.then(|| self.acted(key, span, of.seen_ms))
+        self.histories.iter().filter_map(move |(key, history)| {
+            let after = history.intervals.partition_point(|interval| interval.from_ms <= moment_ms);
+            let interval = after.checked_sub(1).and_then(|at| history.intervals.get(at))?;
+            let is_known_alive = after < history.intervals.len() || history.seen_ms >= moment_ms;
+            is_known_alive.then(|| self.active_version(key, interval, history.seen_ms))
         })
     }
 
-    /// What each life acted on last.
+    /// The last version of each incarnation.
     pub fn latest(&self) -> impl Iterator<Item = ActiveVersion<'_>> {
-        self.lives.iter().filter_map(|(key, of)| Some(self.acted(key, of.spans.back()?, of.seen_ms)))
+        self.histories.iter().filter_map(|(key, history)| {
+            Some(self.active_version(key, history.intervals.back()?, history.seen_ms))
+        })
     }
 }
--- a/crates/lilacpitch-fleet/src/cache.rs
+++ b/crates/lilacpitch-fleet/src/cache.rs
@@ -1,5 +1,7 @@
-//! Answers about numbers, in shards under their own locks. A purge takes out what it withdraws, and what was read
-//! before it never comes in after it.
+//! The cache of a front: answers by number, in shards under locks of their own. A purge removes what it withdraws, and
+//! what was read before a purge never comes in after it.
+//!
+//! **Order of locks.** A shard, then the list of recent purges. Never two shards.
 
 use crate::locate::LocateAnswer;
 use crate::message::{CommandAction, FleetCommand, PurgeScope};
@@ -10,24 +12,24 @@
 use std::collections::{HashMap, VecDeque};
 
 const SHARDS: usize = 16;
-/// Scopes of purges that are remembered for fills under way; what was read before the oldest fills nothing.
-const RECENT: usize = 65_536;
+/// Most scopes of purges that are retained for fills under way; what was read before the oldest fills nothing.
+const MAX_RECENT_SCOPES: usize = 65_536;
 
 #[derive(Debug, Default)]
 struct Shard {
     entries: HashMap<Number, LocateAnswer>,
-    /// Numbers in the order they came in: the oldest make room.
-    order: VecDeque<Number>,
+    /// Numbers in the order of their insertion: the oldest are evicted first.
+    insertion_order: VecDeque<Number>,
 }
 
 #[derive(Debug, Default)]
-struct Recent {
+struct RecentPurges {
     scopes: VecDeque<(Nanos, PurgeScope)>,
     /// What was read before this may have been withdrawn by something that is no longer listed.
     known_from_ns: Nanos,
 }
 
-impl Recent {
+impl RecentPurges {
     fn withdrawn_since(&self, read_from_ns: Nanos, number: &Number, answer: &LocateAnswer) -> bool {
         // A purge of the very moment of reading counts as after it.
         let since = |(at, _): &&(Nanos, PurgeScope)| *at >= read_from_ns;
@@ -52,54 +54,59 @@
 #[derive(Debug)]
 pub struct Cache {
     shards: Box<[Mutex<Shard>]>,
-    recent: Mutex<Recent>,
-    most_a_shard: usize,
-    guards: Safeguards,
+    recent_purges: Mutex<RecentPurges>,
+    shard_capacity: usize,
+    safeguards: Safeguards,
 }
 
 impl Cache {
-    /// For up to about so many numbers.
-    pub fn new(most: usize, guards: Safeguards) -> Self {
+    /// A cache for up to about so many numbers.
+    pub fn new(capacity: usize, safeguards: Safeguards) -> Self {
         let shards = (0..SHARDS).map(|_| Mutex::default()).collect();
-        Cache { shards, recent: Mutex::default(), most_a_shard: most.div_ceil(SHARDS).max(1), guards }
+        Cache {
+            shards,
+            recent_purges: Mutex::default(),
+            shard_capacity: capacity.div_ceil(SHARDS).max(1),
+            safeguards,
+        }
     }
 
     fn shard(&self, number: &Number) -> &Mutex<Shard> {
         &self.shards[shard_of(number.hash64(), SHARDS)]
     }
 
-    /// What is cached of a number. Whoever uses it judges the lease after this and before it answers.
+    /// The cached answer about a number. The caller checks the lease after this, and before it uses the answer.
     pub fn get(&self, number: &Number) -> Option<LocateAnswer> {
         self.shard(number).lock().entries.get(number).cloned()
     }
 
-    /// Enters an answer that was read from `read_from_ns` on, unless something withdrew it since. Whether it did.
+    /// Caches an answer that was read from `read_from_ns` on, unless a purge has withdrawn it since; whether it did.
     pub fn fill(&self, read_from_ns: Nanos, number: &Number, answer: &LocateAnswer) -> bool {
         let mut shard = self.shard(number).lock();
-        // Under the shard's lock: an order that is listed after this look finds the entry in the shard.
-        let withdrawn = self.recent.lock().withdrawn_since(read_from_ns, number, answer);
-        if withdrawn && self.guards.stale_fills {
+        // Under the shard's lock: a purge that is listed after this check finds the entry in the shard.
+        let withdrawn = self.recent_purges.lock().withdrawn_since(read_from_ns, number, answer);
+        if withdrawn && self.safeguards.stale_fills {
             return false;
         }
-        let kept = LocateAnswer { is_cached: true, ..answer.clone() };
-        if shard.entries.insert(number.clone(), kept).is_none() {
-            shard.order.push_back(number.clone());
+        let cached = LocateAnswer { is_cached: true, ..answer.clone() };
+        if shard.entries.insert(number.clone(), cached).is_none() {
+            shard.insertion_order.push_back(number.clone());
         }
-        while shard.entries.len() > self.most_a_shard {
-            let Some(oldest) = shard.order.pop_front() else { break };
+        while shard.entries.len() > self.shard_capacity {
+            let Some(oldest) = shard.insertion_order.pop_front() else { break };
             shard.entries.remove(&oldest);
         }
         true
     }
 
-    /// Applies an order: when this returns, nothing that it withdraws is served or filled.
-    pub fn apply(&self, now: Nanos, order: &FleetCommand) {
-        let CommandAction::Purge(scopes) = &order.action else { return };
+    /// Applies a command: when this returns, nothing that it purges is served or filled.
+    pub fn apply(&self, now: Nanos, command: &FleetCommand) {
+        let CommandAction::Purge(scopes) = &command.action else { return };
         {
-            let mut recent = self.recent.lock();
-            recent.scopes.extend(scopes.iter().map(|scope| (now, scope.clone())));
-            while recent.scopes.len() > RECENT {
-                recent.known_from_ns = recent.scopes.pop_front().map_or(0, |(at, _)| at + 1);
+            let mut recent_purges = self.recent_purges.lock();
+            recent_purges.scopes.extend(scopes.iter().map(|scope| (now, scope.clone())));
+            while recent_purges.scopes.len() > MAX_RECENT_SCOPES {
+                recent_purges.known_from_ns = recent_purges.scopes.pop_front().map_or(0, |(at, _)| at + 1);
             }
         }
         let numbers = scopes.iter().filter_map(|scope| match scope {
@@ -107,31 +114,32 @@
             _ => None,
         });
         numbers.for_each(|number| drop(self.shard(number).lock().entries.remove(number)));
-        let wide: Vec<&PurgeScope> =
+        let wide_scopes: Vec<&PurgeScope> =
             scopes.iter().filter(|scope| !matches!(scope, PurgeScope::Number(_))).collect();
-        if wide.is_empty() {
+        if wide_scopes.is_empty() {
             return;
         }
         for shard in &self.shards {
-            let out =
-                |n: &Number, answer: &LocateAnswer| wide.iter().any(|scope| withdraws(scope, n, answer));
-            shard.lock().entries.retain(|number, answer| !out(number, answer));
+            let is_withdrawn = |n: &Number, answer: &LocateAnswer| {
+                wide_scopes.iter().any(|scope| withdraws(scope, n, answer))
+            };
+            shard.lock().entries.retain(|number, answer| !is_withdrawn(number, answer));
         }
     }
 
-    /// Drops everything: a fresh start. What was read before now fills nothing.
+    /// Drops everything, after a reset. What was read before now fills nothing.
     pub fn clear(&self, now: Nanos) {
         {
-            let mut recent = self.recent.lock();
-            recent.scopes.clear();
-            recent.known_from_ns = now + 1;
+            let mut recent_purges = self.recent_purges.lock();
+            recent_purges.scopes.clear();
+            recent_purges.known_from_ns = now + 1;
         }
         for shard in &self.shards {
             *shard.lock() = Shard::default();
         }
     }
 
-    /// How many numbers are held.
+    /// How many numbers are cached.
     pub fn len(&self) -> usize {
         self.shards.iter().map(|shard| shard.lock().entries.len()).sum()
     }
--- a/crates/lilacpitch-fleet/src/catalogue.rs
+++ b/crates/lilacpitch-fleet/src/catalogue.rs
@@ -59,7 +59,7 @@
 pub struct Catalogue {
     settle_ns: Nanos,
     terms: LeaseTerms,
-    guards: Safeguards,
+    safeguards: Safeguards,
     sites: BTreeMap<String, Summary>,
 }
 
@@ -69,14 +69,14 @@
         sites: impl IntoIterator<Item = &'a str>,
         settle_ns: Nanos,
         terms: LeaseTerms,
-        guards: Safeguards,
+        safeguards: Safeguards,
     ) -> Self {
         let sites = sites.into_iter().map(|name| (name.to_string(), Summary::default())).collect();
-        Catalogue { settle_ns, terms, guards, sites }
+        Catalogue { settle_ns, terms, safeguards, sites }
     }
 
     fn fresh_as_of(&self, summary: &Summary, now: Nanos) -> Option<Nanos> {
-        let is_fresh = |at: &Nanos| now.saturating_sub(*at) <= self.settle_ns || !self.guards.summary_age;
+        let is_fresh = |at: &Nanos| now.saturating_sub(*at) <= self.settle_ns || !self.safeguards.summary_age;
         summary.as_of_ns.filter(is_fresh)
     }
 
--- a/crates/lilacpitch-fleet/src/concurrency_limit.rs
+++ b/crates/lilacpitch-fleet/src/concurrency_limit.rs
@@ -1,59 +1,44 @@
-//! How many questions a process of a site works on at once: calls that wait come before searches.
+//! How many queries a process of a site works on at once. A query that a call waits for goes before searches, which get
+//! a share of the slots only.
 
-/// Searches take this share of the room at most: one of so many places, and one at least.
-const SEARCH_SHARE: usize = 4;
+/// Searches may take one of so many slots, and one at least.
+const SLOTS_PER_SEARCH: usize = 4;
 
-/// Places for questions. Whoever enters leaves again.
+/// Slots for queries. Whoever has acquired one releases it.
 #[derive(Debug)]
 pub struct ConcurrencyLimit {
-    most: usize,
-    calls: usize,
+    capacity: usize,
+    urgent: usize,
     searches: usize,
 }
 
 impl ConcurrencyLimit {
-    /// For so many questions at once.
-    pub fn new(most: usize) -> Self {
-        ConcurrencyLimit { most: most.max(1), calls: 0, searches: 0 }
+    /// A limit of so many queries at once, and of one at least.
+    pub fn new(capacity: usize) -> Self {
+        ConcurrencyLimit { capacity: capacity.max(1), urgent: 0, searches: 0 }
     }
 
-    /// A question wants in; `false`: there is no room, and its asker is told 'full'.
-    pub fn try_acquire(&mut self, urgent: bool) -> bool {
-        let searches_full = self.searches >= (self.most / SEARCH_SHARE).max(1);
-        if self.calls + self.searches >= self.most || (!urgent && searches_full) {
+    /// Acquires a slot; `false`: there is none, and the query is rejected as overload.
+    pub fn try_acquire(&mut self, is_urgent: bool) -> bool {
+        let is_full_for_searches = self.searches >= (self.capacity / SLOTS_PER_SEARCH).max(1);
+        if self.urgent + self.searches >= self.capacity || (!is_urgent && is_full_for_searches) {
             return false;
         }
-        *self.places(urgent) += 1;
+        *self.in_use(is_urgent) += 1;
         true
     }
 
-    /// A question that was let in is done with.
-    pub fn release(&mut self, urgent: bool) {
-        let places = self.places(urgent);
-        *places = places.saturating_sub(1);
+    /// Releases a slot that was acquired for a query of this urgency.
+    pub fn release(&mut self, is_urgent: bool) {
+        let in_use = self.in_use(is_urgent);
+        *in_use = in_use.saturating_sub(1);
     }
 
-    fn places(&mut self, urgent: bool) -> &mut usize {
-        if urgent {
-            &mut self.calls
+    fn in_use(&mut self, is_urgent: bool) -> &mut usize {
+        if is_urgent {
+            &mut self.urgent
         } else {
             &mut self.searches
         }
     }
 }
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn searches_leave_room_for_calls() {
-        let mut room = ConcurrencyLimit::new(8);
-        assert_eq!((0..8).filter(|_| room.try_acquire(false)).count(), 2);
-        assert_eq!((0..8).filter(|_| room.try_acquire(true)).count(), 6);
-        room.release(false);
-        assert!(room.try_acquire(true) && !room.try_acquire(false));
-        room.release(true);
-        assert!(room.try_acquire(false));
-    }
-}
--- a/crates/lilacpitch-fleet/src/error.rs
+++ b/crates/lilacpitch-fleet/src/error.rs
@@ -4,7 +4,7 @@
 use miette::Diagnostic;
 use thiserror::Error;
 
-/// Why a frame was refused; its connection ends, and nothing else.
+/// Why a frame was rejected; its connection ends, and nothing else.
 #[derive(Debug, Clone, PartialEq, Eq, Error, Diagnostic)]
 pub enum FrameError {
     /// Sealed with no key in force, or changed on its way.
@@ -43,31 +43,31 @@
     Version(u16),
 }
 
-/// Why an order could not be taken.
+/// Why a command could not be applied.
 #[derive(Debug, Clone, PartialEq, Eq, Error, Diagnostic)]
 pub enum PurgeError {
-    /// Orders are missing before this one.
+    /// Commands are missing before this one.
     #[error("order {found} after {applied}: those between are missing")]
     #[diagnostic(
         code(purge::gap),
         help("none needed: they are asked for; if it goes on, look at the link to the process above")
     )]
     Gap {
-        /// The first of what came.
+        /// The number of the first command received.
         found: u64,
-        /// The last that was applied.
+        /// The number of the last command applied.
         applied: u64,
     },
-    /// Of another log than is followed.
+    /// The command is of another log.
     #[error("orders of log {found:x}, log {ours:x} is followed")]
     #[diagnostic(
         code(purge::log),
         help("none needed: a fresh start follows; a new log means that the root site lost orders")
     )]
     Log {
-        /// What came.
+        /// The log of the command.
         found: u64,
-        /// What is followed.
+        /// The log of this holder.
         ours: u64,
     },
 }
@@ -75,26 +75,26 @@
 /// Why cached answers may not be used.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error, Diagnostic)]
 pub enum LeaseError {
-    /// Never granted, or run out.
+    /// The lease was never granted, or has expired.
     #[error("no lease")]
     #[diagnostic(
         code(lease::out),
         help("look at the home site and the link to it; calls go on without the cache")
     )]
     Out,
-    /// Granted at a later order than was applied.
+    /// The lease requires a command that is not applied yet.
     #[error("orders up to {needed} are to be applied first, {applied} are")]
     #[diagnostic(
         code(lease::behind),
         help("none needed: the missing orders come; if it goes on, the front has no processor time")
     )]
     Behind {
-        /// What the lease asks for.
+        /// The command that the lease requires.
         needed: u64,
-        /// What is applied.
+        /// The last command applied.
         applied: u64,
     },
-    /// Its settings version is withdrawn.
+    /// The settings version is withdrawn.
     #[error("the settings version of this front is withdrawn")]
     #[diagnostic(
         code(lease::withdrawn),
@@ -103,28 +103,28 @@
     Withdrawn,
 }
 
-/// Why a site could not be asked, or a question not be taken.
+/// Why a site could not be queried, or a query not be accepted.
 #[derive(Debug, Clone, PartialEq, Eq, Error, Diagnostic)]
 pub enum LocateError {
-    /// The process or the module refused it.
+    /// The process, or the dispatcher, has rejected the query.
     #[error("refused: {0}")]
     #[diagnostic(
         code(locate::refused),
         help("the site is loaded or behind: see its metrics; give it processes or shards")
     )]
     Refused(RejectReason),
-    /// No process of the site answered in time.
+    /// No process of the site has responded in time.
     #[error("no answer in time")]
     #[diagnostic(code(locate::late), help("look at the site's processes and at the links to them"))]
     Late,
-    /// No connection.
+    /// There is no connection.
     #[error("no connection")]
     #[diagnostic(
         code(locate::unreached),
         help("start the site's processes, or correct their addresses in the settings")
     )]
     Unreached,
-    /// More questions wait than are held.
+    /// Too many queries wait.
     #[error("too many questions wait")]
     #[diagnostic(
         code(locate::full),
@@ -133,17 +133,17 @@
     TooMany,
 }
 
-/// What is wrong with what a front says of itself.
+/// What is wrong with an audit record.
 #[derive(Debug, Clone, PartialEq, Eq, Error, Diagnostic)]
 pub enum AuditError {
-    /// More than is taken at once.
+    /// It has too many changes.
     #[error("{0} changes at once")]
     #[diagnostic(
         code(audit::long),
         help("compare the builds: an older one may send more than a newer one takes")
     )]
     Long(usize),
-    /// A change that goes back.
+    /// A change is out of order.
     #[error("change {found} after {known} of one life")]
     #[diagnostic(code(audit::order), help("two fronts run under one name: give each its own"))]
     Order {
@@ -152,13 +152,13 @@
         /// What was known.
         known: u64,
     },
-    /// A moment that is asked for is none.
+    /// The moment of a query is none.
     #[error("moment {0:?}: not milliseconds since 1970")]
     #[diagnostic(code(audit::moment), help("ask as /audit?at=1796083200000"))]
     Moment(String),
 }
 
-/// Why the log of a site took no entry.
+/// Why a site's log has failed.
 #[derive(Debug, Clone, PartialEq, Eq, Error, Diagnostic)]
 pub enum LogError {
     /// The disk refused a write or a read.
@@ -168,27 +168,27 @@
         help("free space on the data folder's disk or mend it, then start the process again")
     )]
     Disk(String),
-    /// What is on disk does not read.
+    /// What is on disk can't be read.
     #[error("{path}: {what}")]
     #[diagnostic(
         code(log::damaged),
         help("move the data folder away: the process fetches all from the others, or starts empty if alone")
     )]
     Damaged {
-        /// Which file.
+        /// The file or folder.
         path: String,
-        /// What is wrong.
+        /// The reason.
         what: String,
     },
     /// The folder is of another site or process.
     #[error("{path}: of {found}, this is {ours}")]
     #[diagnostic(code(log::foreign), help("give this process its own `data` folder"))]
     Foreign {
-        /// Which folder.
+        /// The folder.
         path: String,
-        /// Whose it is.
+        /// Its owner.
         found: String,
-        /// Who asks.
+        /// The process that opened it.
         ours: String,
     },
 }
--- a/crates/lilacpitch-fleet/src/frame.rs
+++ b/crates/lilacpitch-fleet/src/frame.rs
@@ -1,25 +1,26 @@
-//! Frames of a link: sealed with the keys of peers, and counted, so that none is taken twice, late or elsewhere.
+//! The frames of a connection between processes: sealed with the shared key, and numbered for one connection, so that no
+//! frame is accepted twice, out of order, or on another connection.
 
 use crate::error::FrameError;
 use crate::message::{Body, Hello, VERSION};
 use lilacpitch_gossip::Keys;
 use serde::{Deserialize, Serialize};
 
-/// Longest frame.
+/// Longest frame, in bytes.
 pub const MAX_FRAME_BYTES: usize = 8 << 20;
-/// What frames are sealed for: a datagram among fronts is none.
+/// The purpose that frames are sealed for: datagrams between fronts are sealed for another.
 const PURPOSE: &[u8] = b"lilacpitch.fleet.1";
 const NONCE_BYTES: usize = 24;
 
 #[derive(Serialize, Deserialize)]
 struct Envelope<B> {
-    /// What the other end drew for this connection; 0 in the first frame.
+    /// The nonce that the receiver drew for this connection; 0 in the first frame.
     to: u64,
     counter: u64,
     body: B,
 }
 
-/// Writes the frames of one end.
+/// Seals the frames of one end.
 #[derive(Debug)]
 pub struct FrameWriter {
     keys: Keys,
@@ -28,17 +29,20 @@
 }
 
 impl FrameWriter {
-    /// For a connection whose other end has not spoken yet.
+    /// A writer for a connection whose other end has not sent its [`Hello`] yet.
     pub fn new(keys: Keys) -> Self {
         FrameWriter { keys, to: 0, counter: 0 }
     }
 
-    /// From now on frames name what the other end drew.
+    /// From now on frames name the nonce of the other end.
     pub fn set_peer(&mut self, hello: &Hello) {
         self.to = hello.nonce;
     }
 
-    /// One frame. `nonce` must be drawn anew for each.
+    /// Seals the next frame. `nonce` must be drawn at random for each.
+    ///
+    /// # Errors
+    /// [`FrameError::Length`], where the frame is too long.
     pub fn seal(&mut self, body: &Body, nonce: [u8; NONCE_BYTES]) -> Result<Vec<u8>, FrameError> {
         let envelope = Envelope { to: self.to, counter: self.counter, body };
         self.counter += 1;
@@ -51,7 +55,7 @@
     }
 }
 
-/// Reads the frames of the other end.
+/// Opens the frames of the other end.
 #[derive(Debug)]
 pub struct FrameReader {
     keys: Keys,
@@ -60,12 +64,15 @@
 }
 
 impl FrameReader {
-    /// `own` is what this end drew for the connection.
+    /// A reader; `own` is the nonce that this end drew for the connection.
     pub fn new(keys: Keys, own: u64) -> Self {
         FrameReader { keys, own, counter: 0 }
     }
 
     /// Opens the next frame.
+    ///
+    /// # Errors
+    /// [`FrameError`]: the connection can't go on then.
     pub fn open(&mut self, bytes: &[u8]) -> Result<Body, FrameError> {
         if bytes.len() > MAX_FRAME_BYTES {
             return Err(FrameError::Length(bytes.len()));
@@ -74,8 +81,8 @@
         let envelope: Envelope<Body> =
             postcard::from_bytes(&plain).map_err(|e| FrameError::Malformed(e.to_string()))?;
         let first = self.counter == 0;
-        let here = if first { envelope.to == 0 } else { envelope.to == self.own };
-        if envelope.counter != self.counter || !here {
+        let is_for_this_end = if first { envelope.to == 0 } else { envelope.to == self.own };
+        if envelope.counter != self.counter || !is_for_this_end {
             return Err(FrameError::Order { found: envelope.counter, wanted: self.counter });
         }
         self.counter += 1;
@@ -87,7 +94,7 @@
     }
 }
 
-/// Opens a frame as a reader of both ends' talk does, with no regard to order: for the laboratory's judge.
+/// Opens a frame without regard to order or connection: for the testbed's checker.
 #[doc(hidden)]
 pub fn peek(keys: &Keys, bytes: &[u8]) -> Option<Body> {
     let plain = keys.open_for(PURPOSE, bytes).ok()?;
--- a/crates/lilacpitch-fleet/src/lease.rs
+++ b/crates/lilacpitch-fleet/src/lease.rs
@@ -1,36 +1,36 @@
-//! Leases: until when what is cached may be used without hearing more.
+//! Leases: until when cached answers may be used without another message (Gray and Cheriton, "Leases", SOSP 1989).
 //!
-//! A holder counts a lease of `L` from the moment it *asked*, on its own steady clock. Who granted it waits for `L`
-//! from the moment of granting, longer by the allowance for clocks that run at different speeds. A relay grants no
-//! longer than its own lease still runs, so that who granted the relay's may count all below it out with it.
+//! A holder counts a lease of length `L` from the moment of its *request*, on its own steady clock. Who granted it waits
+//! for `L` from the moment of the grant, longer by the allowance for clocks that run at different speeds. A process
+//! grants no lease that outlasts its own: once that has expired, so have all below it.
 
 use crate::message::LogPosition;
 use crate::Nanos;
 
-/// What is agreed on leases in a fleet.
+/// The terms of leases, the same in the whole fleet.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct LeaseTerms {
-    /// A lease's length.
+    /// The length of a lease, in nanoseconds.
     pub lease_ns: Nanos,
-    /// How much faster or slower than true time a clock may run, as a share.
+    /// How much faster or slower than true time a clock may run, as a fraction: 0.01 is 1 %.
     pub clock_allowance: f64,
-    /// A holder that has not applied an order for this long gets no further lease.
+    /// A holder that has not applied a command for so long, in nanoseconds, gets no further lease.
     pub lagging_after_ns: Nanos,
 }
 
 impl LeaseTerms {
-    /// After how long, by any clock of the fleet, a span that was granted has surely run out by any other.
-    pub fn worst_case_ns(&self, span_ns: Nanos) -> Nanos {
-        let a = self.clock_allowance;
-        (span_ns as f64 * (1.0 + a) / (1.0 - a)).ceil() as Nanos
+    /// After how long by one clock of the fleet a duration has surely passed by any other, in nanoseconds.
+    pub fn worst_case_ns(&self, duration_ns: Nanos) -> Nanos {
+        let allowance = self.clock_allowance;
+        (duration_ns as f64 * (1.0 + allowance) / (1.0 - allowance)).ceil() as Nanos
     }
 }
 
 /// A lease as its holder has it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Lease {
-    /// Until when, by the holder's clock.
+    /// Until when, by the holder's steady clock.
     pub until_ns: Nanos,
-    /// Only with everything up to here applied.
+    /// Valid only once all commands up to here are applied.
     pub position: LogPosition,
 }
--- a/crates/lilacpitch-fleet/src/lease_holder.rs
+++ b/crates/lilacpitch-fleet/src/lease_holder.rs
@@ -1,4 +1,5 @@
-//! The lower end of the purge's way: a process that holds what orders may withdraw, be it a front's cache or a relay.
+//! The holder's side of leases and commands: its position in the command log, its lease, and the settings versions that
+//! are withdrawn. A front's cache is a holder, and so is each process of a site below the root.
 
 use crate::error::{LeaseError, PurgeError};
 use crate::lease::Lease;
@@ -6,48 +7,51 @@
 use crate::Nanos;
 use std::collections::BTreeSet;
 
-/// What an answer of the process above means to a holder.
+/// What a response of the parent means to a holder.
 #[derive(Debug, PartialEq, Eq)]
 pub enum LeaseUpdate {
-    /// These orders are next, to be applied in turn.
+    /// These commands are next: apply each, in this order.
     Commands(Vec<FleetCommand>),
-    /// Everything cached is to be dropped; then ask again.
+    /// Drop everything that is cached, then renew at once.
     Reset,
-    /// No lease this time.
+    /// Nothing to do.
     Unchanged,
 }
 
-/// A holder's position, lease, and what is withdrawn. Whoever owns it applies what it hands out before it goes on.
+/// The state of a holder. Its owner applies the commands that it returns before it goes on.
 #[derive(Debug, Clone, Default)]
 pub struct LeaseHolder {
     position: Option<LogPosition>,
     lease: Option<Lease>,
     withdrawn: BTreeSet<u64>,
-    settings: u64,
+    settings_version: u64,
 }
 
 impl LeaseHolder {
-    /// A holder that acts on this settings version and has applied nothing.
-    pub fn new(settings: u64) -> Self {
-        LeaseHolder { settings, ..LeaseHolder::default() }
+    /// A holder that acts on this settings version and has applied no commands.
+    pub fn new(settings_version: u64) -> Self {
+        LeaseHolder { settings_version, ..LeaseHolder::default() }
     }
 
-    /// What to ask for a lease with.
+    /// The last command applied; `None`: no position was ever given.
     pub fn position(&self) -> Option<LogPosition> {
         self.position
     }
 
-    /// Settings versions that are withdrawn.
+    /// The settings versions that are withdrawn.
     pub fn withdrawn(&self) -> &BTreeSet<u64> {
         &self.withdrawn
     }
 
-    /// Whether this holder's own settings version is.
+    /// Whether this holder's own settings version is withdrawn.
     pub fn is_withdrawn(&self) -> bool {
-        self.withdrawn.contains(&self.settings)
+        self.withdrawn.contains(&self.settings_version)
     }
 
-    /// Until when what is cached may be used, judged now: after a standstill, before an answer.
+    /// Until when cached answers may be used, checked now: call it after any pause, right before an answer.
+    ///
+    /// # Errors
+    /// [`LeaseError`]: the settings are withdrawn, the lease has expired, or commands that it requires are missing.
     pub fn valid_until(&self, now: Nanos) -> Result<Nanos, LeaseError> {
         if self.is_withdrawn() {
             return Err(LeaseError::Withdrawn);
@@ -62,15 +66,15 @@
         }
     }
 
-    /// Takes the answer to a question for a lease that was asked at `asked_ns`.
-    pub fn handle_response(&mut self, asked_ns: Nanos, response: Response) -> LeaseUpdate {
+    /// Handles the response to a lease request that was sent at `requested_ns`, by this process's steady clock.
+    pub fn handle_response(&mut self, requested_ns: Nanos, response: Response) -> LeaseUpdate {
         match response {
             Response::LeaseGranted { for_ns, position, commands, .. } => {
-                let until_ns = asked_ns.saturating_add(for_ns);
-                // An answer that is overtaken by a later one takes nothing back.
+                let until_ns = requested_ns.saturating_add(for_ns);
+                // A response that a later one has overtaken takes nothing back.
                 if self
                     .lease
-                    .is_none_or(|held| held.until_ns <= until_ns || held.position.log != position.log)
+                    .is_none_or(|known| known.until_ns <= until_ns || known.position.log != position.log)
                 {
                     self.lease = Some(Lease { until_ns, position });
                 }
@@ -87,7 +91,10 @@
         }
     }
 
-    /// Which of these orders are next: those applied already are passed over, a gap is refused.
+    /// Selects the commands that are next: those applied already are passed over.
+    ///
+    /// # Errors
+    /// [`PurgeError`], where commands before these are missing, or these are of another log.
     pub fn select_next_commands(
         &mut self,
         log: u64,
@@ -112,16 +119,16 @@
         Ok(next)
     }
 
-    /// An order was applied by whoever owns this: all that it withdrew is gone.
-    pub fn record_applied(&mut self, order: &FleetCommand) {
-        match &order.action {
+    /// Records that the owner has applied a command: everything that it withdraws is gone.
+    pub fn record_applied(&mut self, command: &FleetCommand) {
+        match &command.action {
             CommandAction::Purge(_) => {}
             CommandAction::Withdraw(version) => drop(self.withdrawn.insert(*version)),
             CommandAction::Reinstate(version) => drop(self.withdrawn.remove(version)),
         }
         if let Some(position) = &mut self.position {
-            debug_assert_eq!(order.number, position.index + 1, "orders are applied without gaps");
-            position.index = order.number;
+            debug_assert_eq!(command.number, position.index + 1, "orders are applied without gaps");
+            position.index = command.number;
         }
     }
 }
--- a/crates/lilacpitch-fleet/src/lib.rs
+++ b/crates/lilacpitch-fleet/src/lib.rs
@@ -1,20 +1,18 @@
-//! The fleet: how many processes keep one another right, without I/O; time is an argument.
+//! How the processes of a fleet keep their caches true: leases, purges, locates and the audit, without I/O. Time is an
+//! argument.
 //!
-//! - [`message`]: what crosses the links between processes; [`frame`]: how it is sealed and kept in order.
-//! - [`lease`] and [`holder`]: until when what is cached may be used, and up to which purge it is true.
-//! - [`upward`]: which process above is followed.
-//! - [`relay`]: a process with others below it: grants leases, passes orders on, counts acknowledgements.
-//! - [`gather`]: which row changes of a front go at once and which together.
-//! - [`rejoin`]: when a process with a new disk takes part in its site's log.
-//! - [`room`]: how many questions a process works on at once, calls before searches.
-//! - [`window`]: the orders kept for who missed some.
-//! - [`catalogue`]: summaries of sites, and which of them could hold a number; [`locate`]: one question to those.
-//! - [`asker`]: which process of a site gets a question and whether again: the module decides, as for calls.
-//! - [`cache`]: answers in shards, purged by order, never filled with what was read before a purge.
-//! - [`audit`]: who acted on which version, and when.
+//! - [`message`]: the messages between processes; [`frame`]: how they are sealed and kept in order.
+//! - [`lease`], [`lease_holder`]: until when cached answers may be used, and which commands that requires.
+//! - [`ack_aggregator`]: the parent's side: grants leases, passes commands on, aggregates acknowledgements.
+//! - [`upstream_selection`]: which process of the parent site is used. [`log_tail`]: the last commands.
+//! - [`catalogue`]: summaries of sites; [`locate`]: one query to those that may have a match; [`query_dispatcher`]: which
+//!   process of a site gets it; [`concurrency_limit`]: how many a process works on at once.
+//! - [`cache`]: cached answers, never filled with what was read before a purge.
+//! - [`write_batcher`]: batches of record changes. [`audit`]: who acted on which version, and when.
+//! - [`disk_loss_recovery`]: when a process with a new disk takes part in its site's log.
 //!
-//! Steady clocks only, in nanoseconds from anywhere, but for moments that people read: those are milliseconds
-//! since 1970 and decide nothing.
+//! Decisions use steady clocks only, in nanoseconds from an arbitrary origin. Moments that people read are milliseconds
+//! since 1970, and decide nothing.
 //!
 //! **Order of locks**, in [`cache`] alone: a shard, then the list of recent purges. Never two shards.
 #![forbid(unsafe_code)]
@@ -42,32 +40,32 @@
     pub use parking_lot::Mutex;
 }
 
-/// A moment on a steady clock, or a span, in nanoseconds.
+/// A moment on a steady clock, or a duration, in nanoseconds.
 pub type Nanos = u64;
 
-/// Guards that a test may switch off to see that the judge of the promises notices. Never off in a program.
+/// Safeguards of the guarantees, which a test switches off to see that the checker notices. Never off in a program.
 #[doc(hidden)]
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Safeguards {
-    /// Promise 1: a summary that is too old rules nothing out, and a process behind its site says so.
+    /// Guarantee 1: a summary that is too old rules nothing out, and a process that lags behind its site rejects queries.
     pub summary_age: bool,
-    /// Promise 1: a process with a new disk takes no part before it has heard what its former one may have promised.
+    /// Guarantee 1: a process with a new disk takes no part in the log before it knows the votes of the others.
     pub disk_loss: bool,
-    /// Promise 2: who was not reached is named.
+    /// Guarantee 2: sites that were not reached are named.
     pub unreached_sites: bool,
-    /// Promise 3: cached answers end with the lease.
+    /// Guarantee 3: cached answers end with the lease.
     pub cache_leases: bool,
-    /// Promise 4: what was read before a purge fills nothing after it.
+    /// Guarantee 4: what was read before a purge fills nothing after it.
     pub stale_fills: bool,
-    /// Promise 5: acknowledgements are counted.
+    /// Guarantee 5: acknowledgements are counted.
     pub acknowledgements: bool,
-    /// Promise 6: stragglers get no lease.
+    /// Guarantee 6: lagging holders get no lease.
     pub lagging_holders: bool,
-    /// Promise 6: writes without a lease are refused.
+    /// Guarantee 6: writes without a lease are refused.
     pub write_fencing: bool,
-    /// Promise 7: changes of version are recorded when they happen.
+    /// Guarantee 7: changes of version are recorded when they happen.
     pub audit_records: bool,
-    /// Promise 8: calls wait no longer than their share.
+    /// Guarantee 8: calls take precedence over searches.
     pub calls_first: bool,
 }
 
--- a/crates/lilacpitch-fleet/src/locate.rs
+++ b/crates/lilacpitch-fleet/src/locate.rs
@@ -1,4 +1,5 @@
-//! One question to the sites that could answer it.
+//! One locate: a query to all sites that may have a matching record, and the answer merged from their responses. Sites
+//! that their summary rules out are not queried; sites that did not respond are named in the answer.
 
 use crate::catalogue::{Catalogue, SiteVerdict};
 use crate::error::LocateError;
@@ -6,7 +7,7 @@
 use lilacpitch_location::{Key, LocationRecord, Page, Query};
 use std::collections::BTreeMap;
 
-/// Most rows of one answer.
+/// Most records of one answer.
 pub const MAX_LIMIT: usize = 1_000;
 
 /// What became of a site in a locate.
@@ -14,32 +15,32 @@
 pub enum SiteOutcome {
     /// Its summary rules it out.
     RuledOut {
-        /// The life of the process whose versions these are.
+        /// The incarnation of the process whose versions these are.
         incarnation: u64,
         /// The version.
         total: u64,
-        /// When it was asked for, by this process's steady clock.
+        /// When it was requested, by this process's steady clock.
         as_of_ns: Nanos,
     },
-    /// It was asked: this process answered with so many rows.
+    /// It was queried, and responded.
     Queried {
-        /// The process.
+        /// The process that responded.
         process: String,
-        /// Its rows.
+        /// How many records it found.
         records: usize,
     },
-    /// It could not be asked.
+    /// It could not be queried, or did not respond.
     Unreachable(LocateError),
 }
 
 /// An answer: what was found, and what it rests on.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct LocateAnswer {
-    /// The rows: in the order of keys.
+    /// The records, in the order of keys.
     pub records: Vec<LocationRecord>,
     /// What became of each site.
     pub sites: BTreeMap<String, SiteOutcome>,
-    /// Every site was asked or ruled out.
+    /// Every site has responded or is ruled out.
     pub is_complete: bool,
     /// There is more after this key.
     pub cursor: Option<Key>,
@@ -48,21 +49,21 @@
 }
 
 impl LocateAnswer {
-    /// The newest row: two sites may hold a number, and the later one is where it is.
+    /// The newest record: two sites may hold a number, and the later one is where it is.
     pub fn newest(&self) -> Option<&LocationRecord> {
-        self.records.iter().max_by_key(|row| (row.since_ms, &row.key))
+        self.records.iter().max_by_key(|record| (record.since_ms, &record.key))
     }
 }
 
-/// A question that is out.
+/// A locate in progress.
 #[derive(Debug)]
 pub struct Locate {
-    /// What is asked.
+    /// The query.
     pub query: Query,
-    /// From behind this key on.
+    /// Only records behind this key.
     pub after: Option<Key>,
     limit: usize,
-    guards: Safeguards,
+    safeguards: Safeguards,
     sites: BTreeMap<String, Option<SiteOutcome>>,
     pages: Vec<Page>,
     /// Everything that goes into the answer was read at this moment or later.
@@ -70,79 +71,82 @@
 }
 
 impl Locate {
-    /// Begins a question; [`Locate::open`] tells the sites that are to be asked.
+    /// Begins a locate; [`Locate::pending_sites`] are to be queried. `limit` is the number of records wanted, up to
+    /// [`MAX_LIMIT`].
     pub fn begin(
         now: Nanos,
         query: Query,
         after: Option<Key>,
         limit: usize,
-        of: &Catalogue,
-        guards: Safeguards,
+        catalogue: &Catalogue,
+        safeguards: Safeguards,
     ) -> Self {
         let mut read_from_ns = now;
         let mut sites = BTreeMap::new();
-        for (site, verdict) in of.candidates(now, &query) {
-            let said = match verdict {
+        for (site, verdict) in catalogue.candidates(now, &query) {
+            let outcome = match verdict {
                 SiteVerdict::RuledOut { incarnation, total, as_of_ns } => {
                     read_from_ns = read_from_ns.min(as_of_ns);
                     Some(SiteOutcome::RuledOut { incarnation, total, as_of_ns })
                 }
                 SiteVerdict::MayContain | SiteVerdict::Unknown => None,
             };
-            sites.insert(site.to_string(), said);
+            sites.insert(site.to_string(), outcome);
         }
         let limit = limit.clamp(1, MAX_LIMIT);
-        Locate { query, after, limit, guards, sites, pages: Vec::new(), read_from_ns }
+        Locate { query, after, limit, safeguards, sites, pages: Vec::new(), read_from_ns }
     }
 
-    /// At most so many rows are wanted.
+    /// Most records of the answer.
     pub fn limit(&self) -> usize {
         self.limit
     }
 
-    /// Sites that have not answered.
+    /// The sites that have not responded.
     pub fn pending_sites(&self) -> impl Iterator<Item = &str> {
-        self.sites.iter().filter(|(_, said)| said.is_none()).map(|(site, _)| site.as_str())
+        self.sites.iter().filter(|(_, outcome)| outcome.is_none()).map(|(site, _)| site.as_str())
     }
 
-    /// A site has answered, or could not be asked. Doubled and late answers change nothing.
-    pub fn record_response(&mut self, site: &str, said: Result<(Page, String), LocateError>) {
-        let Some(open) = self.sites.get_mut(site).filter(|said| said.is_none()) else { return };
-        *open = Some(match said {
+    /// Records a site's response, with the name of the process, or why there is none. Duplicate and late responses change
+    /// nothing.
+    pub fn record_response(&mut self, site: &str, outcome: Result<(Page, String), LocateError>) {
+        let Some(site_outcome) = self.sites.get_mut(site).filter(|outcome| outcome.is_none()) else { return };
+        *site_outcome = Some(match outcome {
             Ok((page, process)) => {
-                let rows = page.records.len();
+                let records = page.records.len();
                 self.pages.push(page);
-                SiteOutcome::Queried { process, records: rows }
+                SiteOutcome::Queried { process, records }
             }
             Err(error) => SiteOutcome::Unreachable(error),
         });
     }
 
-    /// The moment from which on all of it was read: for [`crate::cache::Cache::fill`].
+    /// Everything in the answer was read at this moment or later: for [`crate::cache::Cache::fill`].
     pub fn read_from_ns(&self) -> Nanos {
         self.read_from_ns
     }
 
-    /// The answer as far as it has come: what is open by now was not reached in time.
+    /// The answer by now: sites that have not responded were not reached in time.
     pub fn into_answer(self) -> LocateAnswer {
-        let late = || SiteOutcome::Unreachable(LocateError::Late);
+        let timed_out = || SiteOutcome::Unreachable(LocateError::Late);
         let mut sites: BTreeMap<String, SiteOutcome> =
-            self.sites.into_iter().map(|(site, said)| (site, said.unwrap_or_else(late))).collect();
-        if !self.guards.unreached_sites {
-            sites.retain(|_, said| !matches!(said, SiteOutcome::Unreachable(_)));
+            self.sites.into_iter().map(|(site, outcome)| (site, outcome.unwrap_or_else(timed_out))).collect();
+        if !self.safeguards.unreached_sites {
+            sites.retain(|_, outcome| !matches!(outcome, SiteOutcome::Unreachable(_)));
         }
-        let complete = !sites.values().any(|said| matches!(said, SiteOutcome::Unreachable(_)));
-        // Past the first cut of any site rows of it are missing.
-        let cut = self.pages.iter().filter_map(|page| page.cursor.clone()).min();
-        let mut rows: Vec<LocationRecord> = self.pages.into_iter().flat_map(|page| page.records).collect();
-        rows.sort_unstable_by(|a, b| a.key.cmp(&b.key));
-        rows.dedup_by(|a, b| a.key == b.key);
-        if let Some(cut) = &cut {
-            rows.retain(|row| row.key <= *cut);
+        let is_complete = !sites.values().any(|outcome| matches!(outcome, SiteOutcome::Unreachable(_)));
+        // Behind the first cursor of any site, records of that site are missing.
+        let first_cut = self.pages.iter().filter_map(|page| page.cursor.clone()).min();
+        let mut records: Vec<LocationRecord> = self.pages.into_iter().flat_map(|page| page.records).collect();
+        records.sort_unstable_by(|a, b| a.key.cmp(&b.key));
+        records.dedup_by(|a, b| a.key == b.key);
+        if let Some(first_cut) = &first_cut {
+            records.retain(|record| record.key <= *first_cut);
         }
-        let over = rows.len() > self.limit;
-        rows.truncate(self.limit);
-        let cursor = rows.last().map(|row| row.key.clone()).filter(|_| over || cut.is_some());
-        LocateAnswer { records: rows, sites, is_complete: complete, cursor, is_cached: false }
+        let exceeds_limit = records.len() > self.limit;
+        records.truncate(self.limit);
+        let cursor =
+            records.last().map(|record| record.key.clone()).filter(|_| exceeds_limit || first_cut.is_some());
+        LocateAnswer { records, sites, is_complete, cursor, is_cached: false }
     }
 }
--- a/crates/lilacpitch-fleet/src/log_tail.rs
+++ b/crates/lilacpitch-fleet/src/log_tail.rs
@@ -1,55 +1,57 @@
-//! The last orders of a log, kept for who missed some.
+//! The last commands of a command log, retained for holders that have missed some. A holder that has missed more than are
+//! retained is reset: it drops everything and begins at the current position.
 
 use crate::message::{CommandAction, FleetCommand, LogPosition};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeSet, VecDeque};
 
-/// Orders that are kept; who missed more starts afresh.
+/// Most commands that are retained.
 pub const MAX_RETAINED_COMMANDS: usize = 16_384;
 
-/// The last orders, and what is withdrawn at their end.
+/// The last commands, and the settings versions that are withdrawn after them. The order of fields is that on disk.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LogTail {
     position: LogPosition,
-    orders: VecDeque<FleetCommand>,
+    commands: VecDeque<FleetCommand>,
     withdrawn: BTreeSet<u64>,
 }
 
 impl LogTail {
-    /// Of which nothing is kept before `position`.
+    /// A tail that begins at a position, with no commands before it.
     pub fn starting_at(position: LogPosition, withdrawn: BTreeSet<u64>) -> Self {
-        LogTail { position, orders: VecDeque::new(), withdrawn }
+        LogTail { position, commands: VecDeque::new(), withdrawn }
     }
 
-    /// The last order.
+    /// The position of the last command.
     pub fn position(&self) -> LogPosition {
         self.position
     }
 
-    /// Settings versions that are withdrawn.
+    /// The settings versions that are withdrawn.
     pub fn withdrawn(&self) -> &BTreeSet<u64> {
         &self.withdrawn
     }
 
-    /// Gives what is ordered the next number.
-    pub fn append(&mut self, what: CommandAction) -> LogPosition {
-        match &what {
+    /// Appends a command with the next number; its position.
+    pub fn append(&mut self, action: CommandAction) -> LogPosition {
+        match &action {
             CommandAction::Purge(_) => {}
             CommandAction::Withdraw(version) => drop(self.withdrawn.insert(*version)),
             CommandAction::Reinstate(version) => drop(self.withdrawn.remove(version)),
         }
         self.position.index += 1;
-        self.orders.push_back(FleetCommand { number: self.position.index, action: what });
-        if self.orders.len() > MAX_RETAINED_COMMANDS {
-            self.orders.pop_front();
+        self.commands.push_back(FleetCommand { number: self.position.index, action });
+        if self.commands.len() > MAX_RETAINED_COMMANDS {
+            self.commands.pop_front();
         }
         self.position
     }
 
-    /// Up to `most` of the orders after one; `None`: some of them are no longer kept, or it is of the future.
-    pub fn commands_after(&self, order: u64, most: usize) -> Option<Vec<FleetCommand>> {
-        let lacks = self.position.index.checked_sub(order)? as usize;
-        let from = self.orders.len().checked_sub(lacks)?;
-        Some(self.orders.range(from..).take(most).cloned().collect())
+    /// Up to `limit` of the commands after an index; `None`: some of them are no longer retained, or there is no command
+    /// of this index yet.
+    pub fn commands_after(&self, index: u64, limit: usize) -> Option<Vec<FleetCommand>> {
+        let missing = self.position.index.checked_sub(index)? as usize;
+        let first = self.commands.len().checked_sub(missing)?;
+        Some(self.commands.range(first..).take(limit).cloned().collect())
     }
 }
--- a/crates/lilacpitch-fleet/src/message.rs
+++ b/crates/lilacpitch-fleet/src/message.rs
@@ -1,4 +1,5 @@
-//! What crosses the links between processes of the fleet, as `postcard` writes it.
+//! The messages between processes of the fleet, as `postcard` writes them: it writes the order of variants and fields,
+//! not their names. Both ends need the same [`VERSION`].
 
 use crate::audit::AuditRecord;
 use crate::disk_loss_recovery::LogVote;
@@ -6,52 +7,52 @@
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
-/// The version of everything here.
+/// The version of these messages.
 pub const VERSION: u16 = 1;
-/// Most orders in one message.
+/// Most commands in one message.
 pub const MAX_COMMANDS: usize = 512;
-/// Most scopes of one order.
+/// Most scopes of one purge.
 pub const MAX_SCOPES: usize = 1_024;
-/// Most rows in one message.
+/// Most records or record changes in one message.
 pub const MAX_RECORDS: usize = 1_024;
-/// Most names in a list of who is missing; the number of all stands beside.
+/// Most names in a list of who is missing; how many are missing is a field beside it.
 pub const MAX_NAMES: usize = 32;
 
-/// Who speaks.
+/// What a process is.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Role {
-    /// A front: holds cached answers.
+    /// A front: it holds cached answers.
     Front,
-    /// A process of a site, by the site's name and its place there.
+    /// A process of a site, by the site's name and its index there.
     Process(String, u32),
 }
 
-/// The first message of both ends of a connection.
+/// The first message of each end of a connection.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Hello {
     /// [`VERSION`].
     pub version: u16,
-    /// The process's name: one of a kind.
+    /// The process's name, unique in the fleet.
     pub name: String,
-    /// When this life of it began, in nanoseconds since 1970.
+    /// When this incarnation of it started, in nanoseconds since 1970.
     pub incarnation: u64,
-    /// What it is.
+    /// What the process is.
     pub role: Role,
-    /// Drawn for this connection: what it is sent names it.
+    /// Drawn at random for this connection: frames to this end name it.
     pub nonce: u64,
 }
 
-/// A place in the log of orders.
+/// A position in the command log.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Hash, Serialize, Deserialize)]
 pub struct LogPosition {
-    /// The log: another one begins when a root site has lost orders.
+    /// The log's number: another log begins when the root has lost commands.
     pub log: u64,
-    /// The number of the last order, from 1; 0: none yet.
+    /// The number of the last command, from 1; 0: none yet.
     pub index: u64,
 }
 
 impl LogPosition {
-    /// Whether everything up to `other` is known here. Never across logs.
+    /// Whether all commands up to `other` are at or before this position. Positions of different logs include nothing.
     pub fn includes(self, other: LogPosition) -> bool {
         self.log == other.log && self.index >= other.index
     }
@@ -63,156 +64,156 @@
     }
 }
 
-/// What a purge withdraws.
+/// Which cached answers a purge withdraws.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum PurgeScope {
-    /// All answers about one number.
+    /// Those about one number.
     Number(Number),
-    /// About all that begin so.
+    /// Those about all numbers with this prefix.
     Prefix(String),
-    /// That name this front or server.
+    /// Those with a record of this front or server.
     Owner(String),
     /// All.
     All,
 }
 
-/// What is ordered.
+/// What a command does.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum CommandAction {
-    /// Forget cached answers.
+    /// Purges cached answers.
     Purge(Vec<PurgeScope>),
-    /// No longer act on this settings version.
+    /// Withdraws a settings version: fronts no longer act on it.
     Withdraw(u64),
-    /// It is in force again.
+    /// Reinstates a settings version.
     Reinstate(u64),
 }
 
-/// An order, by its place in the log.
+/// A command of the command log.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FleetCommand {
-    /// Its number, without gaps.
+    /// Its number in the log, from 1, without gaps.
     pub number: u64,
-    /// What is ordered.
+    /// What it does.
     pub action: CommandAction,
 }
 
-/// A row entered or withdrawn.
+/// A change of a location record.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RecordChange {
-    /// Entered, or in place of one with its key.
+    /// Inserts a record, or replaces the one with its key.
     Upsert(LocationRecord),
-    /// Withdrawn.
+    /// Removes the record with this key.
     Withdraw(Key),
 }
 
-/// What a router has of a site's summary.
+/// What a process knows of a site's summary.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct KnownSummary {
     /// The site.
     pub site: String,
-    /// The life of the process whose versions these are.
+    /// The incarnation of the process whose versions these are.
     pub incarnation: u64,
-    /// The version of each shard; empty: only whether anything is newer than `total` is asked.
+    /// The version of each shard; empty: only whether anything is newer than `total` is requested.
     pub shards: Vec<u64>,
     /// The sum of the versions of all shards.
     pub total: u64,
 }
 
-/// Numbers that changed at a site and whose purge is not ordered yet, by hash.
+/// Numbers that changed at a site and whose purge is not in the command log yet, by hash.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum PendingPurges {
     /// These.
     Some(Vec<u64>),
-    /// More than are named.
+    /// More than are listed.
     Many,
 }
 
-/// News of a site's summary.
+/// An update of a site's summary.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SiteSummaryUpdate {
     /// The site.
     pub site: String,
-    /// Whose versions these are.
+    /// The incarnation of the process whose versions these are.
     pub incarnation: u64,
     /// How many shards it has.
     pub shards: u32,
-    /// The sum of their versions once this is taken.
+    /// The sum of their versions once this is applied.
     pub total: u64,
-    /// How old all of this is, at the moment it is said.
+    /// How old it is when it is sent, in nanoseconds.
     pub age_ns: u64,
-    /// Changes without an order.
+    /// Changes that are not purged yet.
     pub pending: PendingPurges,
-    /// The last order that came of its changes.
+    /// The position of the last purge of the site's changes.
     pub purge_position: LogPosition,
-    /// What is new, of the shards whose versions were named.
+    /// The updates of the shards whose versions were named.
     pub shard_updates: Vec<ShardUpdate>,
-    /// There is more: ask again.
+    /// There is more: request again.
     pub has_more: bool,
 }
 
-/// What one process asks of another.
+/// A request of one process to another.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum Request {
-    /// A holder asks the process above for its lease, and says how far it has applied orders.
+    /// A holder requests its lease from its parent; with its position, if it has one.
     RenewLease(Option<LogPosition>),
-    /// A relay says up to which order all below it have acknowledged or are out, and who is not.
+    /// A process reports what everybody below it has acknowledged.
     ReportAcknowledged {
-        /// Up to here.
+        /// Everybody below has acknowledged up to here, or has no lease any more.
         acknowledged: LogPosition,
-        /// Some of those that are missing.
+        /// The names of some who are missing.
         missing: Vec<String>,
-        /// How many are.
+        /// How many are missing.
         missing_count: u32,
     },
-    /// A holder has dropped what it cached, and leaves.
+    /// A holder has dropped everything it cached, and releases its lease.
     ReleaseLease,
-    /// Orders, from above.
+    /// Commands, from the parent.
     Commands {
-        /// Their log.
+        /// The number of their log.
         log: u64,
-        /// In their order, without gaps.
+        /// The commands in their order, without gaps.
         commands: Vec<FleetCommand>,
     },
-    /// To the root: order this.
+    /// To the root: append a command.
     Submit(CommandAction),
-    /// To the root: how far are the purges?
+    /// To the root: up to which command are purges complete?
     Progress,
-    /// To the root: what fronts say of themselves.
+    /// To the root: audit records of fronts.
     Audit(Vec<AuditRecord>),
-    /// To the home site: changes of this front's rows, numbered by it without gaps from the first on. What comes twice
-    /// or late, behind a later one, changes nothing.
+    /// To the home site: changes of this front's records, numbered by it without gaps. A change that comes twice, or
+    /// after a later one, changes nothing.
     Write {
         /// The first change's number, from 1.
         first: u64,
         /// The changes.
         changes: Vec<RecordChange>,
     },
-    /// Rows that match.
+    /// Find matching records.
     FindRecords {
-        /// The question.
+        /// The query.
         query: Query,
-        /// From behind this key on.
+        /// Only records behind this key.
         after: Option<Key>,
-        /// At most so many rows.
+        /// Most records wanted.
         limit: u32,
-        /// A call waits for it.
+        /// A call waits for the response.
         urgent: bool,
     },
-    /// What is newer than this of the summaries of all sites that are not below the one who asks.
+    /// Updates of the summaries that the requester knows.
     Summaries(Vec<KnownSummary>),
-    /// Within a site: up to which entry of its log must be applied before a read.
+    /// Within a site: the log index that must be applied before a read.
     ReadIndex,
-    /// Within a site, from a process whose disk is new: which vote does this one hold?
+    /// Within a site, from a process whose disk is new: the vote that the other one holds.
     HeldVote,
-    /// Within a site: all rows go that a front wrote in lives before this one.
+    /// Within a site: remove all records that a front wrote in incarnations before this one.
     RemoveOlderIncarnations(String, u64),
-    /// Within a site: for its leader, on behalf of the front or process named, by name and life.
+    /// Within a site: for its leader, on behalf of a front or process, by name and incarnation.
     Forwarded(String, u64, Box<Request>),
     /// Within a site: a message of its replicated log.
     Log(LogMessage),
 }
 
-/// A message of a site's replicated log, in the log library's own form.
+/// A message of a site's replicated log, in the encoding of the log library.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum LogMessage {
     /// Entries.
@@ -223,92 +224,93 @@
     Snapshot(Vec<u8>),
 }
 
-/// What a process answers.
+/// The response to a request.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum Response {
-    /// A lease from the moment of asking on.
+    /// A lease, from the moment of the request on.
     LeaseGranted {
-        /// For so long, by the holder's steady clock.
+        /// Its length by the holder's steady clock, in nanoseconds; 0: none.
         for_ns: u64,
-        /// Once everything up to here is applied.
+        /// It is valid once all commands up to here are applied.
         position: LogPosition,
-        /// Some of what is missing until then.
+        /// Some of the commands that the holder lacks.
         commands: Vec<FleetCommand>,
-        /// The register of this site: another one has none of the rows written before.
+        /// The id of the site's record store: another one has none of the records written before.
         store_id: u64,
     },
-    /// What is missing is no longer kept: drop all that is cached, take this position, ask again.
+    /// The commands that the holder lacks are no longer retained: it drops everything it has cached, takes this position
+    /// and renews at once.
     ResetRequired {
         /// The position to take.
         position: LogPosition,
         /// Settings versions that are withdrawn there.
         withdrawn: Vec<u64>,
     },
-    /// The holder of orders has applied them up to here.
+    /// The holder has applied all commands up to here.
     Applied(LogPosition),
-    /// Ordered.
+    /// The command is committed, at this position.
     Committed(LogPosition),
-    /// How far purges are.
+    /// Up to which command purges are complete.
     Progress {
-        /// The last order.
+        /// The last command.
         ordered: LogPosition,
-        /// Complete up to here: no process serves what these withdrew.
+        /// The index up to which they are complete: no process serves what these withdrew.
         complete: u64,
-        /// Some who are missing.
+        /// The names of some who are missing.
         missing: Vec<String>,
-        /// How many are.
+        /// How many are missing.
         missing_count: u32,
     },
-    /// Written, and durable.
+    /// Written, and synced to the disks of a quorum.
     Written,
-    /// What was found, and by which process.
+    /// Records that were found.
     Found {
-        /// The rows.
+        /// The records.
         page: Page,
-        /// The process.
+        /// The process that found them.
         process: String,
     },
-    /// News of summaries.
+    /// Updates of summaries.
     Summaries(Vec<SiteSummaryUpdate>),
-    /// Up to this entry.
+    /// The log index to wait for.
     ReadIndex(u64),
-    /// The vote in the site's log that this process holds; `None`: its disk is new.
+    /// The vote that the process holds; `None`: its disk is new.
     HeldVote(Option<LogVote>),
-    /// An answer of the log library, or its error, in its own form.
+    /// A response of the log library, or its error, in its encoding.
     Log(Result<Vec<u8>, Vec<u8>>),
     /// Done.
     Done,
-    /// Not done.
+    /// The request was rejected.
     Rejected(RejectReason),
 }
 
-/// Why a process did not do what it was asked for.
+/// Why a process has rejected a request.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RejectReason {
-    /// Too much at once: stay away for so long.
+    /// Too many requests at once: retry after a delay.
     Overloaded {
-        /// In milliseconds.
+        /// The delay, in milliseconds.
         wait_ms: u32,
     },
-    /// It lags behind what its site has acknowledged, or can't tell.
+    /// The process lags behind its site, or can't tell.
     Behind,
-    /// It has no lease of its own to grant from.
+    /// The process has no lease of its own, and so grants none.
     NoLease,
-    /// A later life of this name is known.
+    /// A later incarnation of the requester is known.
     Superseded,
-    /// No lease of this site's: what is written is not taken.
+    /// The requester has no lease of this site: its writes are rejected.
     Fenced,
-    /// Too far behind for a lease: the missing orders come by themselves.
+    /// The requester lags too far behind for a lease; the commands that it lacks are sent to it.
     Lagging,
-    /// The holder knows later orders of this log than are here.
+    /// The requester has applied commands that this log does not have.
     Ahead,
     /// No process of the site leads.
     NoLeader,
-    /// Not a thing to ask this process.
+    /// This process does not handle such requests, or not of this requester.
     Unsupported,
-    /// Malformed: what of it.
+    /// The request is malformed: how.
     Malformed(String),
-    /// The log or its disk failed.
+    /// The log, its disk or a connection failed.
     Failed(String),
 }
 
@@ -330,13 +332,13 @@
     }
 }
 
-/// What a frame holds.
+/// The body of a frame.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum Body {
-    /// The first of each end.
+    /// The first frame of each end.
     Hello(Hello),
-    /// A question, by a number of the asker's.
+    /// A request, with an id that the requester chose.
     Request(u64, Request),
-    /// The answer to the question of that number.
+    /// The response to the request of this id.
     Answer(u64, Response),
 }
--- a/crates/lilacpitch-fleet/src/query_dispatcher.rs
+++ b/crates/lilacpitch-fleet/src/query_dispatcher.rs
@@ -1,6 +1,6 @@
-//! Which process of a site gets a question, when, whether again, and when it is refused: the module decides, as it
-//! does for calls. Sites are its pools, processes its servers, 'full' a full processor; a class for each site and
-//! urgency, so that no question strays to another site.
+//! Dispatches queries to the processes of sites: the controller of calls decides which process gets a query, when it is
+//! retried and when it is rejected. Sites are its pools, processes its servers, 'overloaded' a full processor. Each site
+//! and urgency is a class of its own, so that no query goes to another site.
 
 use crate::Nanos;
 use lilacpitch::interface::{
@@ -9,68 +9,70 @@
 };
 use lilacpitch::{Controller, Event};
 
-/// Spans for questions.
+/// The timing of queries.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Timing {
-    /// Wanted time of an answer.
+    /// The wanted response time, in nanoseconds.
     pub latency_objective_ns: Nanos,
-    /// The clock's grain.
+    /// The resolution of the timer, in nanoseconds.
     pub tick_ns: Nanos,
 }
 
-/// The first and the longest gap between looks at a process that left a question unanswered.
-const LOOK_AFTER_NS: (Nanos, Nanos) = (50_000_000, 500_000_000);
+/// The delay before the first health check of a process that did not respond; it doubles with each.
+const FIRST_POLL_DELAY_NS: Nanos = 50_000_000;
+/// The longest delay between two health checks.
+const MAX_POLL_DELAY_NS: Nanos = 500_000_000;
 
-/// How long to wait before a process that left a question unanswered is looked at for the `nth` time, from 0.
+/// The delay before the `nth` health check, from 0, of a process that did not respond to a query, in nanoseconds.
 pub fn poll_delay_ns(nth: u32) -> Nanos {
-    (LOOK_AFTER_NS.0 << nth.min(16)).min(LOOK_AFTER_NS.1)
+    (FIRST_POLL_DELAY_NS << nth.min(16)).min(MAX_POLL_DELAY_NS)
 }
 
-/// What is to be done.
+/// What the caller is to do.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum DispatchAction {
-    /// Ask this process; without an answer after the span the attempt has timed out.
+    /// Send the query to this process; without a response after the timeout the attempt has timed out.
     Send {
-        /// The question.
+        /// The query.
         query_id: u64,
         /// The attempt.
         attempt: u32,
-        /// The site, by its place.
+        /// The index of the site.
         site: usize,
-        /// The process, by its place in the site.
+        /// The index of the process in its site.
         process: usize,
-        /// At most so long.
+        /// The timeout, in nanoseconds.
         timeout_ns: Nanos,
     },
-    /// No answer will come: refused.
+    /// The query is rejected for overload: no answer will come.
     Reject(u64),
-    /// No answer will come: all attempts failed.
+    /// All attempts of the query have failed: no answer will come.
     Fail(u64),
-    /// Wake this again at that moment.
+    /// Call [`QueryDispatcher::handle_timer`] at this moment.
     SetTimer(Nanos),
 }
 
-/// The module in the midst of questions.
+/// The queries in flight, and the controller that decides about them.
 pub struct QueryDispatcher {
-    brain: Controller,
-    entries: Vec<Endpoint>,
+    controller: Controller,
+    endpoints: Vec<Endpoint>,
     actions: Vec<Action>,
-    next: u64,
+    next_query_id: u64,
     attempts: std::collections::BTreeMap<u64, u32>,
 }
 
-/// Processes that one site may have at most, as ids of servers go.
-const MOST_PROCESSES: u64 = 64;
+/// Most processes of a site: server ids are numbered by it.
+const MAX_PROCESSES: u64 = 64;
 
 impl QueryDispatcher {
-    /// For sites with so many processes each.
+    /// A dispatcher for sites with so many processes each.
     pub fn new(sites: &[usize], timing: Timing, now: Nanos, seed: u64) -> Self {
-        let class = |site: u32, urgent: bool| Class {
+        let class = |site: u32, is_urgent: bool| Class {
             latency_objective_ns: timing.latency_objective_ns,
             deadline_ns: timing.latency_objective_ns * 4,
-            priority_weight: if urgent { 10.0 } else { 1.0 },
+            priority_weight: if is_urgent { 10.0 } else { 1.0 },
             late_weight: 0.5,
-            // A question changes nothing.
+            // A query changes nothing.
             idempotency: Idempotency::Idempotent,
             key_retention_ns: 0,
             pools: vec![site],
@@ -92,47 +94,58 @@
             overload_multiple: 1e6,
             tick_ns: timing.tick_ns,
         };
-        let entry = |site: usize, process: usize| Endpoint {
-            server: site as u64 * MOST_PROCESSES + process as u64,
+        let endpoint = |site: usize, process: usize| Endpoint {
+            server: site as u64 * MAX_PROCESSES + process as u64,
             number: site as u32,
             zone: 0,
             availability: Availability::Ready,
             up_since_ns: 0,
         };
-        let all = sites.iter().enumerate().flat_map(|(site, count)| (0..*count).map(move |p| entry(site, p)));
-        let entries: Vec<Endpoint> = all.collect();
-        let mut brain = Controller::new(settings, seed);
+        let all =
+            sites.iter().enumerate().flat_map(|(site, count)| (0..*count).map(move |p| endpoint(site, p)));
+        let endpoints: Vec<Endpoint> = all.collect();
+        let mut controller = Controller::new(settings, seed);
         let mut actions = Vec::new();
-        brain.handle(now, Event::EndpointsUpdated(EndpointUpdate::Full(entries.clone())), &mut actions);
-        QueryDispatcher { brain, entries, actions, next: 1, attempts: std::collections::BTreeMap::new() }
+        controller.handle(
+            now,
+            Event::EndpointsUpdated(EndpointUpdate::Full(endpoints.clone())),
+            &mut actions,
+        );
+        QueryDispatcher {
+            controller,
+            endpoints,
+            actions,
+            next_query_id: 1,
+            attempts: std::collections::BTreeMap::new(),
+        }
     }
 
-    /// A process that did not answer does so again. Questions are too few to find that out by themselves in good
-    /// time: it is as one that has started anew, of which nothing is known.
+    /// A process that did not respond does so again, by a health check: queries are too few to find that out in good time.
+    /// It is treated as a process that has just started, of which nothing is known.
     pub fn mark_recovered(&mut self, now: Nanos, site: usize, process: usize, out: &mut Vec<DispatchAction>) {
-        let id = server(site, process);
-        if let Some(entry) = self.entries.iter_mut().find(|entry| entry.server == id) {
-            entry.up_since_ns = now;
-            let entry = *entry;
-            self.handle(now, Event::EndpointsUpdated(EndpointUpdate::Changes(vec![entry])), out);
+        let id = server_id(site, process);
+        if let Some(endpoint) = self.endpoints.iter_mut().find(|endpoint| endpoint.server == id) {
+            endpoint.up_since_ns = now;
+            let endpoint = *endpoint;
+            self.handle(now, Event::EndpointsUpdated(EndpointUpdate::Changes(vec![endpoint])), out);
         }
     }
 
-    /// A question to a site, with at most so long; its number.
+    /// Submits a query to a site, with a time budget in nanoseconds; its id.
     pub fn submit(
         &mut self,
         now: Nanos,
         site: usize,
-        urgent: bool,
+        is_urgent: bool,
         budget_ns: Nanos,
         out: &mut Vec<DispatchAction>,
     ) -> u64 {
-        let id = self.next;
-        self.next += 1;
+        let id = self.next_query_id;
+        self.next_query_id += 1;
         self.attempts.insert(id, 0);
         let call = Call {
             id,
-            class: 2 * site + usize::from(urgent),
+            class: 2 * site + usize::from(is_urgent),
             first_choice: site as u32,
             budget_ns,
             dialled: None,
@@ -144,49 +157,49 @@
         id
     }
 
-    /// An attempt has ended.
+    /// An attempt has completed; `attempt` is the [`DispatchAction::Send`] that began it.
     pub fn complete_attempt(
         &mut self,
         now: Nanos,
-        done: DispatchAction,
+        attempt: DispatchAction,
         outcome: Outcome,
         out: &mut Vec<DispatchAction>,
     ) {
-        let DispatchAction::Send { query_id, attempt, site, process, .. } = done else { return };
-        let server = server(site, process);
+        let DispatchAction::Send { query_id, attempt, site, process, .. } = attempt else { return };
+        let server_id = server_id(site, process);
         if outcome == Outcome::Completed {
             self.attempts.remove(&query_id);
             self.handle(now, Event::CallEstablished { call: query_id, attempt }, out);
         }
-        let closed = outcome == Outcome::Completed;
+        let is_final = outcome == Outcome::Completed;
         let report = LoadReport::default();
         let event =
-            Event::AttemptCompleted { call: query_id, attempt, server, outcome, is_final: closed, report };
+            Event::AttemptCompleted { call: query_id, attempt, server: server_id, outcome, is_final, report };
         self.handle(now, event, out);
     }
 
-    /// Nobody wants the answer any more.
-    pub fn cancel(&mut self, now: Nanos, question: u64, out: &mut Vec<DispatchAction>) {
-        if self.attempts.remove(&question).is_some() {
-            self.handle(now, Event::ClientDisconnected(question), out);
+    /// Cancels a query: its answer is no longer wanted.
+    pub fn cancel(&mut self, now: Nanos, query_id: u64, out: &mut Vec<DispatchAction>) {
+        if self.attempts.remove(&query_id).is_some() {
+            self.handle(now, Event::ClientDisconnected(query_id), out);
         }
     }
 
-    /// A wake-up that was asked for.
+    /// The timer of [`DispatchAction::SetTimer`] has fired.
     pub fn handle_timer(&mut self, now: Nanos, out: &mut Vec<DispatchAction>) {
         self.handle(now, Event::TimerFired, out);
     }
 
     fn handle(&mut self, now: Nanos, event: Event, out: &mut Vec<DispatchAction>) {
         let mut actions = std::mem::take(&mut self.actions);
-        self.brain.handle(now, event, &mut actions);
+        self.controller.handle(now, event, &mut actions);
         for action in actions.drain(..) {
             match action {
-                Action::ForwardSetup { call, server, timeout_ns } => {
+                Action::ForwardSetup { call, server: server_id, timeout_ns } => {
                     let Some(attempts) = self.attempts.get_mut(&call) else { continue };
                     let attempt = *attempts;
                     *attempts += 1;
-                    let (site, process) = (server / MOST_PROCESSES, server % MOST_PROCESSES);
+                    let (site, process) = (server_id / MAX_PROCESSES, server_id % MAX_PROCESSES);
                     let (site, process) = (site as usize, process as usize);
                     out.push(DispatchAction::Send { query_id: call, attempt, site, process, timeout_ns });
                 }
@@ -199,7 +212,7 @@
                     out.push(DispatchAction::Fail(call));
                 }
                 Action::SetTimer(at) => out.push(DispatchAction::SetTimer(at)),
-                // Without leave to call attempts off there is none; the list does not change.
+                // Attempts may not be cancelled by the settings above, and the endpoint list does not change.
                 Action::CancelAttempt { .. } | Action::Subscribe => {}
             }
         }
@@ -207,6 +220,6 @@
     }
 }
 
-fn server(site: usize, process: usize) -> ServerId {
-    site as u64 * MOST_PROCESSES + process as u64
+fn server_id(site: usize, process: usize) -> ServerId {
+    site as u64 * MAX_PROCESSES + process as u64
 }
--- a/crates/lilacpitch-fleet/src/upstream_selection.rs
+++ b/crates/lilacpitch-fleet/src/upstream_selection.rs
@@ -1,58 +1,58 @@
-//! Which process above is followed, and how soon it is asked for a lease again.
+//! Which process of the parent site is used, and when the lease is renewed next.
 
 use crate::lease::LeaseTerms;
 use crate::Nanos;
 
-/// A lease is asked for again after this share of it.
-const RENEW_SHARE: u64 = 5;
-/// After so many failures in a row the next process is followed.
-const FAILURES: u32 = 2;
-/// The longest gap after a failure.
-const AGAIN_NS: Nanos = 200_000_000;
+/// How often a lease is renewed within its length.
+const RENEWALS_PER_LEASE: u64 = 5;
+/// After so many failures in a row the next process is used.
+const MAX_FAILURES: u32 = 2;
+/// The longest delay after a failure.
+const MAX_RETRY_DELAY_NS: Nanos = 200_000_000;
 
-/// The gap between two questions for a lease.
+/// The interval between two renewals of a lease, in nanoseconds.
 pub fn renewal_interval_ns(terms: &LeaseTerms) -> Nanos {
-    terms.lease_ns / RENEW_SHARE
+    terms.lease_ns / RENEWALS_PER_LEASE
 }
 
-/// The way upwards: one process of the site above, until it fails.
+/// The process of the parent site that is used, until it fails.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct UpstreamSelection {
-    at: usize,
+    index: usize,
     failures: u32,
 }
 
 impl UpstreamSelection {
-    /// Begins with the process at this place, counted round.
-    pub fn new(at: usize) -> Self {
-        UpstreamSelection { at, failures: 0 }
+    /// Begins with the process of this index, modulo the number of processes.
+    pub fn new(index: usize) -> Self {
+        UpstreamSelection { index, failures: 0 }
     }
 
-    /// The place of the one that is followed, of so many.
-    pub fn selected_index(&self, of: usize) -> usize {
-        self.at % of.max(1)
+    /// The index of the process that is used, of so many.
+    pub fn selected_index(&self, count: usize) -> usize {
+        self.index % count.max(1)
     }
 
-    /// It has answered with more than a refusal.
+    /// The process has responded, and not rejected the request.
     pub fn record_success(&mut self) {
         self.failures = 0;
     }
 
-    /// It has refused, or not answered.
+    /// The process has rejected the request, or not responded.
     pub fn record_failure(&mut self) {
         self.failures += 1;
-        if self.failures >= FAILURES {
-            *self = UpstreamSelection::new(self.at.wrapping_add(1));
+        if self.failures >= MAX_FAILURES {
+            *self = UpstreamSelection::new(self.index.wrapping_add(1));
         }
     }
 
-    /// When to ask next.
+    /// When to renew next, in nanoseconds from now.
     pub fn next_renewal_delay_ns(&self, terms: &LeaseTerms) -> Nanos {
-        let gap_ns = renewal_interval_ns(terms);
+        let delay_ns = renewal_interval_ns(terms);
         if self.failures > 0 {
-            gap_ns.min(AGAIN_NS)
+            delay_ns.min(MAX_RETRY_DELAY_NS)
         } else {
-            gap_ns
+            delay_ns
         }
     }
 }
