--- a/crates/lilacpitch-gossip/src/lib.rs
+++ b/crates/lilacpitch-gossip/src/lib.rs
@@ -1,12 +1,13 @@
-//! What fronts of one installation tell each other, without I/O: bytes, time and randomness in, effects out.
+//! Gossip between the fronts of one installation, without I/O: bytes, time and randomness in, effects out.
 //!
-//! - [`member`]: who is there, by SWIM (Das, Gupta and Motivala, DSN 2002) with suspicion and incarnations; the
-//!   protocol is that of the `foca` library, which does no I/O itself.
-//! - [`fact`]: what a front knows of servers, as it is told to one that has just started, with its age.
-//! - [`seal`]: datagrams sealed with a shared key, so that a stranger's, a changed one or an old one is dropped.
-//! - [`peers`]: the three together, and when to ask and to answer.
+//! - [`member_id`]: who a front is. Membership is SWIM (Das, Gupta and Motivala, DSN 2002) with suspicion and
+//!   incarnations, by the `foca` library, which does no I/O itself.
+//! - [`server_report`]: what a front knows of a server, for a front that has just started; [`rumors`]: the same, spread
+//!   to all.
+//! - [`sealed_datagram`]: datagrams sealed with a shared key, so that one that is foreign, changed or old is rejected.
+//! - [`peers`]: the state machine of all of this.
 //!
-//! Everything that comes in is data that may be late, wrong or missing: bounded, checked, counted when refused.
+//! Everything that comes in may be late, wrong or missing: it is bounded, checked, and counted where it is rejected.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
--- /dev/null
+++ b/crates/lilacpitch-gossip/src/peers/membership.rs
@@ -0,0 +1,193 @@
+//! Membership: the SWIM protocol of the `foca` library, and how this front makes itself known to seeds and members that
+//! do not know it.
+
+use super::datagrams::Body;
+use super::{Effect, Peers, TimerEvent, DATAGRAM_CAPACITY_BYTES, MS};
+use crate::member_id::MemberId;
+use crate::sealed_datagram::DatagramError;
+use foca::{Config, Foca, NoCustomBroadcast, Notification, PostcardCodec, Runtime, Timer};
+use lilacpitch::interface::Nanos;
+use rand::rngs::StdRng;
+use rand::{Rng, RngExt, SeedableRng};
+use std::net::SocketAddr;
+use std::num::{NonZeroU32, NonZeroU8, NonZeroUsize};
+use std::time::Duration;
+
+/// Each update of a member is sent at least so often, and so many times as often as the library does in a large
+/// installation. It sends one of three fronts' suspicions twice: where both are lost, the suspected one does not
+/// learn of it, and is taken for dead while it lives (measured: `docs/measurements.md`).
+const MIN_TRANSMISSIONS: NonZeroU8 = NonZeroU8::new(15).unwrap();
+const TRANSMISSIONS_FACTOR: NonZeroU8 = NonZeroU8::new(2).unwrap();
+/// This front announces itself again to seeds that are not members: first after this delay, half of it drawn at random,
+/// doubled up to the longest. The first announcement may be lost, and halves of a split installation find each other by
+/// nothing else in time.
+pub(super) const FIRST_ANNOUNCE_DELAY_NS: Nanos = 1_000 * MS;
+const MAX_ANNOUNCE_DELAY_NS: Nanos = 8_000 * MS;
+/// The response to an announcement names some forty members, drawn at random: a front that has just started announces
+/// itself to so many more members each time, until it has learned of no new one so often in a row. Else it would know a
+/// large installation only as fast as the others come to probe it, one a second.
+const EXTRA_ANNOUNCEMENTS: usize = 3;
+const MAX_ROUNDS_WITHOUT_GAIN: u32 = 4;
+const DISCOVERY_DURATION_NS: Nanos = 60_000 * MS;
+/// Most members, seeds not counted.
+const MAX_MEMBERS: usize = 1_000;
+
+pub(super) type Swim = Foca<MemberId, PostcardCodec, StdRng, NoCustomBroadcast>;
+
+/// How far the discovery of members has come.
+#[derive(Debug)]
+pub(super) struct Discovery {
+    /// The delay before the next announcement.
+    delay_ns: Nanos,
+    /// The most members known at once so far.
+    most_members: usize,
+    /// How often in a row an announcement brought no more.
+    rounds_without_gain: u32,
+}
+
+impl Default for Discovery {
+    fn default() -> Self {
+        Discovery { delay_ns: FIRST_ANNOUNCE_DELAY_NS, most_members: 0, rounds_without_gain: 0 }
+    }
+}
+
+/// What the library wants done, collected while it is in use.
+#[derive(Default)]
+pub(super) struct CollectedEffects {
+    packets: Vec<(MemberId, Vec<u8>)>,
+    timers: Vec<(Timer<MemberId>, Duration)>,
+    effects: Vec<Effect>,
+    new_own_id: Option<MemberId>,
+}
+
+impl Runtime<MemberId> for CollectedEffects {
+    fn notify(&mut self, notification: Notification<'_, MemberId>) {
+        match notification {
+            Notification::MemberUp(peer) => self.effects.push(Effect::MemberJoined(peer.clone())),
+            Notification::MemberDown(peer) => self.effects.push(Effect::MemberLeft(peer.clone())),
+            Notification::Rejoin(own_id) => self.new_own_id = Some(own_id.clone()),
+            _ => {}
+        }
+    }
+
+    fn send_to(&mut self, to: MemberId, data: &[u8]) {
+        self.packets.push((to, data.to_vec()));
+    }
+
+    fn submit_after(&mut self, event: Timer<MemberId>, after: Duration) {
+        self.timers.push((event, after));
+    }
+}
+
+/// The protocol of a front in an installation of about so many fronts.
+pub(super) fn new_swim(own_id: MemberId, fronts: u32, rng: &mut StdRng) -> Swim {
+    let fronts = NonZeroU32::new(fronts.max(2)).unwrap_or(NonZeroU32::MIN);
+    let lan = Config::new_lan(fronts);
+    let config = Config {
+        max_transmissions: lan.max_transmissions.saturating_mul(TRANSMISSIONS_FACTOR).max(MIN_TRANSMISSIONS),
+        max_packet_size: NonZeroUsize::new(DATAGRAM_CAPACITY_BYTES).unwrap_or(NonZeroUsize::MIN),
+        ..lan
+    };
+    Foca::new(own_id, config, StdRng::seed_from_u64(rng.next_u64()), PostcardCodec)
+}
+
+impl Peers {
+    /// Announces this front to the seeds that are not members, and, soon after its start, to some members.
+    pub(super) fn announce(&mut self, effects: &mut Vec<Effect>) {
+        let mut to = self.seeds();
+        to.retain(|address| !self.is_member(*address));
+        // Where all seeds are members the next announcement is as soon as at the start: one that goes may be the
+        // network's doing.
+        if to.is_empty() {
+            self.discovery.delay_ns = FIRST_ANNOUNCE_DELAY_NS;
+        }
+        self.count_members();
+        if self.is_discovering() {
+            let mut members = self.member_addresses();
+            for _ in 0..EXTRA_ANNOUNCEMENTS.min(members.len()) {
+                to.push(members.swap_remove(self.rng.random_range(0..members.len())));
+            }
+            self.discovery.delay_ns = FIRST_ANNOUNCE_DELAY_NS;
+        }
+        for address in to {
+            let other = MemberId { name: String::new(), address, epoch: 0 };
+            self.with_swim(effects, |swim, out| swim.announce(other, out));
+        }
+        let delay_ns = self.discovery.delay_ns / 2 + self.rng.random_range(0..=self.discovery.delay_ns / 2);
+        self.discovery.delay_ns = self.discovery.delay_ns.saturating_mul(2).min(MAX_ANNOUNCE_DELAY_NS);
+        self.schedule(delay_ns, TimerEvent::Announce);
+    }
+
+    fn count_members(&mut self) {
+        let members = self.swim.num_members();
+        if members > self.discovery.most_members {
+            self.discovery.most_members = members;
+            self.discovery.rounds_without_gain = 0;
+        } else {
+            self.discovery.rounds_without_gain += 1;
+        }
+    }
+
+    fn is_discovering(&self) -> bool {
+        self.now < self.started_ns + DISCOVERY_DURATION_NS
+            && self.discovery.rounds_without_gain < MAX_ROUNDS_WITHOUT_GAIN
+    }
+
+    pub(super) fn handle_swim_packet(
+        &mut self,
+        from: &MemberId,
+        packet: &[u8],
+        effects: &mut Vec<Effect>,
+    ) -> Result<(), DatagramError> {
+        if self.swim.num_members() >= MAX_MEMBERS && !self.is_member(from.address) {
+            return Err(DatagramError::TooMany);
+        }
+        let mut is_malformed = false;
+        self.with_swim(effects, |swim, out| {
+            let result = swim.handle_data(packet, out);
+            is_malformed = matches!(result, Err(foca::Error::Decode(_) | foca::Error::MalformedPacket));
+            result
+        });
+        match is_malformed {
+            true => Err(DatagramError::Malformed("membership")),
+            false => Ok(()),
+        }
+    }
+
+    pub(super) fn seeds(&self) -> Vec<SocketAddr> {
+        let own_address = self.own_id.address;
+        self.settings.seeds.iter().copied().filter(|address| *address != own_address).collect()
+    }
+
+    /// The addresses of all members, in the protocol's order.
+    pub(super) fn member_addresses(&self) -> Vec<SocketAddr> {
+        self.swim.iter_members().map(|member| member.id().address).collect()
+    }
+
+    fn is_member(&self, address: SocketAddr) -> bool {
+        self.swim.iter_members().any(|member| member.id().address == address)
+    }
+
+    /// Lets the protocol act, then does what it wants. Its errors are caused by peers, and were counted by reason.
+    pub(super) fn with_swim(
+        &mut self,
+        effects: &mut Vec<Effect>,
+        act: impl FnOnce(&mut Swim, &mut CollectedEffects) -> Result<(), foca::Error>,
+    ) {
+        let mut out = CollectedEffects::default();
+        let _ = act(&mut self.swim, &mut out);
+        if let Some(own_id) = out.new_own_id.take() {
+            self.own_id = own_id;
+            // Under its new identity it knows its peers but counts as alone, and would never probe one again: an
+            // update of nobody makes it check.
+            let _ = self.swim.apply_many(std::iter::empty(), false, &mut out);
+        }
+        for (timer, after) in out.timers {
+            self.schedule(after.as_nanos() as Nanos, TimerEvent::Swim(timer));
+        }
+        for (to, packet) in out.packets {
+            self.send(to.address, Body::Swim(&packet), effects);
+        }
+        effects.append(&mut out.effects);
+    }
+}
--- a/crates/lilacpitch-gossip/src/sealed_datagram.rs
+++ b/crates/lilacpitch-gossip/src/sealed_datagram.rs
@@ -1,24 +1,25 @@
 //! Sealed datagrams: XChaCha20-Poly1305 with a key that all fronts share (RFC 8439, and the extended nonce of
-//! draft-irtf-cfrg-xchacha), a counter for each life of a sender against replays, and the moment of sending.
+//! draft-irtf-cfrg-xchacha), a counter for each incarnation of a sender against replays, and the
+//! moment of sending.
 
 use chacha20poly1305::aead::{Aead, KeyInit, Payload};
 use chacha20poly1305::{XChaCha20Poly1305, XNonce};
 use std::collections::BTreeMap;
 use thiserror::Error;
 
-/// The version of the datagrams' form, their first byte.
+/// The version of the datagrams, their first byte.
 pub const VERSION: u8 = 3;
-/// Longest datagram: what a path of 1,500 bytes carries over IPv6 and UDP.
+/// Longest datagram in bytes: what a path of 1,500 bytes carries over IPv6 and UDP.
 pub const MAX_DATAGRAM_BYTES: usize = 1_452;
-/// What sealing adds: version, nonce, tag.
+/// What sealing adds, in bytes: version, nonce, tag.
 pub const OVERHEAD_BYTES: usize = 1 + NONCE_BYTES + 16;
 const NONCE_BYTES: usize = 24;
-/// A datagram sent longer ago than this, by its sender's clock, or so far in the future is refused.
+/// A datagram sent longer ago than this, by its sender's clock, or so far in the future is rejected.
 pub const MAX_SKEW_MS: u64 = 60_000;
-/// Senders whose counters are kept.
+/// Most senders whose counters are retained.
 const MAX_SENDERS: usize = 1_024;
 
-/// Why a datagram was refused.
+/// Why a datagram was rejected.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Error)]
 pub enum DatagramError {
     /// Longer than [`MAX_DATAGRAM_BYTES`].
@@ -33,10 +34,10 @@
     /// Sealed with no key in force, or changed on its way.
     #[error("not sealed with a key in force")]
     Forged,
-    /// Sealed, but not of the form.
+    /// Sealed, but malformed.
     #[error("malformed: {0}")]
     Malformed(&'static str),
-    /// Seen before, or of a former life of its sender.
+    /// Received before, or of a former incarnation of its sender.
     #[error("replayed")]
     Replayed,
     /// Its sender's clock and this one are too far apart, or it is old.
@@ -45,24 +46,24 @@
     /// From this front itself.
     #[error("from this front itself")]
     Own,
-    /// An answer to a question that was not asked, or answered already.
+    /// A response to no request of this front, or one that was received already.
     #[error("not asked for")]
     Unsolicited,
-    /// More questions than are answered.
+    /// More requests than are answered.
     #[error("asked too often")]
     TooOften,
-    /// More senders than are kept.
+    /// More senders than are retained, or more members.
     #[error("too many senders")]
     TooMany,
 }
 
-/// What is wrong with a key file.
+/// Why a key file can't be used.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum KeyError {
-    /// A line that is no key.
+    /// A line is not a key.
     #[error("line {0}: not 64 hex digits")]
     Line(usize),
-    /// None, or more than two.
+    /// There is no key, or more than two.
     #[error("{0} keys, wanted one or two")]
     Count(usize),
 }
@@ -78,8 +79,11 @@
 }
 
 impl Keys {
-    /// Reads a key file: a key a line as 64 hex digits, one or two; empty lines and lines from `#` on are passed
-    /// over.
+    /// Reads the text of a key file: one or two keys, each 64 hex digits on a line of its own; empty lines and lines that
+    /// begin with `#` are passed over.
+    ///
+    /// # Errors
+    /// [`KeyError`], naming the line or the number of keys.
     pub fn from_text(text: &str) -> Result<Self, KeyError> {
         let mut keys = Vec::new();
         for (index, line) in text.lines().enumerate() {
@@ -96,12 +100,12 @@
         }
     }
 
-    /// One key alone.
+    /// A single key.
     pub fn from_bytes(key: [u8; 32]) -> Self {
         Keys(vec![XChaCha20Poly1305::new((&key).into())])
     }
 
-    /// Seals with the first key. The nonce must be random: it is never counted.
+    /// Seals a datagram with the first key. The nonce must be drawn at random each time.
     pub fn seal(&self, plain: &[u8], nonce: [u8; NONCE_BYTES]) -> Vec<u8> {
         let mut out = vec![VERSION];
         out.extend(self.seal_for(&[VERSION], plain, nonce));
@@ -112,12 +116,15 @@
     pub fn seal_for(&self, purpose: &[u8], plain: &[u8], nonce: [u8; NONCE_BYTES]) -> Vec<u8> {
         let payload = Payload { msg: plain, aad: purpose };
         let mut out = nonce.to_vec();
-        // Fails past 256 GiB only.
+        // Encryption fails beyond 256 GiB only.
         out.extend(self.0[0].encrypt(XNonce::from_slice(&nonce), payload).unwrap_or_default());
         out
     }
 
-    /// Opens what was sealed for this purpose, with whichever key fits.
+    /// Opens what was sealed for this purpose, with any of the keys.
+    ///
+    /// # Errors
+    /// [`DatagramError::TooShort`] or [`DatagramError::Forged`].
     pub fn open_for(&self, purpose: &[u8], bytes: &[u8]) -> Result<Vec<u8>, DatagramError> {
         let (nonce, sealed) = bytes.split_at_checked(NONCE_BYTES).ok_or(DatagramError::TooShort)?;
         let payload = |_| Payload { msg: sealed, aad: purpose };
@@ -125,7 +132,10 @@
         open.find_map(Result::ok).ok_or(DatagramError::Forged)
     }
 
-    /// Opens with whichever key fits.
+    /// Opens a datagram with any of the keys.
+    ///
+    /// # Errors
+    /// [`DatagramError`]: its size or version is wrong, or no key fits.
     pub fn open(&self, bytes: &[u8]) -> Result<Vec<u8>, DatagramError> {
         if bytes.len() > MAX_DATAGRAM_BYTES {
             return Err(DatagramError::TooLong);
@@ -154,7 +164,7 @@
     Some(key)
 }
 
-/// What has been heard of each sender: its latest life, which of its counters, and when last.
+/// Rejects replays: for each sender its latest incarnation, which of its counters were received, and when the last was.
 #[derive(Debug)]
 pub struct ReplayFilter<S: Ord>(BTreeMap<S, Sender>);
 
@@ -162,7 +172,7 @@
 struct Sender {
     epoch: u64,
     highest: u64,
-    /// Bit n: the counter n below the highest was heard.
+    /// Bit n: the counter n below the highest was received.
     seen: u128,
     last_ms: u64,
 }
@@ -174,12 +184,16 @@
 }
 
 impl<S: Ord + Clone> ReplayFilter<S> {
-    /// Enters a counter of a sender's life; an error if it was heard before or is too old to tell.
+    /// Records a counter of a sender's incarnation.
+    ///
+    /// # Errors
+    /// [`DatagramError::Replayed`] where it was received before or is too old to tell, [`DatagramError::TooMany`] where
+    /// there are too many senders.
     pub fn accept(&mut self, sender: &S, epoch: u64, counter: u64, now_ms: u64) -> Result<(), DatagramError> {
         let first = Sender { epoch, highest: counter, seen: 1, last_ms: now_ms };
         let Some(known) = self.0.get_mut(sender) else {
             if self.0.len() >= MAX_SENDERS {
-                // What such a sender sent would be refused for its age by now.
+                // What such a sender sent would be rejected for its age by now.
                 self.0.retain(|_, s| now_ms.saturating_sub(s.last_ms) <= 2 * MAX_SKEW_MS);
             }
             if self.0.len() >= MAX_SENDERS {
--- a/crates/lilacpitch-gossip/src/server_report.rs
+++ b/crates/lilacpitch-gossip/src/server_report.rs
@@ -1,42 +1,46 @@
-//! A fact about one server, as one front tells it to another.
+//! A report about one server, as one front sends it to another: from data that may be wrong, and so is checked.
 
 use crate::sealed_datagram::DatagramError;
 use serde::{Deserialize, Serialize};
 
-/// Most facts in one answer: the servers that matter to a front that starts.
+/// Most reports in one response: the servers that matter to a front that starts.
 pub const MAX_REPORTS: usize = 64;
-/// Facts in one datagram, so that it stays below what every path carries.
+/// Most reports in one datagram, so that it stays below what every path carries.
 pub const REPORTS_PER_DATAGRAM: usize = 8;
-/// Longest server name, as in the pool list.
+/// Longest server name in bytes, as in the endpoint list.
 const MAX_NAME_BYTES: usize = 64;
-/// Ages and waits past this are refused: an hour.
+/// Longer ages and waits are rejected: an hour, in milliseconds.
 const MAX_MS: u32 = 3_600_000;
-/// More set-ups unanswered or standing at one server are refused.
+/// More set-ups in flight or succeeded at one server are rejected.
 pub const MAX_SETUPS: u32 = 1_000_000;
 
-/// What a front knows of a server. Names, since ids are each front's own.
+/// What a front knows of a server. Servers are named, since ids are each front's own. The order of fields is that on the
+/// wire.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct ServerReport {
-    /// The server's name in the pool list.
+    /// The server's name in the endpoint list.
     pub server: String,
     /// How old the newest evidence for this is, in milliseconds.
     pub age_ms: u32,
     /// The wait expected there, in milliseconds.
     pub wait_ms: u32,
-    /// Set-ups of this front that are unanswered there.
+    /// Set-ups of this front in flight there.
     pub in_flight: u32,
-    /// Set-ups of this front that stood there within the window.
+    /// Set-ups of this front that succeeded there within the window.
     pub succeeded: u32,
-    /// Taken to be silent.
+    /// The server is taken to be unresponsive.
     pub is_unresponsive: bool,
-    /// Since when it is cold, in milliseconds ago.
+    /// For how long it has been warming up, in milliseconds.
     pub warming_up_for_ms: Option<u32>,
-    /// Heard to be draining or gone.
+    /// The server is draining or removed.
     pub is_draining: bool,
 }
 
 impl ServerReport {
-    /// Whether a fact can be one.
+    /// Checks whether the report is possible.
+    ///
+    /// # Errors
+    /// [`DatagramError::Malformed`], where it is not.
     pub fn check(&self) -> Result<(), DatagramError> {
         let name = &self.server;
         if name.is_empty() || name.len() > MAX_NAME_BYTES || !name.bytes().all(|b| b.is_ascii_graphic()) {
