--- a/crates/lilacpitch-node/src/coordinator.rs
+++ b/crates/lilacpitch-node/src/coordinator.rs
@@ -1,14 +1,23 @@
-//! The coordinator's numbered events: from its answers to news of the list.
+//! The coordinator's protocol: numbered events about the list of servers, as JSON.
+//!
+//! A poll names the last event in hand, and the response carries those after it. [`EventFollower`] keeps that
+//! number, drops events it has had and starts over after a gap. No I/O; requests are made in [`crate::net`].
 
 use serde::Deserialize;
 use std::net::SocketAddr;
+use thiserror::Error;
 
-/// An answer: the events after the one that was asked for.
+/// Why a response of the coordinator can't be read: not JSON of the agreed form. Look at what the coordinator sends.
+#[derive(Debug, Error)]
+#[error(transparent)]
+pub struct PollResponseError(#[from] serde_json::Error);
+
+/// A response to a poll: the events after the one that the poll named.
 #[derive(Debug, Clone, Deserialize)]
-pub struct Told {
-    /// The number of the last event there is.
+pub struct PollResponse {
+    /// Number of the coordinator's last event.
     pub index: u64,
-    /// The events, in their order.
+    /// The events, in ascending order of their numbers.
     #[serde(default)]
     pub updates: Vec<Update>,
 }
@@ -18,14 +27,14 @@
 pub struct Update {
     /// Its number, from 1.
     pub index: u64,
-    /// The servers it tells of.
+    /// The servers it is about.
     pub endpoints: Endpoints,
 }
 
-/// Servers of an event.
+/// The servers of an event.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Endpoints {
-    /// Whether this is the whole list, else what has changed.
+    /// Whether this is the complete list; else only what has changed.
     pub all: bool,
     /// The servers.
     pub targets: Vec<Target>,
@@ -35,68 +44,71 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum State {
-    /// Takes set-ups.
+    /// Accepts set-ups.
     InService,
-    /// Finishes what it has.
+    /// Draining: finishes its calls and accepts no more.
     Terminating,
-    /// Gone.
+    /// Removed.
     Terminated,
 }
 
 /// A server.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 pub struct Target {
-    /// Its id: never another server's.
+    /// Its id, never reused for another server.
     pub uid: String,
-    /// Its address, which may be another server's later.
+    /// Its address, which another server may have later.
     pub endpoint: SocketAddr,
-    /// The name of its zone.
+    /// Name of its zone.
     #[serde(default)]
     pub az: String,
     /// Its number, which calls name as first choice.
     pub pod_group: u32,
     /// Whether it may be used.
     pub state: State,
-    /// When it started, in Unix milliseconds; 0: long ago.
+    /// When it started, in Unix milliseconds; 0 where unknown, which counts as long ago.
     #[serde(default)]
     pub boot_ms: u64,
 }
 
-/// Reads an answer.
-pub fn told(text: &str) -> Result<Told, String> {
-    serde_json::from_str(text).map_err(|e| e.to_string())
+/// Parses a response.
+///
+/// # Errors
+/// Where the text is not JSON of the agreed form.
+pub fn parse_response(text: &str) -> Result<PollResponse, PollResponseError> {
+    Ok(serde_json::from_str(text)?)
 }
 
-/// What is known of the coordinator's events.
+/// Keeps the number of the last event in hand.
 #[derive(Debug, Default)]
-pub struct Follower {
+pub struct EventFollower {
     index: u64,
 }
 
-impl Follower {
-    /// The number of the last event in hand: what to ask after.
+impl EventFollower {
+    /// Number of the last event in hand, for the next poll; 0 asks for the complete list.
     pub fn index(&self) -> u64 {
         self.index
     }
 
-    /// Takes an answer and returns its new events, in order. After a gap the answer's rest is left, and the whole
-    /// list is asked for; an index that goes back means that the numbers began anew, and so does this.
-    pub fn take(&mut self, told: Told) -> Vec<Endpoints> {
-        let mut news = Vec::new();
-        for update in told.updates {
+    /// Returns the new events of a response, in order. After a gap the rest of the response is dropped and the next
+    /// poll asks for the complete list, as it does where the coordinator's own number went back (it was restarted).
+    pub fn accept(&mut self, response: PollResponse) -> Vec<Endpoints> {
+        let mut events = Vec::new();
+        for update in response.updates {
             if update.index <= self.index {
                 continue;
             }
             if update.index > self.index + 1 && !update.endpoints.all {
                 self.index = 0;
-                return news;
+                return events;
             }
             self.index = update.index;
-            news.push(update.endpoints);
+            events.push(update.endpoints);
         }
-        if told.index < self.index {
+        if response.index < self.index {
             self.index = 0;
         }
-        news
+        events
     }
 }
--- a/crates/lilacpitch-node/src/core/active_calls.rs
+++ b/crates/lilacpitch-node/src/core/active_calls.rs
@@ -2,7 +2,7 @@
 
 use super::calls::{Attempt, AttemptState, Call};
 use super::{CallerId, Effect, NodeCore};
-use crate::signal::{self, CAUSE_CUT, CAUSE_NORMAL};
+use crate::signalling::{self, CAUSE_CUT, CAUSE_NORMAL};
 use lilacpitch::interface::{CallId, LoadReport, Nanos, Outcome, ServerId};
 use lilacpitch_sip::Request;
 
@@ -100,7 +100,7 @@
             AttemptState::Standing(link) => self.upstreams.get(&link).filter(|l| l.up).map(|_| link),
             _ => None,
         };
-        let bytes = signal::stop(wire, CAUSE_NORMAL);
+        let bytes = signalling::encode_stop(wire, CAUSE_NORMAL);
         match own.or_else(|| self.link_for(attempt.server, &[], effects)) {
             Some(link) if self.upstreams.get(&link).is_some_and(|l| l.up) => {
                 self.transmit(link, bytes, None, effects);
--- a/crates/lilacpitch-node/src/core/callers.rs
+++ b/crates/lilacpitch-node/src/core/callers.rs
@@ -2,7 +2,7 @@
 
 use super::calls::Asked;
 use super::{CallerId, Effect, NodeCore};
-use crate::signal::call_id;
+use crate::signalling::parse_call_id;
 use lilacpitch::interface::{CallId, Nanos};
 use lilacpitch_sip::{Message, Request};
 use std::collections::BTreeSet;
@@ -68,7 +68,7 @@
         request: &Request,
         effects: &mut Vec<Effect>,
     ) -> Result<(), Refusal> {
-        let wire = request.call_id.as_deref().and_then(call_id).ok_or((400, "Bad Call-ID"))?;
+        let wire = request.call_id.as_deref().and_then(parse_call_id).ok_or((400, "Bad Call-ID"))?;
         let path = Path::read(request.fields.get("P-Path").unwrap_or(""))?;
         let kind = request.fields.get("P-Kind").ok_or((400, "Missing P-Kind"))?;
         let class = self.site.class_names.iter().position(|name| name == kind);
@@ -123,7 +123,7 @@
         request: &Request,
         effects: &mut Vec<Effect>,
     ) -> Result<(), Refusal> {
-        let wire = request.call_id.as_deref().and_then(call_id).ok_or((400, "Bad Call-ID"))?;
+        let wire = request.call_id.as_deref().and_then(parse_call_id).ok_or((400, "Bad Call-ID"))?;
         let Some(id) = self.by_wire.get(&wire).copied() else { return Err((481, "No Such Call")) };
         match self.calls.get(&id) {
             Some(call) if call.stands() => self.released_by_caller(id, effects),
@@ -140,7 +140,7 @@
         request: &Request,
         effects: &mut Vec<Effect>,
     ) -> Result<(), Refusal> {
-        let wire = request.call_id.as_deref().and_then(call_id).ok_or((400, "Bad Call-ID"))?;
+        let wire = request.call_id.as_deref().and_then(parse_call_id).ok_or((400, "Bad Call-ID"))?;
         let id = self.by_wire.get(&wire).copied().filter(|id| self.calls.get(id).is_some_and(|c| c.stands()));
         let id = id.ok_or((481, "No Such Call"))?;
         self.released_by_caller(id, effects);
--- a/crates/lilacpitch-node/src/core/calls.rs
+++ b/crates/lilacpitch-node/src/core/calls.rs
@@ -1,7 +1,7 @@
 //! Calls and their attempts: taken, sent, answered once.
 
 use super::{CallerId, Effect, NodeCore, Timer, UpstreamId};
-use crate::signal;
+use crate::signalling;
 use lilacpitch::interface::{self, CallId, LoadReport, Nanos, Outcome, ServerId};
 use lilacpitch::Event;
 use lilacpitch_sip::Response;
@@ -146,7 +146,7 @@
         let AttemptState::Queued(link) = attempt.state else { return };
         let left_ms = attempt.until_ns.saturating_sub(self.now) / 1_000_000;
         let class = self.site.class_names.get(call.class).map_or("", String::as_str);
-        let bytes = signal::launch(call.wire, class, &set_up.number, left_ms, &set_up.body);
+        let bytes = signalling::encode_launch(call.wire, class, &set_up.number, left_ms, &set_up.body);
         // None leaves past the grace after a drain, though it was queued just before.
         let not_after = Some(self.now + self.site.drain_grace_ns / 2);
         let Some(message) = self.transmit(link, bytes, not_after, effects) else { return };
@@ -185,8 +185,8 @@
             row.given_up.insert(wire, until);
             let stop = row.next_message;
             row.next_message += 1;
-            let bytes = signal::stop(wire, signal::CAUSE_NORMAL);
-            effects.push(Effect::Withdraw { link, message, stop, bytes });
+            let bytes = signalling::encode_stop(wire, signalling::CAUSE_NORMAL);
+            effects.push(Effect::CancelSetup { upstream: link, message, stop_message: stop, bytes });
         }
     }
 
@@ -317,7 +317,7 @@
 /// A dialled number as the module compares it: equal for equal digits.
 fn dialled(number: &str) -> u64 {
     use std::hash::{DefaultHasher, Hash, Hasher};
-    signal::call_id(number).unwrap_or_else(|| {
+    signalling::parse_call_id(number).unwrap_or_else(|| {
         let mut hash = DefaultHasher::new();
         number.hash(&mut hash);
         hash.finish()
--- a/crates/lilacpitch-node/src/core/mod.rs
+++ b/crates/lilacpitch-node/src/core/mod.rs
@@ -15,7 +15,7 @@
 pub use counters::Counters;
 
 use crate::coordinator::Endpoints;
-use crate::signal::FromServer;
+use crate::signalling::ServerMessage;
 use callers::Caller;
 use calls::Call;
 use lilacpitch::interface::{Action, CallId, LoadReport, Nanos, Outcome, ServerId};
@@ -48,37 +48,37 @@
     /// A caller sent a message.
     CallerMessage(CallerId, Message),
     /// A caller has closed its connection; what it sent before may still come.
-    CallerLeft(CallerId),
+    CallerDisconnected(CallerId),
     /// A caller's connection has ended.
     CallerClosed(CallerId),
     /// A message that a caller's connection did not take before its end.
-    NotTaken(Vec<u8>),
+    CallerMessageUndelivered(Vec<u8>),
     /// A connection that was asked for is ready.
     UpstreamConnected(UpstreamId),
     /// A server sent a message.
-    UpstreamMessage(UpstreamId, FromServer),
+    UpstreamMessage(UpstreamId, ServerMessage),
     /// A connection has ended or could not be made.
     UpstreamClosed {
         /// The connection.
-        link: UpstreamId,
+        upstream: UpstreamId,
         /// Of the messages given to it, so many may have reached the server.
         written: u64,
         /// Whether the machine there said at once that nobody listens.
-        refused: bool,
+        is_refused: bool,
     },
     /// A message given to a connection was too old to be written, and never will be.
-    NotWritten {
+    MessageDropped {
         /// The connection.
-        link: UpstreamId,
+        upstream: UpstreamId,
         /// Which of its messages, from 0.
         message: u64,
     },
     /// The coordinator's news.
-    List(Endpoints),
+    EndpointsUpdated(Endpoints),
     /// Room for connections is short: the caller whose connection is idle for longest is to go.
-    Evict,
+    EvictIdleCaller,
     /// A caller that was to go stays: something has come from it, or waits for it.
-    NotEvicted(CallerId),
+    EvictionDeclined(CallerId),
     /// The operator asks the node to stop.
     Stop,
     /// Time has passed.
@@ -90,14 +90,14 @@
 pub enum Effect {
     /// Send a caller a message.
     ToCaller(CallerId, Vec<u8>),
-    /// End a caller's connection, unless something has come on it: `CallerClosed` follows, or `NotEvicted`.
+    /// End a caller's connection, unless something has come on it: `CallerClosed` follows, or `EvictionDeclined`.
     EvictCaller(CallerId),
     /// Make a connection to a server, and answer with `LinkUp` or `LinkDown`.
     Connect(UpstreamId, SocketAddr),
     /// Send a server a message: the connection's messages are numbered from 0 in their order.
     ToServer {
         /// The connection.
-        link: UpstreamId,
+        upstream: UpstreamId,
         /// Its number among the connection's messages.
         message: u64,
         /// The message.
@@ -107,13 +107,13 @@
     },
     /// Take a message back. Where it has left, `bytes` follow it as message `stop`; where it has begun to, the
     /// connection ends.
-    Withdraw {
+    CancelSetup {
         /// The connection.
-        link: UpstreamId,
+        upstream: UpstreamId,
         /// The number of the message that is taken back.
         message: u64,
         /// The number of what follows it.
-        stop: u64,
+        stop_message: u64,
         /// What tells the server.
         bytes: Vec<u8>,
     },
@@ -215,18 +215,18 @@
         match input {
             Input::CallerOpened(caller) => drop(self.callers.insert(caller, Caller::new(self.now))),
             Input::CallerMessage(caller, message) => self.on_caller_message(caller, message, effects),
-            Input::CallerLeft(caller) => self.on_caller_left(caller, effects),
+            Input::CallerDisconnected(caller) => self.on_caller_left(caller, effects),
             Input::CallerClosed(caller) => self.on_caller_closed(caller, effects),
-            Input::NotTaken(bytes) => self.on_not_taken(bytes, effects),
+            Input::CallerMessageUndelivered(bytes) => self.on_not_taken(bytes, effects),
             Input::UpstreamConnected(link) => self.on_link_up(link, effects),
             Input::UpstreamMessage(link, message) => self.on_link_message(link, message, effects),
-            Input::UpstreamClosed { link, written, refused } => {
+            Input::UpstreamClosed { upstream: link, written, is_refused: refused } => {
                 self.on_link_down(link, written, refused, effects)
             }
-            Input::NotWritten { link, message } => self.on_not_written(link, message, effects),
-            Input::List(endpoints) => self.on_list(&endpoints, effects),
-            Input::Evict => self.evict(effects),
-            Input::NotEvicted(caller) => self.on_not_evicted(caller),
+            Input::MessageDropped { upstream: link, message } => self.on_not_written(link, message, effects),
+            Input::EndpointsUpdated(endpoints) => self.on_list(&endpoints, effects),
+            Input::EvictIdleCaller => self.evict(effects),
+            Input::EvictionDeclined(caller) => self.on_not_evicted(caller),
             Input::Stop => self.on_stop(),
             Input::Timeout => {}
         }
@@ -253,12 +253,12 @@
     }
 
     /// Set-ups that are open, and calls that stand.
-    pub fn calls_now(&self) -> (usize, usize) {
+    pub fn call_counts(&self) -> (usize, usize) {
         (self.open, self.calls.len() - self.open)
     }
 
     /// Connections of callers, and to servers.
-    pub fn connections_now(&self) -> (usize, usize) {
+    pub fn connection_counts(&self) -> (usize, usize) {
         (self.callers.len(), self.upstreams.len())
     }
 
@@ -327,7 +327,7 @@
             let Some(fact) = self.brain.facts().into_iter().find(|fact| fact.server == server) else {
                 return;
             };
-            let (open, standing) = self.calls_now();
+            let (open, standing) = self.call_counts();
             tracing::trace!(
                 "believed: {what} call={call} wire={:016x} server={} unanswered={} stood={} wait_ms={} suspect={} \
                  open={open} standing={standing}",
@@ -352,7 +352,7 @@
     }
 
     /// How long after it was asked to stop the process may run.
-    pub fn kill_after_ns(&self) -> Nanos {
+    pub fn kill_delay_ns(&self) -> Nanos {
         let longest = self.site.settings.classes.iter().map(|class| class.deadline_ns).max().unwrap_or(0);
         longest.min(KILL_AFTER_NS.0) + KILL_AFTER_NS.1
     }
@@ -362,7 +362,7 @@
             tracing::info!(calls = self.calls.len(), "stopping once late arrivals have their answers");
             self.stopping = true;
             self.timers.set(Timer::Leave, self.now + LATE_ARRIVALS_NS);
-            self.timers.set(Timer::LastCall, self.now + self.kill_after_ns() - LAST_CALL_NS);
+            self.timers.set(Timer::LastCall, self.now + self.kill_delay_ns() - LAST_CALL_NS);
         }
     }
 
--- a/crates/lilacpitch-node/src/core/upstreams.rs
+++ b/crates/lilacpitch-node/src/core/upstreams.rs
@@ -2,7 +2,7 @@
 
 use super::calls::AttemptState;
 use super::{Effect, NodeCore, Timer, UpstreamId};
-use crate::signal::{refused, FromServer, Load};
+use crate::signalling::{outcome_of_stop, Load, ServerMessage};
 use lilacpitch::interface::{CallId, Endpoint, LoadReport, Nanos, Outcome, ServerId};
 use lilacpitch::Event;
 use std::collections::{BTreeMap, BTreeSet};
@@ -157,7 +157,7 @@
         let link = self.upstreams.get_mut(&id).filter(|link| link.up)?;
         let message = link.next_message;
         link.next_message += 1;
-        effects.push(Effect::ToServer { link: id, message, bytes, not_after_ns });
+        effects.push(Effect::ToServer { upstream: id, message, bytes, not_after_ns });
         Some(message)
     }
 
@@ -176,14 +176,19 @@
         self.servers.entry(server).and_modify(|s| (s.heard_ns, s.unreached_ns) = (now, None));
     }
 
-    pub(super) fn on_link_message(&mut self, id: UpstreamId, message: FromServer, effects: &mut Vec<Effect>) {
+    pub(super) fn on_link_message(
+        &mut self,
+        id: UpstreamId,
+        message: ServerMessage,
+        effects: &mut Vec<Effect>,
+    ) {
         let Some(link) = self.upstreams.get_mut(&id) else { return };
         let server = link.server;
-        if matches!(message, FromServer::Running { .. } | FromServer::Stop { .. }) {
+        if matches!(message, ServerMessage::Running { .. } | ServerMessage::Stop { .. }) {
             (link.mute, link.answered_ns) = (false, self.now);
         }
         match message {
-            FromServer::Running { uid, body } => match self.out_here(uid, id) {
+            ServerMessage::Running { uid, body } => match self.out_here(uid, id) {
                 Some(call) => {
                     self.heard(server);
                     self.on_answer(call, id, body, effects);
@@ -191,14 +196,14 @@
                 // It may have been on its way for as long as its set-up was given up: no sign of life of now.
                 None => self.on_stray_answer(id, server, uid, effects),
             },
-            FromServer::Stop { uid, cause, note, waited_ns, load } => {
+            ServerMessage::Stop { uid, cause, note, waited_ns, load } => {
                 let report = self.report(&load);
                 if let Some(call) = self.out_here(uid, id) {
                     self.heard(server);
-                    if cause == crate::signal::CAUSE_NORMAL {
+                    if cause == crate::signalling::CAUSE_NORMAL {
                         self.ended_unanswered(call, report, effects);
                     } else {
-                        self.end_attempt(call, refused(cause, &note, waited_ns), report);
+                        self.end_attempt(call, outcome_of_stop(cause, &note, waited_ns), report);
                     }
                 } else if let Some(call) = self.standing_at(uid, server) {
                     self.heard(server);
@@ -211,12 +216,12 @@
                     self.follow.push_back(Event::ServerLoadReported { server, report });
                 }
             }
-            FromServer::Usage(load) => {
+            ServerMessage::Usage(load) => {
                 self.heard(server);
                 let report = self.report(&load);
                 self.follow.push_back(Event::ServerLoadReported { server, report });
             }
-            FromServer::Other => self.heard(server),
+            ServerMessage::Other => self.heard(server),
         }
     }
 
@@ -242,7 +247,12 @@
         // The id alone names what to release: never where the call is at the same server anew.
         let anew = self.by_wire.get(&wire).and_then(|call| self.calls.get(call)?.attempt);
         if given_up && anew.is_none_or(|attempt| attempt.server != server) {
-            self.transmit(id, crate::signal::stop(wire, crate::signal::CAUSE_NORMAL), None, effects);
+            self.transmit(
+                id,
+                crate::signalling::encode_stop(wire, crate::signalling::CAUSE_NORMAL),
+                None,
+                effects,
+            );
         }
     }
 
--- a/crates/lilacpitch-node/src/net/coordinator_client.rs
+++ b/crates/lilacpitch-node/src/net/coordinator_client.rs
@@ -1,7 +1,7 @@
 //! Follows the coordinator: one ask after the other, each with an end.
 
 use super::driver::News;
-use crate::coordinator::{told, Follower, Told};
+use crate::coordinator::{parse_response, EventFollower, PollResponse};
 use crate::core::Input;
 use lilacpitch_protocol::http;
 use std::net::SocketAddr;
@@ -24,8 +24,12 @@
 const BROKEN_PAUSE: (Duration, Duration) = (Duration::from_millis(10), Duration::from_millis(200));
 
 /// Follows until nobody listens. `at`: where the coordinator is, which may change.
-pub(super) async fn follow(known: Told, mut at: watch::Receiver<SocketAddr>, news: mpsc::Sender<News>) {
-    let mut follower = Follower::default();
+pub(super) async fn follow(
+    known: PollResponse,
+    mut at: watch::Receiver<SocketAddr>,
+    news: mpsc::Sender<News>,
+) {
+    let mut follower = EventFollower::default();
     let (mut pause, mut broken_pause) = (PAUSE.0, BROKEN_PAUSE.0);
     if tell(&mut follower, known, &news).await.is_none() {
         return;
@@ -87,11 +91,11 @@
 }
 
 /// Tells the events of an answer: how many; `None`, nobody listens.
-async fn tell(follower: &mut Follower, told: Told, news: &mpsc::Sender<News>) -> Option<usize> {
-    let events = follower.take(told);
+async fn tell(follower: &mut EventFollower, told: PollResponse, news: &mpsc::Sender<News>) -> Option<usize> {
+    let events = follower.accept(told);
     let count = events.len();
     for endpoints in events {
-        news.send(News::Input(Input::List(endpoints))).await.ok()?;
+        news.send(News::Input(Input::EndpointsUpdated(endpoints))).await.ok()?;
     }
     Some(count)
 }
@@ -101,7 +105,7 @@
     connection: &mut Option<TcpStream>,
     address: SocketAddr,
     index: u64,
-) -> Result<Told, (bool, String)> {
+) -> Result<PollResponse, (bool, String)> {
     let mut stream = match connection.take() {
         Some(stream) => stream,
         None => match timeout(PAUSE.1, TcpStream::connect(address)).await {
@@ -122,7 +126,7 @@
         Err(_) => return Err((true, "silent".into())),
     };
     let text = String::from_utf8(body).map_err(|e| (true, e.to_string()))?;
-    let told = told(&text).map_err(|why| (true, why))?;
+    let told = parse_response(&text).map_err(|e| (true, e.to_string()))?;
     *connection = again.then_some(stream);
     Ok(told)
 }
--- a/crates/lilacpitch-node/src/net/driver.rs
+++ b/crates/lilacpitch-node/src/net/driver.rs
@@ -3,7 +3,7 @@
 use super::coordinator_client::follow;
 use crate::config::{Budget, Config, ConfigError};
 use crate::core::{CallerId, Effect, Input, NodeCore, UpstreamId};
-use crate::signal::{FromServer, LineError, Lines};
+use crate::signalling::{LineDecoder, LineError, ServerMessage};
 use lilacpitch_net::{Clock, Codec, Connection, Draining, End, Heard, Outbox, Outgoing, TakenBack};
 use lilacpitch_sip::{Decoder, Message, SipError};
 use std::collections::{BTreeMap, BTreeSet};
@@ -97,7 +97,7 @@
     let config = Config::load(path)?;
     let failed = |e| RunError::Listen(config.listen, e);
     let listener = TcpListener::bind(config.listen).await.map_err(failed)?;
-    let Budget { callers: max_callers, draining, links: max_links } = config.limits.budget();
+    let Budget { callers: max_callers, draining, upstreams: max_links } = config.limits.budget();
     let (news, mut inbox) = mpsc::channel(NEWS_QUEUE);
     let (left, departures) = mpsc::unbounded_channel();
     let (moved, coordinator) = watch::channel(config.coordinator);
@@ -130,19 +130,19 @@
         driver.take_departures();
         // Some places are kept free; where each connection has a set-up open, accepting pauses until one has not.
         let wanted = (driver.callers.len() + 1 + max_callers / SPARE_PART).saturating_sub(max_callers);
-        (driver.evicted.len()..wanted).for_each(|_| driver.feed(Input::Evict));
+        (driver.evicted.len()..wanted).for_each(|_| driver.feed(Input::EvictIdleCaller));
         let due = driver.node.next_timeout().map(|at| driver.clock.instant(at));
         tokio::select! {
             count = inbox.recv_many(&mut round, ROUND) => {
                 debug_assert!(count > 0, "the driver holds a sender itself");
                 round.drain(..).for_each(|news| driver.take(news));
             }
-            Some(caller) = driver.departures.recv() => driver.feed(Input::CallerLeft(caller)),
+            Some(caller) = driver.departures.recv() => driver.feed(Input::CallerDisconnected(caller)),
             accepted = listener.accept(), if driver.callers.len() < max_callers => match accepted {
                 Ok((stream, _)) => driver.accept(stream),
                 Err(error) => {
                     tracing::warn!(%error, "not accepted");
-                    driver.feed(Input::Evict);
+                    driver.feed(Input::EvictIdleCaller);
                     tokio::time::sleep(Duration::from_millis(5)).await;
                 }
             },
@@ -198,16 +198,16 @@
                 self.evicted.remove(caller);
                 not_taken = self.callers.remove(caller).map_or(not_taken, |peer| peer.outbox.unwritten());
             }
-            Input::UpstreamClosed { link, .. } => drop(self.links.remove(link)),
+            Input::UpstreamClosed { upstream: link, .. } => drop(self.links.remove(link)),
             _ => {}
         }
         self.feed(input);
-        not_taken.into_iter().for_each(|bytes| self.feed(Input::NotTaken(bytes)));
+        not_taken.into_iter().for_each(|bytes| self.feed(Input::CallerMessageUndelivered(bytes)));
     }
 
     fn take_departures(&mut self) {
         while let Ok(caller) = self.departures.try_recv() {
-            self.feed(Input::CallerLeft(caller));
+            self.feed(Input::CallerDisconnected(caller));
         }
     }
 
@@ -226,8 +226,8 @@
     }
 
     fn count(&mut self) {
-        let (open, standing) = self.node.calls_now();
-        let (callers, links) = self.node.connections_now();
+        let (open, standing) = self.node.call_counts();
+        let (callers, links) = self.node.connection_counts();
         let c = self.node.counters();
         tracing::info!(
             open, standing, callers, links, c.taken, c.sends, c.stood, c.refused, c.failed, c.gone, c.adopted, c.strays,
@@ -255,18 +255,18 @@
                     peer.outbox.end(End::Evict);
                     self.evicted.insert(caller);
                 }
-                Some(_) => self.tell_later(Input::NotEvicted(caller)),
+                Some(_) => self.tell_later(Input::EvictionDeclined(caller)),
                 None => {}
             },
-            Effect::ToServer { link, message, bytes, not_after_ns } => {
+            Effect::ToServer { upstream: link, message, bytes, not_after_ns } => {
                 let Some(peer) = self.links.get(&link) else { return };
                 if peer.outbox.waiting().0 < OUT_QUEUE {
                     peer.outbox.push(Outgoing { number: message, bytes, not_after_ns });
                 } else {
-                    self.tell_later(Input::NotWritten { link, message });
+                    self.tell_later(Input::MessageDropped { upstream: link, message });
                 }
             }
-            Effect::Withdraw { link, message, stop, bytes } => {
+            Effect::CancelSetup { upstream: link, message, stop_message: stop, bytes } => {
                 let Some(peer) = self.links.get(&link) else { return };
                 match peer.outbox.take_back(message) {
                     TakenBack::Whole => {}
@@ -342,7 +342,7 @@
                     let heard = async |heard| {
                         let input = match heard {
                             Heard::Message(message) => Input::UpstreamMessage(link, message),
-                            Heard::NotWritten(message) => Input::NotWritten { link, message },
+                            Heard::NotWritten(message) => Input::MessageDropped { upstream: link, message },
                         };
                         news.send(News::Input(input)).await.is_ok()
                     };
@@ -362,7 +362,9 @@
                 }
                 Err(_) => tracing::debug!(link, %address, "no connection in time"),
             }
-            let _ = news.send(News::Input(Input::UpstreamClosed { link, written, refused })).await;
+            let _ = news
+                .send(News::Input(Input::UpstreamClosed { upstream: link, written, is_refused: refused }))
+                .await;
             if let Some(rest) = left {
                 rest.drain(&draining).await;
             }
@@ -374,7 +376,7 @@
     /// before the kill.
     async fn close(mut self, listener: TcpListener, mut inbox: mpsc::Receiver<News>, max_callers: usize) {
         let asked = self.stop_asked.unwrap_or_else(Instant::now);
-        let until = asked + Duration::from_nanos(self.node.kill_after_ns()) - CLOSED_BEFORE_KILL;
+        let until = asked + Duration::from_nanos(self.node.kill_delay_ns()) - CLOSED_BEFORE_KILL;
         // One that does not read until then is cut off by the kill's time, but by no less than a while.
         let until = until.max(Instant::now() + CLOSED_BEFORE_KILL);
         let mut tasks: Vec<AbortHandle> = Vec::new();
@@ -487,18 +489,18 @@
 }
 
 #[derive(Default)]
-struct Json(Lines);
+struct Json(LineDecoder);
 
 impl Codec for Json {
-    type Message = FromServer;
+    type Message = ServerMessage;
     type Error = LineError;
 
     fn feed(&mut self, bytes: &[u8]) {
         self.0.feed(bytes);
     }
 
-    fn next_message(&mut self) -> Result<Option<FromServer>, LineError> {
-        self.0.next_line()?.map(|line| FromServer::decode(&line)).transpose()
+    fn next_message(&mut self) -> Result<Option<ServerMessage>, LineError> {
+        self.0.next_line()?.map(|line| ServerMessage::decode(&line)).transpose()
     }
 
     fn within_message(&self) -> bool {
@@ -508,7 +510,7 @@
     fn kind(error: &LineError) -> &'static str {
         match error {
             LineError::TooLong => "server's line too long",
-            LineError::Form(_) => "server's line",
+            LineError::Json(_) | LineError::Field(_) => "server's line",
         }
     }
 
--- a/crates/lilacpitch-node/tests/ends.rs
+++ b/crates/lilacpitch-node/tests/ends.rs
@@ -3,9 +3,9 @@
 mod common;
 
 use common::{config, request, MS};
-use lilacpitch_node::coordinator::told;
+use lilacpitch_node::coordinator::parse_response;
 use lilacpitch_node::core::{Effect, Input, NodeCore, UpstreamId};
-use lilacpitch_node::signal::FromServer;
+use lilacpitch_node::signalling::ServerMessage;
 use serde_json::{json, Value};
 
 struct Scene {
@@ -21,8 +21,8 @@
         let target = json!({"uid": "s-0", "endpoint": "127.0.0.1:1000", "az": "a", "pod_group": 0,
             "state": "in_service", "boot_ms": 0});
         let event = json!({"index": 1, "endpoints": {"rev": 1, "all": true, "targets": [target]}});
-        let told = told(&json!({"index": 1, "updates": [event]}).to_string()).unwrap();
-        told.updates.into_iter().for_each(|update| _ = scene.feed(Input::List(update.endpoints)));
+        let told = parse_response(&json!({"index": 1, "updates": [event]}).to_string()).unwrap();
+        told.updates.into_iter().for_each(|update| _ = scene.feed(Input::EndpointsUpdated(update.endpoints)));
         scene
     }
 
@@ -37,7 +37,7 @@
     }
 
     fn say(&mut self, link: UpstreamId, line: Value) -> Vec<Effect> {
-        let line = FromServer::decode(line.to_string().as_bytes()).unwrap();
+        let line = ServerMessage::decode(line.to_string().as_bytes()).unwrap();
         self.feed(Input::UpstreamMessage(link, line))
     }
 
@@ -54,7 +54,7 @@
         }
         let link = link.expect("sent at once");
         self.say(link, json!({"kind": "running", "uid": format!("{call:016x}"), "meta": {}, "body": "x"}));
-        assert_eq!(self.node.calls_now().0, 0, "it stands");
+        assert_eq!(self.node.call_counts().0, 0, "it stands");
         link
     }
 
@@ -65,7 +65,7 @@
 
 fn launched(effect: &Effect) -> Option<UpstreamId> {
     match effect {
-        Effect::ToServer { link, bytes, .. } if bytes.starts_with(b"{\"body\"") => Some(*link),
+        Effect::ToServer { upstream: link, bytes, .. } if bytes.starts_with(b"{\"body\"") => Some(*link),
         _ => None,
     }
 }
@@ -100,14 +100,14 @@
     assert_eq!(caller, 1, "by the connection of its set-up");
     // That one ends with it unwritten.
     scene.feed(Input::CallerClosed(1));
-    assert_eq!(byes(&scene.feed(Input::NotTaken(bye.clone()))), [(2, bye.clone())]);
+    assert_eq!(byes(&scene.feed(Input::CallerMessageUndelivered(bye.clone()))), [(2, bye.clone())]);
     scene.feed(Input::CallerClosed(2));
-    assert_eq!(byes(&scene.feed(Input::NotTaken(bye.clone()))), [], "nobody is there");
+    assert_eq!(byes(&scene.feed(Input::CallerMessageUndelivered(bye.clone()))), [], "nobody is there");
     scene.caller(3);
     let effects = scene.feed(Input::CallerMessage(3, request("INVITE", 3)));
     assert_eq!(byes(&effects), [(3, bye)]);
     // What else was not taken is owed to nobody.
-    assert_eq!(scene.feed(Input::NotTaken(b"SIP/2.0 200 OK\r\n\r\n".to_vec())), []);
+    assert_eq!(scene.feed(Input::CallerMessageUndelivered(b"SIP/2.0 200 OK\r\n\r\n".to_vec())), []);
 }
 
 #[test]
@@ -116,7 +116,7 @@
     (1..=2).for_each(|caller| scene.caller(caller));
     scene.stands(2, 2);
     let link = scene.stands(1, 1);
-    scene.feed(Input::CallerLeft(1));
+    scene.feed(Input::CallerDisconnected(1));
     let told = byes(&scene.end_of(link, 1));
     assert_eq!(told.iter().map(|(caller, _)| *caller).collect::<Vec<_>>(), [2]);
 }
@@ -134,9 +134,9 @@
     let mut connecting = Vec::new();
     for lost in 1..=link.max(2) {
         connecting.extend(made(&scene.feed(Input::UpstreamClosed {
-            link: lost,
+            upstream: lost,
             written: 9,
-            refused: false,
+            is_refused: false,
         })));
     }
     let effects = scene.feed(Input::CallerMessage(1, request("BYE", 1)));
@@ -149,9 +149,9 @@
     for _ in 0..2 {
         let first = connecting.remove(0);
         connecting.extend(made(&scene.feed(Input::UpstreamClosed {
-            link: first,
+            upstream: first,
             written: 0,
-            refused: false,
+            is_refused: false,
         })));
         assert!(!connecting.is_empty(), "tried again");
     }
@@ -177,7 +177,11 @@
         let (gone, waiting): (Vec<_>, Vec<_>) = connecting.into_iter().partition(due);
         connecting = waiting;
         for (_, link) in gone {
-            effects.extend(scene.feed(Input::UpstreamClosed { link, written: 0, refused: false }));
+            effects.extend(scene.feed(Input::UpstreamClosed {
+                upstream: link,
+                written: 0,
+                is_refused: false,
+            }));
         }
         if scene.now == from + 4_000 * MS {
             // The answer to it was on its way for that long, on whatever connections there were.
@@ -204,13 +208,13 @@
     (1..=4).for_each(|caller| scene.caller(caller));
     scene.feed(Input::CallerMessage(1, request("INVITE", 1)));
     scene.now += 200 * MS;
-    let evicted = |scene: &mut Scene| match &scene.feed(Input::Evict)[..] {
+    let evicted = |scene: &mut Scene| match &scene.feed(Input::EvictIdleCaller)[..] {
         [Effect::EvictCaller(caller)] => Some(*caller),
         _ => None,
     };
     assert_eq!((evicted(&mut scene), evicted(&mut scene), evicted(&mut scene)), (Some(2), Some(3), None));
     // Something came from one of them: it stays, and is asked again only when it is idle.
     scene.feed(Input::CallerMessage(2, request("INVITE", 2)));
-    scene.feed(Input::NotEvicted(3));
+    scene.feed(Input::EvictionDeclined(3));
     assert_eq!((evicted(&mut scene), evicted(&mut scene)), (Some(3), None));
 }
--- a/crates/lilacpitch-node/tests/limits.rs
+++ b/crates/lilacpitch-node/tests/limits.rs
@@ -10,7 +10,7 @@
     fn no_party_takes_anothers_descriptors_whatever_the_limit(sockets in 0usize.., memory_mb in 0u64..) {
         let budget = Limits { sockets, memory_mb: Some(memory_mb) }.budget();
         // What is left is kept back for the listener, the coordinator and the runtime.
-        let used = budget.callers as u128 + budget.draining as u128 + budget.links as u128;
+        let used = budget.callers as u128 + budget.draining as u128 + budget.upstreams as u128;
         prop_assert!(used <= sockets as u128);
         prop_assert!(sockets < 64 || used + 32 <= sockets as u128);
     }
@@ -22,6 +22,6 @@
     for (sockets, memory_mb) in [(256, 32), (512, 48), (576, 56), (1024, 32), (1024, 192)] {
         let budget = Limits { sockets, memory_mb: Some(memory_mb) }.budget();
         assert!(budget.callers >= sockets / 3, "{sockets} {memory_mb}: {budget:?}");
-        assert!(budget.links >= 32, "{budget:?}");
+        assert!(budget.upstreams >= 32, "{budget:?}");
     }
 }
--- a/crates/lilacpitch-node/tests/orders.rs
+++ b/crates/lilacpitch-node/tests/orders.rs
@@ -4,9 +4,9 @@
 mod common;
 
 use common::{config, request, MS};
-use lilacpitch_node::coordinator::told;
+use lilacpitch_node::coordinator::parse_response;
 use lilacpitch_node::core::{CallerId, Effect, Input, NodeCore, UpstreamId};
-use lilacpitch_node::signal::FromServer;
+use lilacpitch_node::signalling::ServerMessage;
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 use serde_json::{json, Value};
@@ -81,8 +81,8 @@
         });
         let targets: Vec<_> = targets.collect();
         let event = json!({"index": self.index, "endpoints": {"rev": 1, "all": all, "targets": targets}});
-        let told = told(&json!({"index": self.index, "updates": [event]}).to_string()).unwrap();
-        told.updates.into_iter().for_each(|update| self.feed(Input::List(update.endpoints)));
+        let told = parse_response(&json!({"index": self.index, "updates": [event]}).to_string()).unwrap();
+        told.updates.into_iter().for_each(|update| self.feed(Input::EndpointsUpdated(update.endpoints)));
     }
 
     fn feed(&mut self, input: Input) {
@@ -97,7 +97,7 @@
             Effect::EvictCaller(caller) => self.evicted.push(caller),
             Effect::Connect(link, _) => drop(self.links.insert(link, Link::default())),
             Effect::Disconnect(link) => self.end_link(link),
-            Effect::ToServer { link, message, bytes, .. } => {
+            Effect::ToServer { upstream: link, message, bytes, .. } => {
                 let line: Value = serde_json::from_slice(&bytes).unwrap();
                 let call = u64::from_str_radix(line["uid"].as_str().unwrap(), 16).unwrap();
                 let launch = line["kind"] == "launch";
@@ -111,7 +111,7 @@
                     assert_eq!(before, None, "two attempts of {call} are out");
                 }
             }
-            Effect::Withdraw { link, message, stop, .. } => {
+            Effect::CancelSetup { upstream: link, message, stop_message: stop, .. } => {
                 let Some(row) = self.links.get_mut(&link) else { return };
                 let at = row.given.iter().position(|(number, ..)| *number == message).expect("was given");
                 let (_, left, call) = row.given[at];
@@ -187,7 +187,10 @@
 
     fn say(&mut self, link: UpstreamId, line: Value) {
         if self.links.get(&link).is_some_and(|row| row.up) {
-            self.feed(Input::UpstreamMessage(link, FromServer::decode(line.to_string().as_bytes()).unwrap()));
+            self.feed(Input::UpstreamMessage(
+                link,
+                ServerMessage::decode(line.to_string().as_bytes()).unwrap(),
+            ));
         }
     }
 
@@ -228,7 +231,7 @@
             8 => {
                 if let Some(caller) = caller {
                     self.leave(caller);
-                    self.feed(Input::CallerLeft(caller));
+                    self.feed(Input::CallerDisconnected(caller));
                 }
             }
             9 => {
@@ -251,7 +254,11 @@
                     let written = given.iter().filter(|(_, left, _)| *left).map(|(n, ..)| n + 1).max();
                     self.end_link(link);
                     let refused = more.is_multiple_of(2);
-                    self.feed(Input::UpstreamClosed { link, written: written.unwrap_or(0), refused });
+                    self.feed(Input::UpstreamClosed {
+                        upstream: link,
+                        written: written.unwrap_or(0),
+                        is_refused: refused,
+                    });
                 }
             }
             14 => {
@@ -298,7 +305,7 @@
                     if let Some((number, _, call)) = row.given.iter().find(waits).copied() {
                         row.given.retain(|(n, ..)| *n != number);
                         call.iter().for_each(|call| _ = self.out.remove(call));
-                        self.feed(Input::NotWritten { link, message: number });
+                        self.feed(Input::MessageDropped { upstream: link, message: number });
                     }
                 }
             }
@@ -322,10 +329,10 @@
                 }
             }
             _ => {
-                self.feed(Input::Evict);
+                self.feed(Input::EvictIdleCaller);
                 for caller in std::mem::take(&mut self.evicted) {
                     if more.is_multiple_of(2) {
-                        self.feed(Input::NotEvicted(caller));
+                        self.feed(Input::EvictionDeclined(caller));
                     } else if self.calls.values().all(|a| a.caller != caller || a.over) {
                         self.leave(caller);
                         self.callers.remove(&caller);
@@ -342,7 +349,7 @@
         if self.index.is_multiple_of(2) {
             // Its own way out: what is open has its answer by the time of the kill.
             self.feed(Input::Stop);
-            self.pass(self.node.kill_after_ns());
+            self.pass(self.node.kill_delay_ns());
             assert!(self.stopped, "it has not left");
             let unanswered: Vec<_> = self.calls.iter().filter(|(_, a)| !a.over).collect();
             assert!(unanswered.is_empty(), "{unanswered:?}");
@@ -356,7 +363,7 @@
         self.list(true);
         for link in self.links.keys().copied().collect::<Vec<_>>() {
             self.end_link(link);
-            self.feed(Input::UpstreamClosed { link, written: 0, refused: true });
+            self.feed(Input::UpstreamClosed { upstream: link, written: 0, is_refused: true });
         }
         self.pass(60_000 * MS);
         let counted = self.node.counters();
--- a/crates/lilacpitch-node/tests/pinned_wire.rs
+++ b/crates/lilacpitch-node/tests/pinned_wire.rs
@@ -6,24 +6,28 @@
 
 use lilacpitch::interface::Outcome;
 use lilacpitch_node::config::Config;
-use lilacpitch_node::coordinator::{told, State, Target};
-use lilacpitch_node::signal::{launch, refused, stop, FromServer, Lines, CAUSE_CUT, CAUSE_NORMAL};
+use lilacpitch_node::coordinator::{parse_response, State, Target};
+use lilacpitch_node::signalling::{
+    encode_launch, encode_stop, outcome_of_stop, LineDecoder, ServerMessage, CAUSE_CUT, CAUSE_NORMAL,
+};
 
 const MS: u64 = 1_000_000;
 
-fn lines_from_server() -> Vec<FromServer> {
-    let mut lines = Lines::default();
+fn lines_from_server() -> Vec<ServerMessage> {
+    let mut lines = LineDecoder::default();
     lines.feed(include_bytes!("data/from_server.jsonl"));
-    std::iter::from_fn(|| lines.next_line().unwrap()).map(|line| FromServer::decode(&line).unwrap()).collect()
+    std::iter::from_fn(|| lines.next_line().unwrap())
+        .map(|line| ServerMessage::decode(&line).unwrap())
+        .collect()
 }
 
 #[test]
 fn writes_every_line_to_a_server_as_pinned() {
     let written = [
-        launch(0xa1, "plain", "15550001", 2_990, "c=IN IP4 10.0.0.1\r\n"),
-        launch(u64::MAX, "urgent", "", 1, "b"),
-        stop(0xa1, CAUSE_NORMAL),
-        stop(0xa2, CAUSE_CUT),
+        encode_launch(0xa1, "plain", "15550001", 2_990, "c=IN IP4 10.0.0.1\r\n"),
+        encode_launch(u64::MAX, "urgent", "", 1, "b"),
+        encode_stop(0xa1, CAUSE_NORMAL),
+        encode_stop(0xa2, CAUSE_CUT),
     ];
     let written = String::from_utf8(written.concat()).unwrap();
     assert_eq!(written, include_str!("data/to_server.jsonl"));
@@ -33,24 +37,24 @@
 fn reads_every_line_of_a_server_as_pinned() {
     let read = lines_from_server();
     assert_eq!(read.len(), 7);
-    assert_eq!(read[0], FromServer::Running { uid: 0xa1, body: "c=IN IP4 10.0.0.9\r\n".into() });
+    assert_eq!(read[0], ServerMessage::Running { uid: 0xa1, body: "c=IN IP4 10.0.0.9\r\n".into() });
     assert_stop(&read[1], 0xa2, 16, "", None, [None, None]);
     assert_stop(&read[2], 0xa3, 34, "ovl", Some(2_500_000), [Some("12"), Some("40")]);
     assert_stop(&read[3], 0xa4, 17, "busy", Some(7 * MS), [None, None]);
     assert_usage(&read[4], Some("3"));
     assert_usage(&read[5], None);
-    assert_eq!(read[6], FromServer::Other);
+    assert_eq!(read[6], ServerMessage::Other);
 }
 
 fn assert_stop(
-    message: &FromServer,
+    message: &ServerMessage,
     expected_uid: u64,
     expected_cause: u16,
     expected_note: &str,
     expected_wait_ns: Option<u64>,
     expected_load: [Option<&str>; 2],
 ) {
-    let FromServer::Stop { uid, cause, note, waited_ns, load } = message else {
+    let ServerMessage::Stop { uid, cause, note, waited_ns, load } = message else {
         panic!("not a stop: {message:?}");
     };
     assert_eq!((*uid, *cause, note.as_str()), (expected_uid, expected_cause, expected_note));
@@ -58,8 +62,8 @@
     assert_eq!(["x0", "x1"].map(|name| load.get(name)), expected_load);
 }
 
-fn assert_usage(message: &FromServer, expected: Option<&str>) {
-    let FromServer::Usage(load) = message else { panic!("not a usage: {message:?}") };
+fn assert_usage(message: &ServerMessage, expected: Option<&str>) {
+    let ServerMessage::Usage(load) = message else { panic!("not a usage: {message:?}") };
     assert_eq!(load.get("x0"), expected);
 }
 
@@ -76,13 +80,13 @@
         (41, "", Outcome::Cut),
     ];
     for (cause, note, outcome) in pinned {
-        assert_eq!(refused(cause, note, Some(MS)), outcome, "{cause} {note}");
+        assert_eq!(outcome_of_stop(cause, note, Some(MS)), outcome, "{cause} {note}");
     }
 }
 
 #[test]
 fn reads_a_coordinators_answer_as_pinned() {
-    let answer = told(include_str!("data/coordinator_answer.json")).unwrap();
+    let answer = parse_response(include_str!("data/coordinator_answer.json")).unwrap();
     assert_eq!(answer.index, 8);
     let events: Vec<_> = answer.updates.iter().map(|u| (u.index, u.endpoints.all)).collect();
     assert_eq!(events, [(7, true), (8, false)]);
@@ -101,7 +105,7 @@
         target("s-c", "10.0.0.3:5060", "", 0, State::Terminated, 0),
     ];
     assert_eq!(targets, expected);
-    let empty = told(include_str!("data/coordinator_answer_empty.json")).unwrap();
+    let empty = parse_response(include_str!("data/coordinator_answer_empty.json")).unwrap();
     assert_eq!((empty.index, empty.updates.len()), (8, 0));
 }
 
--- a/crates/lilacpitch-node/tests/soak.rs
+++ b/crates/lilacpitch-node/tests/soak.rs
@@ -1,8 +1,8 @@
 //! Thousands of replaced servers and ever new ids: each map returns to its size, the module's too.
 
-use lilacpitch_node::coordinator::told;
+use lilacpitch_node::coordinator::parse_response;
 use lilacpitch_node::core::{Effect, Input, NodeCore, UpstreamId};
-use lilacpitch_node::signal::FromServer;
+use lilacpitch_node::signalling::ServerMessage;
 use serde_json::json;
 
 mod common;
@@ -38,7 +38,8 @@
                 }
                 Effect::Disconnect(link) => self.links.retain(|l| *l != link),
                 // What is taken back had left: its server is told.
-                Effect::ToServer { link, bytes, .. } | Effect::Withdraw { link, bytes, .. } => {
+                Effect::ToServer { upstream: link, bytes, .. }
+                | Effect::CancelSetup { upstream: link, bytes, .. } => {
                     let line: serde_json::Value = serde_json::from_slice(&bytes).unwrap();
                     let uid = line["uid"].as_str().unwrap().to_string();
                     match line["kind"].as_str() {
@@ -66,7 +67,7 @@
     }
 
     fn say(&mut self, link: UpstreamId, line: serde_json::Value) {
-        self.feed(Input::UpstreamMessage(link, FromServer::decode(line.to_string().as_bytes()).unwrap()));
+        self.feed(Input::UpstreamMessage(link, ServerMessage::decode(line.to_string().as_bytes()).unwrap()));
     }
 
     fn list(&mut self, index: u64, all: bool, servers: &[(u64, &str)]) {
@@ -76,8 +77,8 @@
         });
         let targets: Vec<_> = targets.collect();
         let event = json!({"index": index, "endpoints": {"rev": index, "all": all, "targets": targets}});
-        let told = told(&json!({"index": index, "updates": [event]}).to_string()).unwrap();
-        told.updates.into_iter().for_each(|update| self.feed(Input::List(update.endpoints)));
+        let told = parse_response(&json!({"index": index, "updates": [event]}).to_string()).unwrap();
+        told.updates.into_iter().for_each(|update| self.feed(Input::EndpointsUpdated(update.endpoints)));
     }
 }
 
@@ -110,7 +111,7 @@
                 }
                 3 => {
                     soak.links.retain(|l| *l != link);
-                    soak.feed(Input::UpstreamClosed { link, written: u64::MAX, refused: false });
+                    soak.feed(Input::UpstreamClosed { upstream: link, written: u64::MAX, is_refused: false });
                 }
                 _ => {}
             }
