--- a/crates/lilacpitch-edge/tests/node/process.rs
+++ b/crates/lilacpitch-edge/tests/node/process.rs
@@ -36,7 +36,7 @@
         (server, node, caller)
     }
 
-    /// A node that writes a record of each attempt, which [`Node::last_belief`] reads.
+    /// A node that writes a record of each attempt, which [`Node::last_attempt_record`] reads.
     pub fn traced(servers: &[&Server]) -> Node {
         let node = Node::logging(Coordinator::listing(servers), 256, "lilacpitch_node=trace");
         node.wait_ready();
@@ -44,11 +44,11 @@
     }
 
     /// The last record of a call.
-    pub fn last_belief(&self, call: &str) -> String {
+    pub fn last_attempt_record(&self, call: &str) -> String {
         let until = Instant::now() + SOON;
         loop {
             let text = self.log();
-            let record = text.lines().rev().find(|l| l.contains("believed") && l.contains(call));
+            let record = text.lines().rev().find(|l| l.contains("controller state") && l.contains(call));
             if let Some(record) = record {
                 return record.to_string();
             }
--- a/crates/lilacpitch-edge/tests/node/servers.rs
+++ b/crates/lilacpitch-edge/tests/node/servers.rs
@@ -46,7 +46,7 @@
         // Logged once by kind.
         server.write(again.conn, &bytes);
         std::thread::sleep(ms(100));
-        assert_eq!(node.log().matches("can't be read").count(), 1, "{what}: {}", node.log());
+        assert_eq!(node.log().matches("malformed message").count(), 1, "{what}: {}", node.log());
     }
 }
 
@@ -175,7 +175,7 @@
 }
 
 #[test]
-fn what_the_node_believes_is_what_passed_on_the_sockets() {
+fn attempt_records_match_what_crossed_the_sockets() {
     let server = Server::start();
     let node = Node::traced(&[&server]);
     let mut caller = node.caller();
@@ -192,22 +192,22 @@
     }
     server.stop(out[0].conn, &id(1), 16, json!({}));
     assert!(caller.next().unwrap().is_bye());
-    let believed = node.last_belief(&out[2].uid());
+    let record = node.last_attempt_record(&out[2].uid());
     // 9 answers less one that ended stand; of 3 without an answer none had the time to be given up.
-    assert!(believed.contains("unanswered=3 stood=9 "), "when the last was sent: {believed}");
-    assert!(believed.contains("open=3 standing=9"), "{believed}");
-    let believed = node.last_belief("call=1 ");
-    assert!(believed.contains("unanswered=3 stood=9 ") && believed.contains("standing=8"), "{believed}");
+    assert!(record.contains("in_flight=3 succeeded=9 "), "when the last was sent: {record}");
+    assert!(record.contains("open=3 established=9"), "{record}");
+    let record = node.last_attempt_record("call=1 ");
+    assert!(record.contains("in_flight=3 succeeded=9 ") && record.contains("established=8"), "{record}");
     // A wait: what a set-up took beyond the shortest, which was next to nothing here.
     out.iter().for_each(|launch| caller.request("CANCEL", &launch.uid()));
     caller.invite(&id(50), 0, 3_000);
     let slow = server.next("launch");
     std::thread::sleep(ms(250));
     server.answer(&slow, "there");
-    let (took, believed) = (slow.at.elapsed(), node.last_belief(&format!("stands call=13 wire={}", id(50))));
-    let wait = believed.split("wait_ms=").nth(1).and_then(|rest| rest.split(' ').next()).unwrap();
+    let (took, record) = (slow.at.elapsed(), node.last_attempt_record(&format!("step=established call=13 wire_id={}", id(50))));
+    let wait = record.split("wait_ms=").nth(1).and_then(|rest| rest.split(' ').next()).unwrap();
     let wait = ms(wait.parse().unwrap());
-    assert!(wait >= ms(150) && wait <= took + ms(100), "{wait:?} of {took:?}: {believed}");
+    assert!(wait >= ms(150) && wait <= took + ms(100), "{wait:?} of {took:?}: {record}");
 }
 
 /// Makes calls, two at a time; the server answers on every connection but this one. What it was sent.
--- a/crates/lilacpitch-net/src/outbox.rs
+++ b/crates/lilacpitch-net/src/outbox.rs
@@ -1,7 +1,7 @@
-//! What waits to be written on one connection, and what may still be taken back.
+//! Messages that wait to be written on one connection, which may be cancelled until their first byte has left.
 //!
-//! The driver puts messages in and takes them back; the connection's task writes them. Both run on one thread, so
-//! that a message is in exactly one of three states at any moment: no byte of it has left, some have, all have.
+//! The owner queues and cancels messages; the connection's task writes them. Both run on one thread, so that a message
+//! is in exactly one of three states at any moment: no byte of it has left, some have, all have.
 
 use lilacpitch::interface::Nanos;
 use std::cell::{Cell, RefCell};
@@ -10,193 +10,183 @@
 use std::rc::Rc;
 use tokio::sync::Notify;
 
-/// Bytes offered to a socket at once.
+/// Bytes offered to a socket by one write.
 const WRITE_BYTES: usize = 16 * 1024;
 
 /// A message to write.
 #[derive(Debug)]
-pub struct Outgoing {
+pub struct OutgoingMessage {
     /// Its number among the connection's messages.
     pub number: u64,
     /// Its bytes.
     pub bytes: Vec<u8>,
-    /// Not to be written after this moment.
+    /// Not to be written after this moment; `None` for no limit.
     pub not_after_ns: Option<Nanos>,
 }
 
-/// How a connection is to end.
-#[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum End {
-    /// Unless something came on it that was not seen yet.
-    Evict,
-    /// Once all that came on it by now is answered, and written.
-    Finish,
-    /// Once what waits is written.
-    Done,
+/// How a connection is to be closed, from the mildest to the harshest.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+pub enum CloseMode {
+    /// Unless something has arrived on it that its owner has not seen: an eviction.
+    IfIdle,
+    /// Once all that has arrived by now is answered, and the answers are written.
+    AfterAnswers,
+    /// Once the queue is written.
+    AfterFlush,
     /// At once.
-    Now,
+    Immediately,
 }
 
-/// What became of a message that was to be taken back.
+/// What became of a message that was to be cancelled.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum TakenBack {
+pub enum CancelOutcome {
     /// No byte of it had left, and none will.
-    Whole,
+    Removed,
     /// Some bytes had left: only the connection's end keeps the rest back.
-    Begun,
-    /// All had left.
-    TooLate,
+    PartlyWritten,
+    /// It is not in the queue: all of it had left.
+    AlreadyWritten,
+}
+
+/// Size of a queue.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub struct QueueSize {
+    /// Messages, one that is partly written included.
+    pub messages: usize,
+    /// Bytes still to be written.
+    pub bytes: usize,
 }
 
 /// What one round of writing did.
 #[derive(Debug, Default)]
-pub struct Wrote {
-    /// Messages that were too old to be written, by their numbers.
-    pub too_old: Vec<u64>,
-    /// The message under way is too old, and can't be finished.
-    pub stuck: bool,
+pub struct WriteProgress {
+    /// Numbers of the messages that were dropped: their last moment had passed.
+    pub expired: Vec<u64>,
+    /// A partly written message has passed its last moment, and can't be finished.
+    pub is_expired_in_writing: bool,
 }
 
 #[derive(Debug, Default)]
 struct State {
-    queue: VecDeque<Outgoing>,
-    /// Of the first message, so many bytes have left.
+    queue: VecDeque<OutgoingMessage>,
+    /// Bytes of the first message that have left.
     begun_bytes: usize,
+    /// Bytes of all messages in the queue.
     bytes: usize,
-    /// Messages of which a byte has left, by their numbers: all below this.
+    /// One more than the number of the last message of which a byte has left.
     written: u64,
-    end: Option<End>,
+    close_mode: Option<CloseMode>,
 }
 
-/// The messages that wait for one connection, and how it is to end.
+/// The queue of one connection, shared by its owner and its task.
 #[derive(Debug, Clone, Default)]
 pub struct Outbox(Rc<Shared>);
 
 #[derive(Debug, Default)]
 struct Shared {
     state: RefCell<State>,
-    /// Messages read from the connection that the driver has not taken yet.
-    pending: Cell<usize>,
+    /// Messages read from the connection that its owner has not processed.
+    unprocessed: Cell<usize>,
     changed: Notify,
 }
 
 impl Outbox {
-    /// Puts a message at the end.
-    pub fn push(&self, message: Outgoing) {
+    /// Queues a message.
+    pub fn push(&self, message: OutgoingMessage) {
         let mut state = self.0.state.borrow_mut();
         state.bytes += message.bytes.len();
         state.queue.push_back(message);
         self.0.changed.notify_one();
     }
 
-    /// Messages and bytes that wait.
-    pub fn waiting(&self) -> (usize, usize) {
+    /// Size of the queue.
+    pub fn queued(&self) -> QueueSize {
         let state = self.0.state.borrow();
-        (state.queue.len(), state.bytes - state.begun_bytes)
+        QueueSize { messages: state.queue.len(), bytes: state.bytes - state.begun_bytes }
     }
 
-    /// Takes a message back, if no byte of it has left.
-    pub fn take_back(&self, number: u64) -> TakenBack {
+    /// Cancels a message, if no byte of it has left.
+    pub fn cancel(&self, number: u64) -> CancelOutcome {
         let mut state = self.0.state.borrow_mut();
-        let Some(at) = state.queue.iter().position(|message| message.number == number) else {
-            return TakenBack::TooLate;
+        let Some(index) = state.queue.iter().position(|message| message.number == number) else {
+            return CancelOutcome::AlreadyWritten;
         };
-        if at == 0 && state.begun_bytes > 0 {
-            return TakenBack::Begun;
+        if index == 0 && state.begun_bytes > 0 {
+            return CancelOutcome::PartlyWritten;
         }
-        if let Some(message) = state.queue.remove(at) {
+        if let Some(message) = state.queue.remove(index) {
             state.bytes -= message.bytes.len();
         }
-        TakenBack::Whole
+        CancelOutcome::Removed
     }
 
-    /// Says how the connection is to end. What was said before counts where it is harsher.
-    pub fn end(&self, end: End) {
+    /// Asks for the connection to be closed. A harsher mode that was asked for before stays.
+    pub fn close(&self, mode: CloseMode) {
         let mut state = self.0.state.borrow_mut();
-        let rank = |end| [End::Evict, End::Finish, End::Done, End::Now].iter().position(|e| *e == end);
-        if state.end.is_none_or(|before| rank(before) < rank(end)) {
-            state.end = Some(end);
-        }
+        state.close_mode = state.close_mode.max(Some(mode));
         self.0.changed.notify_one();
     }
 
-    /// How the connection is to end, if it is.
-    pub fn ending(&self) -> Option<End> {
-        self.0.state.borrow().end
+    /// How the connection is to be closed; `None` while it is to stay open.
+    pub fn close_mode(&self) -> Option<CloseMode> {
+        self.0.state.borrow().close_mode
     }
 
-    /// Takes an eviction back, if there is one, since something came on the connection.
-    pub fn keep(&self) {
+    /// Withdraws an eviction, if there is one, since something arrived on the connection.
+    pub fn cancel_eviction(&self) {
         let mut state = self.0.state.borrow_mut();
-        state.end = state.end.filter(|end| *end != End::Evict);
+        state.close_mode = state.close_mode.filter(|mode| *mode != CloseMode::IfIdle);
     }
 
-    /// Waits until something was put in, or the end was said.
+    /// Waits until a message was queued, or the close mode was set.
     pub async fn changed(&self) {
         self.0.changed.notified().await;
     }
 
-    /// A message that was read is handed to the driver.
-    pub fn handed_on(&self) {
-        self.0.pending.set(self.0.pending.get() + 1);
+    /// Counts a message that was read and goes to the owner.
+    pub fn note_received(&self) {
+        self.0.unprocessed.set(self.0.unprocessed.get() + 1);
     }
 
-    /// The driver has taken one.
-    pub fn taken(&self) {
-        self.0.pending.set(self.0.pending.get().saturating_sub(1));
-        // Only a connection that is to end waits for that.
-        if self.ending().is_some() {
+    /// Counts a message as processed by the owner.
+    pub fn note_processed(&self) {
+        self.0.unprocessed.set(self.0.unprocessed.get().saturating_sub(1));
+        // Only a connection that is being closed waits for that.
+        if self.close_mode().is_some() {
             self.0.changed.notify_one();
         }
     }
 
-    /// Messages read from the connection that the driver has not taken yet.
-    pub fn pending(&self) -> usize {
-        self.0.pending.get()
+    /// Messages read from the connection that the owner has not processed.
+    pub fn unprocessed(&self) -> usize {
+        self.0.unprocessed.get()
     }
 
-    /// Writes what the socket takes, leaving out what has become too old.
-    pub fn write(&self, now: Nanos, write: impl FnOnce(&[u8]) -> io::Result<usize>) -> io::Result<Wrote> {
+    /// Writes what the socket takes, dropping messages whose last moment has passed.
+    ///
+    /// # Errors
+    /// What `write` returns, but for `WouldBlock`.
+    pub fn write(
+        &self,
+        now: Nanos,
+        write: impl FnOnce(&[u8]) -> io::Result<usize>,
+    ) -> io::Result<WriteProgress> {
         let mut state = self.0.state.borrow_mut();
-        let mut wrote = Wrote::default();
-        let old = |message: &Outgoing| message.not_after_ns.is_some_and(|at| now > at);
-        if state.begun_bytes > 0 && state.queue.front().is_some_and(old) {
-            wrote.stuck = true;
-            return Ok(wrote);
-        }
-        state.queue.retain(|message| {
-            let out = old(message);
-            wrote.too_old.extend(out.then_some(message.number));
-            !out
-        });
-        state.bytes = state.queue.iter().map(|message| message.bytes.len()).sum();
-        let mut staged = Vec::new();
-        for message in &state.queue {
-            staged.extend_from_slice(&message.bytes);
-            if staged.len() >= WRITE_BYTES + state.begun_bytes {
-                break;
-            }
+        let is_expired = |message: &OutgoingMessage| message.not_after_ns.is_some_and(|at| now > at);
+        if state.begun_bytes > 0 && state.queue.front().is_some_and(is_expired) {
+            return Ok(WriteProgress { expired: Vec::new(), is_expired_in_writing: true });
         }
+        let expired = state.remove_expired(is_expired);
+        let staged = state.stage();
         if staged.len() > state.begun_bytes {
-            let mut left = match write(&staged[state.begun_bytes..]) {
+            let count = match write(&staged[state.begun_bytes..]) {
                 Ok(count) => count,
                 Err(e) if e.kind() == io::ErrorKind::WouldBlock => 0,
                 Err(e) => return Err(e),
             };
-            while left > 0 {
-                let Some(first) = state.queue.front() else { break };
-                let (number, rest) = (first.number, first.bytes.len() - state.begun_bytes);
-                state.written = number + 1;
-                if left < rest {
-                    state.begun_bytes += left;
-                    break;
-                }
-                left -= rest;
-                state.begun_bytes = 0;
-                state.bytes -= state.queue.pop_front().map_or(0, |message| message.bytes.len());
-            }
+            state.note_written(count);
         }
-        Ok(wrote)
+        Ok(WriteProgress { expired, is_expired_in_writing: false })
     }
 
     /// Of the messages given, so many may have left, at least in part.
@@ -204,24 +194,67 @@
         self.0.state.borrow().written
     }
 
-    /// Takes out what may still go out at the end: the rest of what has begun, and what has no last moment. A set-up
-    /// never does, and behind one that was half written nothing can.
-    pub fn last_bytes(&self) -> Vec<u8> {
+    /// Empties the queue and returns what may still go out as the connection closes: the rest of a partly written
+    /// message, and messages without a last moment. One with a last moment never does, and nothing can follow one
+    /// that is partly written.
+    pub fn take_final_bytes(&self) -> Vec<u8> {
         let mut state = self.0.state.borrow_mut();
-        let begun = std::mem::take(&mut state.begun_bytes);
+        let begun_bytes = std::mem::take(&mut state.begun_bytes);
         let queue = std::mem::take(&mut state.queue);
         state.bytes = 0;
-        if begun > 0 && queue.front().is_some_and(|first| first.not_after_ns.is_some()) {
+        if begun_bytes > 0 && queue.front().is_some_and(|first| first.not_after_ns.is_some()) {
             return Vec::new();
         }
-        let last = queue.into_iter().filter(|message| message.not_after_ns.is_none());
-        last.flat_map(|message| message.bytes).skip(begun).collect()
+        let unlimited = queue.into_iter().filter(|message| message.not_after_ns.is_none());
+        unlimited.flat_map(|message| message.bytes).skip(begun_bytes).collect()
     }
 
-    /// Takes out all that has not wholly left.
-    pub fn unwritten(&self) -> Vec<Vec<u8>> {
+    /// Empties the queue and returns the messages that have not completely left.
+    pub fn take_unwritten(&self) -> Vec<Vec<u8>> {
         let mut state = self.0.state.borrow_mut();
         (state.begun_bytes, state.bytes) = (0, 0);
         std::mem::take(&mut state.queue).into_iter().map(|message| message.bytes).collect()
     }
 }
+
+impl State {
+    /// Drops expired messages; their numbers.
+    fn remove_expired(&mut self, is_expired: impl Fn(&OutgoingMessage) -> bool) -> Vec<u64> {
+        let mut expired = Vec::new();
+        self.queue.retain(|message| {
+            let is_dropped = is_expired(message);
+            expired.extend(is_dropped.then_some(message.number));
+            !is_dropped
+        });
+        self.bytes = self.queue.iter().map(|message| message.bytes.len()).sum();
+        expired
+    }
+
+    /// The front of the queue as one buffer, of [`WRITE_BYTES`] and a message at most.
+    fn stage(&self) -> Vec<u8> {
+        let mut staged = Vec::new();
+        for message in &self.queue {
+            staged.extend_from_slice(&message.bytes);
+            if staged.len() >= WRITE_BYTES + self.begun_bytes {
+                break;
+            }
+        }
+        staged
+    }
+
+    /// Removes what `count` written bytes complete.
+    fn note_written(&mut self, mut count: usize) {
+        while count > 0 {
+            let Some(first) = self.queue.front() else { break };
+            let (number, remaining) = (first.number, first.bytes.len() - self.begun_bytes);
+            self.written = number + 1;
+            if count < remaining {
+                self.begun_bytes += count;
+                break;
+            }
+            count -= remaining;
+            self.begun_bytes = 0;
+            self.bytes -= self.queue.pop_front().map_or(0, |message| message.bytes.len());
+        }
+    }
+}
--- a/crates/lilacpitch-node/src/core/active_calls.rs
+++ b/crates/lilacpitch-node/src/core/active_calls.rs
@@ -1,59 +1,61 @@
-//! Calls that stand: adopted, released by either side, ended with their server. They outlive both connections.
+//! Established calls: adopted, released by either side, ended with their server. They outlive both connections.
 
-use super::calls::{Attempt, AttemptState, Call};
+use super::health_checks::UNREACHABLE_NS;
+use super::records::{Attempt, AttemptState, Call, PendingRelease};
 use super::{CallerId, Effect, NodeCore};
 use crate::signalling::{self, CAUSE_CUT, CAUSE_NORMAL};
-use lilacpitch::interface::{CallId, LoadReport, Nanos, Outcome, ServerId};
+use lilacpitch::interface::{CallId, LoadReport, Outcome, ServerId};
 use lilacpitch_sip::Request;
 
-/// Releases kept for a connection that may take them; the oldest go first.
-const MOST_UNSENT: usize = 4096;
+/// Releases to callers that are kept until a connection can carry them; beyond, the oldest are dropped.
+const MAX_UNSENT_RELEASES: usize = 4096;
+/// Stands for the connection of an adopted call's set-up, which this node never had.
+const NO_UPSTREAM: super::UpstreamId = 0;
 
 impl NodeCore {
-    /// A call that stands at a server already, by its caller's word: no answer is owed.
-    pub(super) fn adopt(
+    /// Adopts a call that its caller says is established at a server already: no response is owed.
+    pub(super) fn adopt_call(
         &mut self,
         caller: CallerId,
-        wire: u64,
+        wire_id: u64,
         class: usize,
         server: Option<ServerId>,
         effects: &mut Vec<Effect>,
-    ) -> Result<(), (u16, &'static str)> {
-        self.callers.entry(caller).and_modify(|c| c.proven = true);
-        self.tell_unsent(caller, effects);
-        if self.by_wire.contains_key(&wire) {
-            return Ok(());
+    ) {
+        self.callers.entry(caller).and_modify(|caller| caller.is_verified = true);
+        self.flush_unsent_releases(caller, effects);
+        if self.calls_by_wire_id.contains_key(&wire_id) {
+            return;
         }
         let Some(server) = server else {
-            // A server that nobody listed, or that is long gone: what stood there is over.
-            self.tell_release(caller, wire, CAUSE_CUT, effects);
-            return Ok(());
+            // A server that was never listed, or was removed: the call is over.
+            self.release_to_caller(caller, wire_id, CAUSE_CUT, effects);
+            return;
         };
         let id = self.next_call;
         self.next_call += 1;
         self.counters.adopted += 1;
-        let state = AttemptState::Standing(0);
-        let attempt = Attempt { server, hop: 0, state, until_ns: 0, sent_ns: 0 };
+        let state = AttemptState::Established(NO_UPSTREAM);
+        let attempt = Attempt { server, number: 0, state, deadline_ns: 0, sent_ns: 0 };
         let call = Call {
             caller,
-            wire,
+            wire_id,
             class,
-            set_up: None,
+            setup: None,
             attempt: Some(attempt),
-            hops: 1,
-            used: Vec::new(),
-            stood_ns: self.now,
+            attempt_count: 1,
+            used_upstreams: Vec::new(),
+            established_ns: self.now,
         };
         self.calls.insert(id, call);
-        self.by_wire.insert(wire, id);
-        self.servers.entry(server).and_modify(|s| _ = s.standing.insert(id));
-        // The server says on a new connection what is over; with none open it could not say anything.
-        self.keep_reachable(server, effects);
-        Ok(())
+        self.calls_by_wire_id.insert(wire_id, id);
+        self.servers.entry(server).and_modify(|server| _ = server.active_calls.insert(id));
+        // The server reports on a new connection what is over; with none open it could not.
+        self.ensure_connection(server, effects);
     }
 
-    /// The server's word that a call is over.
-    pub(super) fn released_by_server(
+    /// The server ended an established call.
+    pub(super) fn end_call_by_server(
         &mut self,
         id: CallId,
         cause: u16,
@@ -61,115 +63,126 @@
         effects: &mut Vec<Effect>,
     ) {
         let outcome = if cause == CAUSE_NORMAL { Outcome::Completed } else { Outcome::Cut };
-        let Some((call, attempt)) = self.take_standing(id) else { return };
-        self.tell_release(call.caller, call.wire, cause, effects);
-        self.settled(id, attempt.hop, attempt.server, outcome, true, report);
+        let Some((call, attempt)) = self.remove_active_call(id) else { return };
+        self.release_to_caller(call.caller, call.wire_id, cause, effects);
+        self.record_outcome(attempt.id(id), outcome, true, report);
     }
 
-    /// The server's word that a call has come to its end, ahead of its answer: it stood there and is over, so that
-    /// its caller is told, and it is not set up again.
-    pub(super) fn ended_unanswered(&mut self, id: CallId, report: LoadReport, effects: &mut Vec<Effect>) {
-        let Some(attempt) = self.take_attempt(id) else { return };
-        self.settled(id, attempt.hop, attempt.server, Outcome::Completed, true, report);
-        self.fail(id, effects);
+    /// The server ended a call ahead of its answer: it was established there and is over, so its caller gets a failure
+    /// and it is not retried.
+    pub(super) fn end_unanswered_call(&mut self, id: CallId, report: LoadReport, effects: &mut Vec<Effect>) {
+        let Some(attempt) = self.remove_attempt(id) else { return };
+        self.record_outcome(attempt.id(id), Outcome::Completed, true, report);
+        self.fail_call(id, effects);
     }
 
-    /// The caller's word that a call is over.
-    pub(super) fn released_by_caller(&mut self, id: CallId, effects: &mut Vec<Effect>) {
-        let Some((call, attempt)) = self.take_standing(id) else { return };
-        self.release_at_server(attempt, call.wire, effects);
-        self.settled(id, attempt.hop, attempt.server, Outcome::Completed, true, LoadReport::default());
+    /// The caller ended an established call.
+    pub(super) fn end_call_by_caller(&mut self, id: CallId, effects: &mut Vec<Effect>) {
+        let Some((call, attempt)) = self.remove_active_call(id) else { return };
+        self.release_at_server(attempt, call.wire_id, effects);
+        self.record_outcome(attempt.id(id), Outcome::Completed, true, LoadReport::default());
     }
 
-    /// The server is not there any more, and what stood there with it.
-    pub(super) fn orphaned(&mut self, id: CallId, why: &str, effects: &mut Vec<Effect>) {
-        self.counters.orphans += 1;
-        tracing::trace!(call = id, why, "orphan");
-        self.released_by_server(id, CAUSE_CUT, LoadReport::default(), effects);
+    /// A server is gone: all calls established there are released.
+    pub(super) fn release_orphaned_calls(
+        &mut self,
+        server: ServerId,
+        reason: &str,
+        effects: &mut Vec<Effect>,
+    ) {
+        let Some(record) = self.servers.get(&server) else { return };
+        let calls: Vec<_> = record.active_calls.iter().copied().collect();
+        calls.into_iter().for_each(|call| self.release_orphaned_call(call, reason, effects));
     }
 
-    fn take_standing(&mut self, id: CallId) -> Option<(Call, Attempt)> {
-        self.calls.get(&id).filter(|call| call.stands())?;
-        let attempt = self.take_attempt(id)?;
-        Some((self.take_row(id)?, attempt))
+    /// The server of an established call is gone: its caller is told.
+    pub(super) fn release_orphaned_call(&mut self, id: CallId, reason: &str, effects: &mut Vec<Effect>) {
+        self.counters.orphaned += 1;
+        tracing::trace!(call = id, reason, "call orphaned");
+        self.end_call_by_server(id, CAUSE_CUT, LoadReport::default(), effects);
     }
 
-    /// Releases a call at its server: by the connection of its set-up, else by another.
-    fn release_at_server(&mut self, attempt: Attempt, wire: u64, effects: &mut Vec<Effect>) {
+    fn remove_active_call(&mut self, id: CallId) -> Option<(Call, Attempt)> {
+        self.calls.get(&id).filter(|call| call.is_established())?;
+        let attempt = self.remove_attempt(id)?;
+        Some((self.remove_call(id)?, attempt))
+    }
+
+    /// Releases a call at its server: on the connection of its set-up, else on another.
+    fn release_at_server(&mut self, attempt: Attempt, wire_id: u64, effects: &mut Vec<Effect>) {
         let own = match attempt.state {
-            AttemptState::Standing(link) => self.upstreams.get(&link).filter(|l| l.up).map(|_| link),
+            AttemptState::Established(upstream) => Some(upstream).filter(|id| self.is_upstream_up(*id)),
             _ => None,
         };
-        let bytes = signalling::encode_stop(wire, CAUSE_NORMAL);
-        match own.or_else(|| self.link_for(attempt.server, &[], effects)) {
-            Some(link) if self.upstreams.get(&link).is_some_and(|l| l.up) => {
-                self.transmit(link, bytes, None, effects);
+        let bytes = signalling::encode_stop(wire_id, CAUSE_NORMAL);
+        match own.or_else(|| self.select_upstream(attempt.server, &[], effects)) {
+            Some(upstream) if self.is_upstream_up(upstream) => {
+                self.transmit(upstream, bytes, None, effects);
             }
-            Some(link) => {
-                let until = self.now + super::upstreams::UNREACHED_NS;
-                // Its server knows nothing of its end yet.
-                self.resting.insert(wire, until);
-                self.upstreams.entry(link).and_modify(|l| l.releases.push((until, bytes)));
+            Some(upstream) => {
+                let until_ns = self.now + UNREACHABLE_NS;
+                // Its server does not know of its end yet.
+                self.retired_wire_ids.insert(wire_id, until_ns);
+                let release = PendingRelease { until_ns, bytes };
+                self.upstreams.entry(upstream).and_modify(|upstream| upstream.releases.push(release));
             }
             None => {}
         }
     }
 
-    /// Releases whose connection never came up go by the next, for as long as the server may still be there.
-    pub(super) fn release_again(
+    /// Moves releases whose connection never came up to the next, while the server may still be there.
+    pub(super) fn requeue_releases(
         &mut self,
         server: ServerId,
-        mut releases: Vec<(Nanos, Vec<u8>)>,
+        mut releases: Vec<PendingRelease>,
         effects: &mut Vec<Effect>,
     ) {
-        releases.retain(|(until, _)| self.now < *until);
+        releases.retain(|release| self.now < release.until_ns);
         if releases.is_empty() {
             return;
         }
-        let Some(link) = self.link_for(server, &[], effects) else { return };
-        if self.upstreams.get(&link).is_some_and(|l| l.up) {
-            releases.into_iter().for_each(|(_, bytes)| _ = self.transmit(link, bytes, None, effects));
+        let Some(id) = self.select_upstream(server, &[], effects) else { return };
+        if self.is_upstream_up(id) {
+            releases.into_iter().for_each(|release| _ = self.transmit(id, release.bytes, None, effects));
         } else {
-            self.upstreams.entry(link).and_modify(|l| l.releases.append(&mut releases));
+            self.upstreams.entry(id).and_modify(|upstream| upstream.releases.append(&mut releases));
         }
     }
 
-    /// A message that a caller's connection did not take: a release goes to another.
-    pub(super) fn on_not_taken(&mut self, bytes: Vec<u8>, effects: &mut Vec<Effect>) {
+    /// A message that a caller's connection did not carry: a release goes to another caller's.
+    pub(super) fn redeliver_release(&mut self, bytes: Vec<u8>, effects: &mut Vec<Effect>) {
         if bytes.starts_with(b"BYE ") {
             self.send_release(None, bytes, effects);
         }
     }
 
     /// Tells a caller that its call is over: on the set-up's connection, else on another, else on the next.
-    pub(super) fn tell_release(
-        &mut self,
-        caller: CallerId,
-        wire: u64,
-        cause: u16,
-        effects: &mut Vec<Effect>,
-    ) {
-        self.send_release(Some(caller), Request::bye(&format!("{wire:016x}"), cause), effects);
+    fn release_to_caller(&mut self, caller: CallerId, wire_id: u64, cause: u16, effects: &mut Vec<Effect>) {
+        self.send_release(Some(caller), Request::bye(&format!("{wire_id:016x}"), cause), effects);
     }
 
     fn send_release(&mut self, caller: Option<CallerId>, bytes: Vec<u8>, effects: &mut Vec<Effect>) {
-        let here = |id: &CallerId| self.callers.get(id).is_some_and(|caller| !caller.gone);
-        let other = || self.callers.iter().rev().find(|(_, c)| c.proven && !c.gone).map(|(id, _)| *id);
-        match caller.filter(here).or_else(other) {
+        let is_connected = |id: &CallerId| self.callers.get(id).is_some_and(|caller| !caller.is_disconnected);
+        let newest_verified = || {
+            let mut newest_first = self.callers.iter().rev();
+            let found = newest_first.find(|(_, caller)| caller.is_verified && !caller.is_disconnected);
+            found.map(|(id, _)| *id)
+        };
+        match caller.filter(is_connected).or_else(newest_verified) {
             Some(caller) => effects.push(Effect::ToCaller(caller, bytes)),
             None => {
-                self.unsent.push_back(bytes);
-                if self.unsent.len() > MOST_UNSENT {
-                    self.unsent.pop_front();
+                self.unsent_releases.push_back(bytes);
+                if self.unsent_releases.len() > MAX_UNSENT_RELEASES {
+                    self.unsent_releases.pop_front();
                 }
             }
         }
     }
 
-    /// A caller has proven to be one: it takes the releases that had no connection.
-    pub(super) fn tell_unsent(&mut self, caller: CallerId, effects: &mut Vec<Effect>) {
-        if self.callers.get(&caller).is_some_and(|caller| !caller.gone) {
-            effects.extend(self.unsent.drain(..).map(|bytes| Effect::ToCaller(caller, bytes)));
+    /// A caller is verified: it gets the releases that no connection could carry.
+    pub(super) fn flush_unsent_releases(&mut self, caller: CallerId, effects: &mut Vec<Effect>) {
+        if self.callers.get(&caller).is_some_and(|caller| !caller.is_disconnected) {
+            effects.extend(self.unsent_releases.drain(..).map(|bytes| Effect::ToCaller(caller, bytes)));
         }
     }
 }
--- /dev/null
+++ b/crates/lilacpitch-node/src/core/attempts.rs
@@ -0,0 +1,158 @@
+//! Attempts: forwarded to a server, answered, cancelled or timed out, and completed once with an outcome.
+
+use super::counters::outcome_name;
+use super::records::{Attempt, AttemptState};
+use super::timers::Timer;
+use super::{Effect, NodeCore};
+use crate::signalling;
+use lilacpitch::interface::{CallId, LoadReport, Nanos, Outcome, ServerId};
+use lilacpitch::Event;
+
+/// Cancelled set-ups are remembered for so long, to recognize their late answers: longer than any that was seen.
+const CANCELLED_RETENTION_NS: Nanos = 30_000_000_000;
+
+/// Names an attempt to the controller.
+#[derive(Debug, Clone, Copy)]
+pub(super) struct AttemptId {
+    pub call: CallId,
+    /// Its number among the call's attempts, from 0.
+    pub number: u32,
+    pub server: ServerId,
+}
+
+impl Attempt {
+    /// Names this attempt of a call.
+    pub fn id(&self, call: CallId) -> AttemptId {
+        AttemptId { call, number: self.number, server: self.server }
+    }
+}
+
+impl NodeCore {
+    /// Carries out the controller's action: sends a call's set-up to a server.
+    pub(super) fn forward_setup(
+        &mut self,
+        id: CallId,
+        server: ServerId,
+        timeout_ns: Nanos,
+        effects: &mut Vec<Effect>,
+    ) {
+        let deadline_ns = self.now + timeout_ns;
+        self.counters.attempts += 1;
+        let Some(call) = self.calls.get_mut(&id) else {
+            // Its caller has disconnected, and the controller is yet to hear of it.
+            let attempt = AttemptId { call: id, number: 0, server };
+            self.record_outcome(attempt, Outcome::NotSent, true, LoadReport::default());
+            return;
+        };
+        let number = call.attempt_count;
+        call.attempt_count += 1;
+        let used = call.used_upstreams.clone();
+        let Some(upstream) = self.select_upstream(server, &used, effects) else {
+            let attempt = AttemptId { call: id, number, server };
+            self.record_outcome(attempt, Outcome::Unreachable, false, LoadReport::default());
+            return;
+        };
+        let Some(call) = self.calls.get_mut(&id) else { return };
+        let state = AttemptState::Queued(upstream);
+        call.attempt = Some(Attempt { server, number, state, deadline_ns, sent_ns: 0 });
+        call.used_upstreams.push(upstream);
+        self.upstreams.entry(upstream).and_modify(|upstream| _ = upstream.setups.insert(id));
+        self.timers.set(Timer::AttemptTimeout(id), deadline_ns);
+        tracing::trace!(call = id, attempt = number, server, upstream, "attempt queued");
+        self.transmit_setup(id, effects);
+    }
+
+    /// Gives a queued set-up to its connection, if that is up.
+    pub(super) fn transmit_setup(&mut self, id: CallId, effects: &mut Vec<Effect>) {
+        let Some(call) = self.calls.get(&id) else { return };
+        let (Some(attempt), Some(setup)) = (call.attempt, &call.setup) else { return };
+        let AttemptState::Queued(upstream) = attempt.state else { return };
+        let left_ms = attempt.deadline_ns.saturating_sub(self.now) / 1_000_000;
+        let class = self.site.class_names.get(call.class).map_or("", String::as_str);
+        let bytes = signalling::encode_launch(call.wire_id, class, &setup.number, left_ms, &setup.body);
+        // None leaves past the grace after a drain, though it was queued just before.
+        let not_after_ns = Some(self.now + self.site.drain_grace_ns / 2);
+        let Some(message) = self.transmit(upstream, bytes, not_after_ns, effects) else { return };
+        let now = self.now;
+        if let Some(attempt) = self.calls.get_mut(&id).and_then(|call| call.attempt.as_mut()) {
+            (attempt.state, attempt.sent_ns) = (AttemptState::InFlight(upstream, message), now);
+        }
+    }
+
+    /// Carries out the controller's action: cancels an attempt, unless it has been answered meanwhile.
+    pub(super) fn cancel_attempt(&mut self, id: CallId, number: u32, effects: &mut Vec<Effect>) {
+        let unanswered = self.calls.get(&id).filter(|call| !call.is_established());
+        if unanswered.and_then(|call| call.attempt).is_some_and(|attempt| attempt.number == number) {
+            self.abort_attempt(id, Outcome::Cancelled, effects);
+        }
+    }
+
+    /// Ends an attempt without an answer by this node's own decision: its server is told.
+    pub(super) fn abort_attempt(&mut self, id: CallId, outcome: Outcome, effects: &mut Vec<Effect>) {
+        let Some(call) = self.calls.get(&id).filter(|call| !call.is_established()) else { return };
+        let attempt = call.attempt;
+        self.cancel_at_server(id, effects);
+        if let Some(Attempt { state: AttemptState::InFlight(upstream, _), sent_ns, .. }) = attempt {
+            self.note_unanswered(upstream, sent_ns, effects);
+        }
+        self.complete_attempt(id, outcome, LoadReport::default());
+    }
+
+    /// Tells the server of an attempt in flight that it is cancelled.
+    pub(super) fn cancel_at_server(&mut self, id: CallId, effects: &mut Vec<Effect>) {
+        let Some(call) = self.calls.get(&id) else { return };
+        let (wire_id, attempt) = (call.wire_id, call.attempt);
+        let Some(AttemptState::InFlight(upstream, message)) = attempt.map(|attempt| attempt.state) else {
+            return;
+        };
+        let until_ns = self.now + CANCELLED_RETENTION_NS;
+        let Some(connection) = self.upstreams.get_mut(&upstream) else { return };
+        connection.cancelled.insert(wire_id, until_ns);
+        let stop_message = connection.next_message;
+        connection.next_message += 1;
+        let bytes = signalling::encode_stop(wire_id, signalling::CAUSE_NORMAL);
+        effects.push(Effect::CancelSetup { upstream, message, stop_message, bytes });
+    }
+
+    /// Completes an attempt that did not succeed; the controller may retry the call.
+    pub(super) fn complete_attempt(&mut self, id: CallId, outcome: Outcome, report: LoadReport) {
+        if let Some(attempt) = self.remove_attempt(id) {
+            self.record_outcome(attempt.id(id), outcome, false, report);
+        }
+    }
+
+    /// Removes a call's attempt from the tables.
+    pub(super) fn remove_attempt(&mut self, id: CallId) -> Option<Attempt> {
+        let attempt = self.calls.get_mut(&id)?.attempt.take()?;
+        self.timers.clear(Timer::AttemptTimeout(id));
+        match attempt.state {
+            AttemptState::Queued(upstream) | AttemptState::InFlight(upstream, _) => {
+                self.upstreams.entry(upstream).and_modify(|upstream| _ = upstream.setups.remove(&id));
+            }
+            AttemptState::Established(_) => {
+                self.servers.entry(attempt.server).and_modify(|server| _ = server.active_calls.remove(&id));
+            }
+        }
+        Some(attempt)
+    }
+
+    /// Counts an outcome and tells the controller. `is_final`: the call is over with it.
+    pub(super) fn record_outcome(
+        &mut self,
+        attempt: AttemptId,
+        outcome: Outcome,
+        is_final: bool,
+        report: LoadReport,
+    ) {
+        *self.counters.outcomes.entry(outcome_name(outcome)).or_default() += 1;
+        let AttemptId { call, number, server } = attempt;
+        self.pending_events.push_back(Event::AttemptCompleted {
+            call,
+            attempt: number,
+            server,
+            outcome,
+            is_final,
+            report,
+        });
+    }
+}
--- a/crates/lilacpitch-node/src/core/endpoint_list.rs
+++ b/crates/lilacpitch-node/src/core/endpoint_list.rs
@@ -1,150 +1,177 @@
-//! Following the coordinator: ids to numbers, what has changed, and what that ends.
+//! The endpoint list: the coordinator's servers as the controller's endpoints, and what a change of them ends.
 
-use super::calls::AttemptState;
-use super::upstreams::Server;
+use super::records::{AttemptState, Server};
 use super::{Effect, NodeCore};
 use crate::coordinator::{Endpoints, State, Target};
-use lilacpitch::interface::{Availability, Endpoint, EndpointUpdate, LoadReport, Outcome, ServerId};
+use lilacpitch::interface::{
+    Availability, CallId, Endpoint, EndpointUpdate, LoadReport, Nanos, Outcome, ServerId,
+};
 use lilacpitch::Event;
 use std::collections::BTreeSet;
 
 impl NodeCore {
-    pub(super) fn on_list(&mut self, endpoints: &Endpoints, effects: &mut Vec<Effect>) {
+    /// Applies an event of the coordinator.
+    pub(super) fn update_endpoints(&mut self, endpoints: &Endpoints, effects: &mut Vec<Effect>) {
         let mut listed = BTreeSet::new();
         let mut entries = Vec::new();
         for target in &endpoints.targets {
-            // One that is gone and that nobody knew leaves nothing to do.
-            if target.state == State::Terminated && !self.by_uid.contains_key(&target.uid) {
+            // A removed server that was never known needs nothing.
+            if target.state == State::Terminated && !self.servers_by_uid.contains_key(&target.uid) {
                 continue;
             }
-            let (id, entry) = self.listed(target, effects);
-            listed.insert(id);
-            entries.push(entry);
+            let endpoint = self.update_server(target, effects);
+            listed.insert(endpoint.server);
+            entries.push(endpoint);
         }
         if endpoints.all {
-            for (_, row) in self.servers.iter_mut().filter(|(id, _)| !listed.contains(id)) {
-                row.entry.availability = Availability::Removed;
+            for (_, server) in self.servers.iter_mut().filter(|(id, _)| !listed.contains(id)) {
+                server.endpoint.availability = Availability::Removed;
             }
-            self.listed = true;
+            self.has_endpoint_list = true;
         }
-        tracing::info!(servers = entries.len(), whole = endpoints.all, "list news");
-        self.follow.push_back(Event::EndpointsUpdated(match endpoints.all {
+        tracing::info!(servers = entries.len(), is_full = endpoints.all, "endpoint list updated");
+        self.pending_events.push_back(Event::EndpointsUpdated(match endpoints.all {
             true => EndpointUpdate::Full(entries),
             false => EndpointUpdate::Changes(entries),
         }));
-        // The module hears of the list before it hears of what the list ends.
-        self.run_follow(effects);
+        // The controller learns of the list before it learns of what the list ends.
+        self.run_pending_events(effects);
         let ids: Vec<ServerId> = self.servers.keys().copied().collect();
         for id in ids {
-            if self.servers.get(&id).is_some_and(|s| s.entry.availability != Availability::Ready) {
-                self.withdraw_queued(id);
+            if self.servers.get(&id).is_some_and(|server| !is_ready(server)) {
+                self.drop_queued_setups(id);
             }
-            self.forget_gone(id, effects);
+            self.forget_removed_server(id, effects);
         }
     }
 
-    /// Enters a listed server, or what has changed of it.
-    fn listed(&mut self, target: &Target, effects: &mut Vec<Effect>) -> (ServerId, Endpoint) {
-        let id = self.by_uid.get(&target.uid).copied().unwrap_or(self.next_server);
+    /// Enters a listed server, or what has changed of it; as the controller is to know it.
+    fn update_server(&mut self, target: &Target, effects: &mut Vec<Effect>) -> Endpoint {
+        let id = self.servers_by_uid.get(&target.uid).copied().unwrap_or(self.next_server);
+        let endpoint = self.endpoint(id, target);
+        let Some(server) = self.servers.get_mut(&id) else {
+            self.add_server(target, endpoint);
+            return endpoint;
+        };
+        let is_restarted = server.boot_ms != target.boot_ms;
+        let is_moved = server.address != target.endpoint;
+        server.endpoint = endpoint;
+        server.boot_ms = target.boot_ms;
+        server.address = target.endpoint;
+        if is_restarted || is_moved {
+            self.release_calls_of_former_process(id, endpoint.up_since_ns, is_moved, effects);
+            self.drop_queued_setups(id);
+        }
+        if is_moved {
+            self.close_former_connections(id, effects);
+        }
+        endpoint
+    }
+
+    /// A listed server as the controller knows it.
+    fn endpoint(&self, id: ServerId, target: &Target) -> Endpoint {
         let zone = self.site.zone_names.iter().position(|name| *name == target.az).unwrap_or(0);
         let availability = match target.state {
             State::InService => Availability::Ready,
             State::Terminating => Availability::Draining,
             State::Terminated => Availability::Removed,
         };
-        // A start that the list puts into the future is one of just now: its clock or ours is off.
-        let row = self.servers.get(&id);
-        let up_since_ns = match row.filter(|row| row.boot_ms == target.boot_ms) {
-            Some(row) => row.entry.up_since_ns,
+        let known = self.servers.get(&id).filter(|server| server.boot_ms == target.boot_ms);
+        let up_since_ns = match known {
+            Some(server) => server.endpoint.up_since_ns,
+            // A start in the future is one of just now: the coordinator's clock or this node's is off.
             None => target.boot_ms.saturating_mul(1_000_000).min(self.now),
         };
-        let entry =
-            Endpoint { server: id, number: target.pod_group, zone: zone as u32, availability, up_since_ns };
-        let Some(row) = self.servers.get_mut(&id) else {
-            self.next_server += 1;
-            self.by_uid.insert(target.uid.clone(), id);
-            let row = Server {
-                uid: target.uid.clone(),
-                address: target.endpoint,
-                entry,
-                boot_ms: target.boot_ms,
-                links: Vec::new(),
-                standing: BTreeSet::new(),
-                heard_ns: self.now,
-                unreached_ns: None,
-            };
-            self.servers.insert(id, row);
-            return (id, entry);
+        Endpoint { server: id, number: target.pod_group, zone: zone as u32, availability, up_since_ns }
+    }
+
+    fn add_server(&mut self, target: &Target, endpoint: Endpoint) {
+        self.next_server += 1;
+        self.servers_by_uid.insert(target.uid.clone(), endpoint.server);
+        let server = Server {
+            uid: target.uid.clone(),
+            address: target.endpoint,
+            endpoint,
+            boot_ms: target.boot_ms,
+            upstreams: Vec::new(),
+            active_calls: BTreeSet::new(),
+            last_seen_ns: self.now,
+            unreachable_since_ns: None,
+        };
+        self.servers.insert(endpoint.server, server);
+    }
+
+    /// Another process has a server's place: calls that were established at the former one are over.
+    fn release_calls_of_former_process(
+        &mut self,
+        id: ServerId,
+        up_since_ns: Nanos,
+        is_moved: bool,
+        effects: &mut Vec<Effect>,
+    ) {
+        let Some(server) = self.servers.get(&id) else { return };
+        let is_former = |call: &CallId| {
+            self.calls.get(call).is_some_and(|call| call.established_ns < up_since_ns || is_moved)
         };
-        let anew = row.boot_ms != target.boot_ms;
-        let moved = row.address != target.endpoint;
-        row.entry = entry;
-        row.boot_ms = target.boot_ms;
-        row.address = target.endpoint;
-        if anew || moved {
-            // Another process: what stood at the former one before it started is over.
-            let before: Vec<_> = row.standing.iter().copied().collect();
-            let before = before
+        let former: Vec<_> = server.active_calls.iter().copied().filter(is_former).collect();
+        former.into_iter().for_each(|call| self.release_orphaned_call(call, "server restarted", effects));
+    }
+
+    /// A server has another address: connections to the former one are closed, and their set-ups cut.
+    fn close_former_connections(&mut self, id: ServerId, effects: &mut Vec<Effect>) {
+        let upstreams = self.servers.get(&id).map_or(Vec::new(), |server| server.upstreams.clone());
+        for upstream in upstreams {
+            let setups = self.upstreams.get(&upstream).map_or(BTreeSet::new(), |up| up.setups.clone());
+            self.close_upstream(upstream, effects);
+            setups
                 .into_iter()
-                .filter(|call| self.calls.get(call).is_some_and(|call| call.stood_ns < up_since_ns || moved));
-            let before: Vec<_> = before.collect();
-            before.into_iter().for_each(|call| self.orphaned(call, "started anew", effects));
-            self.withdraw_queued(id);
+                .for_each(|call| self.complete_attempt(call, Outcome::Cut, LoadReport::default()));
         }
-        if moved {
-            let links = self.servers.get(&id).map_or(Vec::new(), |row| row.links.clone());
-            for link in links {
-                let set_ups = self.upstreams.get(&link).map_or(BTreeSet::new(), |l| l.set_ups.clone());
-                self.drop_link(link, effects);
-                set_ups
-                    .into_iter()
-                    .for_each(|call| self.end_attempt(call, Outcome::Cut, LoadReport::default()));
-            }
-        }
-        (id, entry)
     }
 
-    /// Set-ups that wait for a connection to a server that now drains, or has started anew, are not sent after
-    /// all: what the list tells binds what is queued as well as what the module decides.
-    fn withdraw_queued(&mut self, id: ServerId) {
-        let links = self.servers.get(&id).map_or(&[][..], |row| &row.links);
-        let waiting =
-            links.iter().filter_map(|link| self.upstreams.get(link)).flat_map(|l| l.set_ups.iter().copied());
-        let queued = |call: &u64| {
+    /// Set-ups that wait for a connection to a server that now drains, or was restarted, are not sent: the list binds
+    /// what is queued as well as what the controller decides.
+    fn drop_queued_setups(&mut self, id: ServerId) {
+        let upstreams = self.servers.get(&id).map_or(&[][..], |server| &server.upstreams);
+        let setups = upstreams.iter().filter_map(|id| self.upstreams.get(id)).flat_map(|up| &up.setups);
+        let is_queued = |call: &CallId| {
             let attempt = self.calls.get(call).and_then(|call| call.attempt);
-            attempt.is_some_and(|a| matches!(a.state, AttemptState::Queued(_)))
+            attempt.is_some_and(|attempt| matches!(attempt.state, AttemptState::Queued(_)))
         };
-        let queued: Vec<_> = waiting.filter(queued).collect();
-        queued.into_iter().for_each(|call| self.end_attempt(call, Outcome::NotSent, LoadReport::default()));
+        let queued: Vec<_> = setups.copied().filter(is_queued).collect();
+        queued
+            .into_iter()
+            .for_each(|call| self.complete_attempt(call, Outcome::NotSent, LoadReport::default()));
     }
 
-    /// A server that is gone leaves the tables once nothing is out or stands there.
-    pub(super) fn forget_gone(&mut self, id: ServerId, effects: &mut Vec<Effect>) {
-        let Some(row) = self.servers.get(&id) else { return };
-        if row.entry.availability != Availability::Removed {
+    /// Forgets a removed server once no set-up is in flight and no call is established there.
+    pub(super) fn forget_removed_server(&mut self, id: ServerId, effects: &mut Vec<Effect>) {
+        let Some(server) = self.servers.get(&id) else { return };
+        if server.endpoint.availability != Availability::Removed {
             return;
         }
-        let up = row.links.iter().any(|link| self.upstreams.get(link).is_some_and(|l| l.up));
-        let address = row.address;
-        let taken = self
-            .servers
-            .values()
-            .any(|s| s.entry.availability == Availability::Ready && s.address == address);
-        let Some(row) = self.servers.get(&id) else { return };
-        if !up || taken {
-            // Gone by the list's word, and no connection says otherwise, or none that is surely its own.
-            let standing: Vec<_> = row.standing.iter().copied().collect();
-            standing.into_iter().for_each(|call| self.orphaned(call, "listed as gone", effects));
+        let has_connection = server.upstreams.iter().any(|id| self.is_upstream_up(*id));
+        let address = server.address;
+        let is_address_reused =
+            self.servers.values().any(|server| is_ready(server) && server.address == address);
+        if !has_connection || is_address_reused {
+            // No connection contradicts the list, or none that is surely this server's.
+            self.release_orphaned_calls(id, "listed as removed", effects);
         }
-        let Some(row) = self.servers.get(&id) else { return };
-        let out = |link: &super::UpstreamId| self.upstreams.get(link).is_some_and(|l| !l.set_ups.is_empty());
-        if !row.standing.is_empty() || row.links.iter().any(out) {
+        let Some(server) = self.servers.get(&id) else { return };
+        let has_setups =
+            |id: &super::UpstreamId| self.upstreams.get(id).is_some_and(|up| !up.setups.is_empty());
+        if !server.active_calls.is_empty() || server.upstreams.iter().any(has_setups) {
             return;
         }
-        let links = row.links.clone();
-        links.into_iter().for_each(|link| self.drop_link(link, effects));
-        if let Some(row) = self.servers.remove(&id) {
-            self.by_uid.remove(&row.uid);
+        let upstreams = server.upstreams.clone();
+        upstreams.into_iter().for_each(|upstream| self.close_upstream(upstream, effects));
+        if let Some(server) = self.servers.remove(&id) {
+            self.servers_by_uid.remove(&server.uid);
         }
     }
 }
+
+fn is_ready(server: &Server) -> bool {
+    server.endpoint.availability == Availability::Ready
+}
--- a/crates/lilacpitch-node/src/core/mod.rs
+++ b/crates/lilacpitch-node/src/core/mod.rs
@@ -1,83 +1,81 @@
-//! The core of a node, without I/O: inputs in, effects out, time handed in.
+//! The core of a node, without I/O: inputs in, effects out, time as an argument.
 //!
-//! One way through it: an [`Input`] becomes an event of the module, the module's actions become [`Effect`]s.
-//! [`Node`] is the sole owner of callers, calls, attempts, links and timers. What it owes by itself keeps the rules
-//! on the wire: one final answer to each call, nothing sent for it after, each attempt's end told once, nothing
-//! queued for a server that drains, and what has stood released towards its caller.
+//! An [`Input`] becomes an event of the decision module, and the module's actions become [`Effect`]s. [`NodeCore`] is
+//! the sole owner of callers, calls, attempts, upstream connections and timers. What it does by itself keeps the rules
+//! on the wire: one final response to each call, nothing sent for it afterwards, one outcome for each attempt, nothing
+//! queued for a draining server, and a release to the caller of each established call that its server ends or loses.
 
 mod active_calls;
+mod attempt_trace;
+mod attempts;
 mod callers;
 mod calls;
 mod counters;
 mod endpoint_list;
+mod health_checks;
+mod path;
+mod records;
+mod server_messages;
+mod timers;
 mod upstreams;
 
-pub use counters::Counters;
+pub use counters::{CallCounts, ConnectionCounts, Counters};
 
 use crate::coordinator::Endpoints;
 use crate::signalling::ServerMessage;
-use callers::Caller;
-use calls::Call;
-use lilacpitch::interface::{Action, CallId, LoadReport, Nanos, Outcome, ServerId};
+use lilacpitch::interface::{Action, CallId, Nanos, ServerId};
 use lilacpitch::settings::Site;
 use lilacpitch::{Controller, Event};
 use lilacpitch_net::{StallDetector, Timers};
 use lilacpitch_sip::Message;
+use records::{Call, Caller, Server, UpstreamConnection};
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
-use upstreams::{Link, Server};
+use timers::Timer;
 
-/// A caller's connection, by the number the shell gives it. Never given twice.
+/// A caller's connection, by the number that the shell gives it. Never reused.
 pub type CallerId = u64;
-/// A connection to a server, by the number the node gives it. Never given twice.
+/// A connection to a server, by the number that the core gives it. Never reused.
 pub type UpstreamId = u64;
 
-/// After SIGTERM, callers' connections and set-ups are taken for so long: new connections come for 0.4 s, requests
-/// on open ones for 0.2 s more, by the platform's page on its figures.
-const LATE_ARRIVALS_NS: Nanos = 750_000_000;
-/// The kill comes no sooner than the longest deadline, counted as this where it is longer, and this more.
-const KILL_AFTER_NS: (Nanos, Nanos) = (3_000_000_000, 700_000_000);
-/// What is open so long before the kill is answered then.
-const LAST_CALL_NS: Nanos = 250_000_000;
-
 /// What happens to a node.
 #[derive(Debug)]
 pub enum Input {
-    /// A caller's connection is there.
+    /// A caller has connected.
     CallerOpened(CallerId),
     /// A caller sent a message.
     CallerMessage(CallerId, Message),
-    /// A caller has closed its connection; what it sent before may still come.
+    /// A caller has closed its end; what it sent before may still come.
     CallerDisconnected(CallerId),
     /// A caller's connection has ended.
     CallerClosed(CallerId),
-    /// A message that a caller's connection did not take before its end.
+    /// A message that was not completely written when its caller's connection ended.
     CallerMessageUndelivered(Vec<u8>),
-    /// A connection that was asked for is ready.
+    /// A connection to a server is up.
     UpstreamConnected(UpstreamId),
     /// A server sent a message.
     UpstreamMessage(UpstreamId, ServerMessage),
-    /// A connection has ended or could not be made.
+    /// A connection to a server has ended, or could not be made.
     UpstreamClosed {
         /// The connection.
         upstream: UpstreamId,
         /// Of the messages given to it, so many may have reached the server.
         written: u64,
-        /// Whether the machine there said at once that nobody listens.
+        /// Whether the connection was refused: nobody listens there.
         is_refused: bool,
     },
-    /// A message given to a connection was too old to be written, and never will be.
+    /// A message given to a connection was dropped, and will never be written.
     MessageDropped {
         /// The connection.
         upstream: UpstreamId,
-        /// Which of its messages, from 0.
+        /// The message's number on it, from 0.
         message: u64,
     },
-    /// The coordinator's news.
+    /// The coordinator's event.
     EndpointsUpdated(Endpoints),
-    /// Room for connections is short: the caller whose connection is idle for longest is to go.
+    /// Descriptors are short: the caller whose connection is idle for longest is to be evicted.
     EvictIdleCaller,
-    /// A caller that was to go stays: something has come from it, or waits for it.
+    /// A caller that was to be evicted stays: something has arrived from it, or waits for it.
     EvictionDeclined(CallerId),
     /// The operator asks the node to stop.
     Stop,
@@ -90,151 +88,151 @@
 pub enum Effect {
     /// Send a caller a message.
     ToCaller(CallerId, Vec<u8>),
-    /// End a caller's connection, unless something has come on it: `CallerClosed` follows, or `EvictionDeclined`.
+    /// Close a caller's connection, unless something has arrived on it. Answered by [`Input::CallerClosed`] or
+    /// [`Input::EvictionDeclined`].
     EvictCaller(CallerId),
-    /// Make a connection to a server, and answer with `LinkUp` or `LinkDown`.
+    /// Connect to a server. Answered by [`Input::UpstreamConnected`] or [`Input::UpstreamClosed`].
     Connect(UpstreamId, SocketAddr),
-    /// Send a server a message: the connection's messages are numbered from 0 in their order.
+    /// Send a server a message; a connection's messages are numbered from 0 in their order.
     ToServer {
         /// The connection.
         upstream: UpstreamId,
-        /// Its number among the connection's messages.
+        /// The message's number on it.
         message: u64,
         /// The message.
         bytes: Vec<u8>,
-        /// Not to be written after this moment; answered by `NotWritten` then.
+        /// Not to be written after this moment; answered by [`Input::MessageDropped`] then.
         not_after_ns: Option<Nanos>,
     },
-    /// Take a message back. Where it has left, `bytes` follow it as message `stop`; where it has begun to, the
+    /// Cancel a set-up. If all of it has left, `bytes` follow it as message `stop_message`; if part of it has left, the
     /// connection ends.
     CancelSetup {
         /// The connection.
         upstream: UpstreamId,
-        /// The number of the message that is taken back.
+        /// Number of the set-up's message.
         message: u64,
-        /// The number of what follows it.
+        /// Number of the message that cancels it at the server.
         stop_message: u64,
-        /// What tells the server.
+        /// The message that cancels it at the server.
         bytes: Vec<u8>,
     },
-    /// End a connection to a server: what waits there is written, but for set-ups. No `LinkDown` follows.
+    /// Close a connection to a server: what waits there is written, but for set-ups. No [`Input::UpstreamClosed`]
+    /// follows.
     Disconnect(UpstreamId),
     /// Nothing is owed any more.
     Stopped,
 }
 
-#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-enum Timer {
-    /// The module asked to be woken.
-    Module,
-    /// An attempt's time is up.
-    TimeOut(CallId),
-    /// Servers are looked at: what is gone, and whether what stands there is still reached.
-    Look,
-    /// Late arrivals have come by now.
-    Leave,
-    /// The kill is near: what is still open gets its answer.
-    LastCall,
-}
-
 /// The core of a node. Same settings, seed and inputs give the same effects.
 pub struct NodeCore {
     site: Site,
-    max_links: usize,
-    brain: Controller,
+    max_upstreams: usize,
+    controller: Controller,
     now: Nanos,
     callers: BTreeMap<CallerId, Caller>,
     calls: BTreeMap<CallId, Call>,
-    /// How many of them have no answer yet.
-    open: usize,
-    /// Calls that are open or stand, by the id that crosses the wire.
-    by_wire: BTreeMap<u64, CallId>,
+    /// How many calls have no final response yet.
+    open_calls: usize,
+    /// Calls by the id that crosses the wire.
+    calls_by_wire_id: BTreeMap<u64, CallId>,
     servers: BTreeMap<ServerId, Server>,
-    by_uid: BTreeMap<String, ServerId>,
-    upstreams: BTreeMap<UpstreamId, Link>,
+    servers_by_uid: BTreeMap<String, ServerId>,
+    upstreams: BTreeMap<UpstreamId, UpstreamConnection>,
     timers: Timers<Timer>,
     stall: StallDetector,
     next_call: CallId,
     next_server: ServerId,
-    next_link: UpstreamId,
-    /// Releases that no connection could take yet, oldest first.
-    unsent: VecDeque<Vec<u8>>,
-    /// Ids of calls that went to a server and are over, and until when their ends may still be on their way.
-    resting: BTreeMap<u64, Nanos>,
-    /// Events that the node's own doings cause, for after the actions in hand.
-    follow: VecDeque<Event>,
+    next_upstream: UpstreamId,
+    /// Releases to callers that no connection could carry yet, oldest first.
+    unsent_releases: VecDeque<Vec<u8>>,
+    /// Wire ids of calls that went to a server and are over, and until when their ends may still arrive.
+    retired_wire_ids: BTreeMap<u64, Nanos>,
+    /// Events for the controller that its own actions cause, for after the actions in hand.
+    pending_events: VecDeque<Event>,
+    /// Reused by each event.
     actions: Vec<Action>,
-    listed: bool,
-    stopping: bool,
-    leaving: bool,
-    stopped: bool,
+    /// Whether a complete list of servers has arrived.
+    has_endpoint_list: bool,
+    /// Whether the operator has asked the node to stop; late set-ups are still admitted.
+    is_stopping: bool,
+    /// Whether late set-ups have had their time: none is admitted any more.
+    is_admission_closed: bool,
+    is_stopped: bool,
     counters: Counters,
 }
 
 impl NodeCore {
-    /// A node that knows its settings and nothing else. `max_links`: connections to servers, beyond one each.
+    /// A core that knows its settings and nothing else. `max_upstreams`: connections to servers, beyond one to each.
     /// `now`: nanoseconds since 1970, as all times here.
-    pub fn new(site: Site, max_links: usize, now: Nanos, seed: u64) -> Self {
-        let mut node = NodeCore {
-            brain: Controller::new(site.settings.clone(), seed),
+    pub fn new(site: Site, max_upstreams: usize, now: Nanos, seed: u64) -> Self {
+        let mut core = NodeCore {
+            controller: Controller::new(site.settings.clone(), seed),
             site,
-            max_links,
+            max_upstreams,
             now,
             callers: BTreeMap::new(),
             calls: BTreeMap::new(),
-            open: 0,
-            by_wire: BTreeMap::new(),
+            open_calls: 0,
+            calls_by_wire_id: BTreeMap::new(),
             servers: BTreeMap::new(),
-            by_uid: BTreeMap::new(),
+            servers_by_uid: BTreeMap::new(),
             upstreams: BTreeMap::new(),
             timers: Timers::default(),
             stall: StallDetector::default(),
             next_call: 1,
             next_server: 1,
-            next_link: 1,
-            unsent: VecDeque::new(),
-            resting: BTreeMap::new(),
-            follow: VecDeque::new(),
+            next_upstream: 1,
+            unsent_releases: VecDeque::new(),
+            retired_wire_ids: BTreeMap::new(),
+            pending_events: VecDeque::new(),
             actions: Vec::new(),
-            listed: false,
-            stopping: false,
-            leaving: false,
-            stopped: false,
+            has_endpoint_list: false,
+            is_stopping: false,
+            is_admission_closed: false,
+            is_stopped: false,
             counters: Counters::default(),
         };
-        node.timers.set(Timer::Look, now + upstreams::LOOK_NS);
-        node
+        core.schedule_health_check();
+        core
     }
 
-    /// Takes one input and appends what is to be done about it.
+    /// Handles one input and appends what is to be done about it.
     pub fn handle(&mut self, now: Nanos, input: Input, effects: &mut Vec<Effect>) {
         self.now = self.now.max(now);
         self.stall.note(self.now, self.timers.first(), 2 * self.site.settings.tick_ns);
-        // What was due before is judged before what has been read since.
-        self.fire_due(effects);
+        // What was due before is handled before what has been read since.
+        self.fire_due_timers(effects);
+        self.dispatch(input, effects);
+        self.run_pending_events(effects);
+        if self.is_admission_closed && !self.is_stopped && self.open_calls == 0 {
+            self.is_stopped = true;
+            effects.push(Effect::Stopped);
+        }
+    }
+
+    fn dispatch(&mut self, input: Input, effects: &mut Vec<Effect>) {
         match input {
             Input::CallerOpened(caller) => drop(self.callers.insert(caller, Caller::new(self.now))),
-            Input::CallerMessage(caller, message) => self.on_caller_message(caller, message, effects),
-            Input::CallerDisconnected(caller) => self.on_caller_left(caller, effects),
-            Input::CallerClosed(caller) => self.on_caller_closed(caller, effects),
-            Input::CallerMessageUndelivered(bytes) => self.on_not_taken(bytes, effects),
-            Input::UpstreamConnected(link) => self.on_link_up(link, effects),
-            Input::UpstreamMessage(link, message) => self.on_link_message(link, message, effects),
-            Input::UpstreamClosed { upstream: link, written, is_refused: refused } => {
-                self.on_link_down(link, written, refused, effects)
+            Input::CallerMessage(caller, message) => self.handle_caller_message(caller, message, effects),
+            Input::CallerDisconnected(caller) => self.handle_caller_disconnected(caller, effects),
+            Input::CallerClosed(caller) => self.handle_caller_closed(caller, effects),
+            Input::CallerMessageUndelivered(bytes) => self.redeliver_release(bytes, effects),
+            Input::UpstreamConnected(upstream) => self.handle_upstream_connected(upstream, effects),
+            Input::UpstreamMessage(upstream, message) => {
+                self.handle_server_message(upstream, message, effects);
+            }
+            Input::UpstreamClosed { upstream, written, is_refused } => {
+                self.handle_upstream_closed(upstream, written, is_refused, effects);
             }
-            Input::MessageDropped { upstream: link, message } => self.on_not_written(link, message, effects),
-            Input::EndpointsUpdated(endpoints) => self.on_list(&endpoints, effects),
-            Input::EvictIdleCaller => self.evict(effects),
-            Input::EvictionDeclined(caller) => self.on_not_evicted(caller),
-            Input::Stop => self.on_stop(),
+            Input::MessageDropped { upstream, message } => {
+                self.handle_message_dropped(upstream, message, effects);
+            }
+            Input::EndpointsUpdated(endpoints) => self.update_endpoints(&endpoints, effects),
+            Input::EvictIdleCaller => self.evict_idle_caller(effects),
+            Input::EvictionDeclined(caller) => self.handle_eviction_declined(caller),
+            Input::Stop => self.begin_stopping(),
             Input::Timeout => {}
         }
-        self.run_follow(effects);
-        if self.leaving && !self.stopped && self.open == 0 {
-            self.stopped = true;
-            effects.push(Effect::Stopped);
-        }
     }
 
     /// When the next [`Input::Timeout`] is due.
@@ -242,9 +240,9 @@
         self.timers.first()
     }
 
-    /// Whether set-ups are taken: the list is in hand, and nobody asked the node to stop.
-    pub fn ready(&self) -> bool {
-        self.listed && !self.stopping
+    /// Whether the node passes its test: it has a complete list of servers, and nobody asked it to stop.
+    pub fn is_ready(&self) -> bool {
+        self.has_endpoint_list && !self.is_stopping
     }
 
     /// What was counted since the start.
@@ -252,152 +250,61 @@
         &self.counters
     }
 
-    /// Set-ups that are open, and calls that stand.
-    pub fn call_counts(&self) -> (usize, usize) {
-        (self.open, self.calls.len() - self.open)
+    /// How many calls there are now.
+    pub fn call_counts(&self) -> CallCounts {
+        CallCounts { open: self.open_calls, established: self.calls.len() - self.open_calls }
     }
 
-    /// Connections of callers, and to servers.
-    pub fn connection_counts(&self) -> (usize, usize) {
-        (self.callers.len(), self.upstreams.len())
+    /// How many connections there are now.
+    pub fn connection_counts(&self) -> ConnectionCounts {
+        ConnectionCounts { callers: self.callers.len(), upstreams: self.upstreams.len() }
     }
 
-    /// How much is kept, by name: for tests that nothing keeps growing.
+    /// Sizes of all containers by name: for tests that nothing grows without bound.
     #[doc(hidden)]
     pub fn sizes(&self) -> Vec<(&'static str, usize)> {
         let own = [
             ("callers", self.callers.len()),
             ("calls", self.calls.len()),
-            ("open calls", self.open),
-            ("ids of calls", self.by_wire.len()),
+            ("open calls", self.open_calls),
+            ("wire ids of calls", self.calls_by_wire_id.len()),
             ("servers", self.servers.len()),
-            ("ids of servers", self.by_uid.len()),
-            ("links", self.upstreams.len()),
-            ("set-ups given up", self.upstreams.values().map(|link| link.given_up.len()).sum()),
+            ("uids of servers", self.servers_by_uid.len()),
+            ("upstream connections", self.upstreams.len()),
+            ("cancelled set-ups", self.upstreams.values().map(|upstream| upstream.cancelled.len()).sum()),
             ("timers", self.timers.len()),
-            ("releases unsent", self.unsent.len()),
-            ("ids at rest", self.resting.len()),
-            ("releases on their way", self.upstreams.values().map(|link| link.releases.len()).sum()),
+            ("unsent releases", self.unsent_releases.len()),
+            ("retired wire ids", self.retired_wire_ids.len()),
+            ("releases to servers", self.upstreams.values().map(|upstream| upstream.releases.len()).sum()),
         ];
-        own.into_iter().chain(self.brain.sizes()).collect()
-    }
-
-    fn fire_due(&mut self, effects: &mut Vec<Effect>) {
-        while let Some(timer) = self.timers.pop_due(self.now) {
-            match timer {
-                Timer::Module => self.follow.push_back(Event::TimerFired),
-                Timer::TimeOut(call) => self.give_up_attempt(call, Outcome::TimedOut, effects),
-                Timer::Look => self.look(effects),
-                Timer::Leave => self.leaving = true,
-                Timer::LastCall => self.answer_rest(effects),
-            }
-            self.run_follow(effects);
-        }
+        own.into_iter().chain(self.controller.sizes()).collect()
     }
 
-    /// Feeds the module what is due to it, and does what it says, until nothing is left.
-    fn run_follow(&mut self, effects: &mut Vec<Effect>) {
-        while let Some(event) = self.follow.pop_front() {
+    /// Feeds the controller what is due to it, and carries out its actions, until nothing is left.
+    fn run_pending_events(&mut self, effects: &mut Vec<Effect>) {
+        while let Some(event) = self.pending_events.pop_front() {
             let traced = tracing::enabled!(tracing::Level::TRACE).then(|| event.clone());
             let mut actions = std::mem::take(&mut self.actions);
-            self.brain.handle(self.now, event, &mut actions);
-            traced.iter().for_each(|event| self.trace(event, &actions));
+            self.controller.handle(self.now, event, &mut actions);
+            traced.iter().for_each(|event| self.trace_attempts(event, &actions));
             for action in actions.drain(..) {
-                match action {
-                    Action::ForwardSetup { call, server, timeout_ns } => {
-                        self.send(call, server, timeout_ns, effects)
-                    }
-                    Action::CancelAttempt { call, attempt } => self.cancel(call, attempt, effects),
-                    Action::Reject { call, retry_after_ns } => self.refuse(call, retry_after_ns, effects),
-                    Action::Fail { call } => self.fail(call, effects),
-                    Action::SetTimer(at) => self.timers.set_no_later(Timer::Module, at),
-                    // The coordinator is followed in any case.
-                    Action::Subscribe => {}
-                }
+                self.carry_out(action, effects);
             }
             self.actions = actions;
         }
     }
 
-    /// One record of each attempt that is sent, stands or ends, with what the module then believes of its server.
-    fn trace(&self, event: &Event, actions: &[Action]) {
-        let of = |call: &CallId| self.calls.get(call).map(|call| call.wire);
-        let believed = |what: &str, call: u64, wire: Option<u64>, server: ServerId| {
-            let Some(row) = self.servers.get(&server) else { return };
-            let Some(fact) = self.brain.facts().into_iter().find(|fact| fact.server == server) else {
-                return;
-            };
-            let (open, standing) = self.call_counts();
-            tracing::trace!(
-                "believed: {what} call={call} wire={:016x} server={} unanswered={} stood={} wait_ms={} suspect={} \
-                 open={open} standing={standing}",
-                wire.unwrap_or(0), row.uid, fact.in_flight, fact.succeeded, fact.wait_ns / 1_000_000, fact.is_unresponsive
-            );
-        };
-        match event {
-            Event::CallEstablished { call, .. } => {
-                let server = self.calls.get(call).and_then(|call| call.attempt).map(|a| a.server);
-                server.iter().for_each(|server| believed("stands", *call, of(call), *server));
-            }
-            Event::AttemptCompleted { call, server, outcome, .. } => {
-                believed(&format!("{outcome:?}"), *call, of(call), *server);
-            }
-            _ => {}
-        }
-        for action in actions {
-            if let Action::ForwardSetup { call, server, .. } = action {
-                believed("sent", *call, of(call), *server);
+    fn carry_out(&mut self, action: Action, effects: &mut Vec<Effect>) {
+        match action {
+            Action::ForwardSetup { call, server, timeout_ns } => {
+                self.forward_setup(call, server, timeout_ns, effects);
             }
+            Action::CancelAttempt { call, attempt } => self.cancel_attempt(call, attempt, effects),
+            Action::Reject { call, retry_after_ns } => self.reject_call(call, retry_after_ns, effects),
+            Action::Fail { call } => self.fail_call(call, effects),
+            Action::SetTimer(at) => self.timers.set_no_later(Timer::Controller, at),
+            // The coordinator is followed in any case.
+            Action::Subscribe => {}
         }
     }
-
-    /// How long after it was asked to stop the process may run.
-    pub fn kill_delay_ns(&self) -> Nanos {
-        let longest = self.site.settings.classes.iter().map(|class| class.deadline_ns).max().unwrap_or(0);
-        longest.min(KILL_AFTER_NS.0) + KILL_AFTER_NS.1
-    }
-
-    fn on_stop(&mut self) {
-        if !self.stopping {
-            tracing::info!(calls = self.calls.len(), "stopping once late arrivals have their answers");
-            self.stopping = true;
-            self.timers.set(Timer::Leave, self.now + LATE_ARRIVALS_NS);
-            self.timers.set(Timer::LastCall, self.now + self.kill_delay_ns() - LAST_CALL_NS);
-        }
-    }
-
-    fn settled(
-        &mut self,
-        call: CallId,
-        attempt: u32,
-        server: ServerId,
-        outcome: Outcome,
-        closed: bool,
-        report: LoadReport,
-    ) {
-        *self.counters.outcomes.entry(outcome_name(outcome)).or_default() += 1;
-        self.follow.push_back(Event::AttemptCompleted {
-            call,
-            attempt,
-            server,
-            outcome,
-            is_final: closed,
-            report,
-        });
-    }
-}
-
-fn outcome_name(outcome: Outcome) -> &'static str {
-    match outcome {
-        Outcome::Completed => "passed",
-        Outcome::Fault => "fault",
-        Outcome::LinesBusy => "busy",
-        Outcome::NoCircuit => "no_circuit",
-        Outcome::Overloaded(_) => "full",
-        Outcome::TimedOut => "timed_out",
-        Outcome::Unreachable => "no_route",
-        Outcome::Cut => "cut",
-        Outcome::Cancelled => "called_off",
-        Outcome::NotSent => "not_sent",
-    }
 }
--- /dev/null
+++ b/crates/lilacpitch-node/src/net/connections.rs
@@ -0,0 +1,148 @@
+//! The tasks of connections: one each for a caller and for a connection to a server.
+//!
+//! A task turns what happens on its socket into [`DriverEvent`]s; the driver holds a [`ConnectionHandle`] to queue
+//! messages and to close it.
+
+use super::codecs::{LineCodec, SipCodec};
+use super::driver_event::{DriverEvent, MalformedMessage};
+use crate::core::{CallerId, Input, UpstreamId};
+use lilacpitch_net::{Clock, ClosingConnection, Connection, ConnectionEvent, DrainQuota, EndReason, Outbox};
+use std::io;
+use std::net::SocketAddr;
+use std::rc::Rc;
+use std::time::Duration;
+use tokio::net::{TcpSocket, TcpStream};
+use tokio::sync::mpsc;
+use tokio::task::AbortHandle;
+
+/// How long a caller may take over its first message, and over each that it has begun: one that sends nothing is to be
+/// closed within 3 s, by the platform's page on bad clients.
+const READ_TIMEOUT: Duration = Duration::from_millis(2000);
+/// Send buffer of a connection to a server: what the kernel holds can't be cancelled.
+const UPSTREAM_SEND_BUFFER_BYTES: u32 = 32 * 1024;
+
+/// The driver's end of a connection.
+pub(super) struct ConnectionHandle {
+    /// Messages to write, and how to close.
+    pub outbox: Outbox,
+    /// The connection's task.
+    pub task: AbortHandle,
+}
+
+/// What every connection's task needs.
+#[derive(Clone)]
+pub(super) struct ConnectionContext {
+    /// Where events go.
+    pub events: mpsc::Sender<DriverEvent>,
+    /// Callers that have closed, ahead of what they sent before.
+    pub disconnects: mpsc::UnboundedSender<CallerId>,
+    /// Bounds the closed connections that still flush.
+    pub drain_quota: Rc<DrainQuota>,
+    /// The node's clock.
+    pub clock: Clock,
+    /// How long connecting to a server may take.
+    pub connect_timeout: Duration,
+}
+
+impl ConnectionContext {
+    /// Starts the task of a caller's connection.
+    pub fn spawn_caller(&self, caller: CallerId, stream: TcpStream) -> ConnectionHandle {
+        let outbox = Outbox::default();
+        let connection = Connection {
+            stream,
+            codec: SipCodec::default(),
+            clock: self.clock,
+            read_timeout: Some(READ_TIMEOUT),
+            outbox: outbox.clone(),
+        };
+        let task = tokio::task::spawn_local(self.clone().run_caller(caller, connection));
+        ConnectionHandle { outbox, task: task.abort_handle() }
+    }
+
+    /// Starts the task that connects to a server and runs the connection.
+    pub fn spawn_upstream(&self, upstream: UpstreamId, address: SocketAddr) -> ConnectionHandle {
+        let outbox = Outbox::default();
+        let task = tokio::task::spawn_local(self.clone().run_upstream(upstream, address, outbox.clone()));
+        ConnectionHandle { outbox, task: task.abort_handle() }
+    }
+
+    async fn run_caller(self, caller: CallerId, connection: Connection<SipCodec>) {
+        let on_event = async |event| match event {
+            ConnectionEvent::Message(message) => self.send(Input::CallerMessage(caller, message)).await,
+            ConnectionEvent::MessageDropped(_) => true,
+        };
+        let (end, closing) = connection.run(|| _ = self.disconnects.send(caller), on_event).await;
+        tracing::debug!(caller, reason = %end.reason, "caller connection closed");
+        if let EndReason::Malformed(error) = end.reason {
+            let _ = self.events.send(DriverEvent::Malformed(MalformedMessage::Caller(error))).await;
+        }
+        self.send(Input::CallerClosed(caller)).await;
+        closing.drain(&self.drain_quota).await;
+    }
+
+    async fn run_upstream(self, upstream: UpstreamId, address: SocketAddr, outbox: Outbox) {
+        let connected = tokio::select! {
+            connected = tokio::time::timeout(self.connect_timeout, connect(address)) => connected,
+            // Nothing is queued on a connection before it is up: this is its close.
+            () = outbox.changed() => return,
+        };
+        let (mut written, mut is_refused, mut closing) = (0, false, None);
+        match connected {
+            Ok(Ok(stream)) => {
+                if !self.send(Input::UpstreamConnected(upstream)).await {
+                    return;
+                }
+                let (count, rest) = self.run_connected(upstream, address, stream, outbox).await;
+                (written, closing) = (count, Some(rest));
+            }
+            Ok(Err(error)) => {
+                is_refused = error.kind() == io::ErrorKind::ConnectionRefused;
+                tracing::debug!(upstream, %address, %error, "upstream connection failed");
+            }
+            Err(_) => tracing::debug!(upstream, %address, "upstream connection timed out"),
+        }
+        self.send(Input::UpstreamClosed { upstream, written, is_refused }).await;
+        if let Some(closing) = closing {
+            closing.drain(&self.drain_quota).await;
+        }
+    }
+
+    /// Runs a connection to a server to its end; how many of its messages may have left.
+    async fn run_connected(
+        &self,
+        upstream: UpstreamId,
+        address: SocketAddr,
+        stream: TcpStream,
+        outbox: Outbox,
+    ) -> (u64, ClosingConnection) {
+        let on_event = async |event| {
+            self.send(match event {
+                ConnectionEvent::Message(message) => Input::UpstreamMessage(upstream, message),
+                ConnectionEvent::MessageDropped(message) => Input::MessageDropped { upstream, message },
+            })
+            .await
+        };
+        let (codec, clock) = (LineCodec::default(), self.clock);
+        let connection = Connection { stream, codec, clock, read_timeout: None, outbox };
+        let (end, closing) = connection.run(|| (), on_event).await;
+        tracing::debug!(upstream, %address, reason = %end.reason, "upstream connection closed");
+        if let EndReason::Malformed(error) = end.reason {
+            let malformed = MalformedMessage::Server { address, error };
+            let _ = self.events.send(DriverEvent::Malformed(malformed)).await;
+        }
+        (end.written, closing)
+    }
+
+    /// Sends an input to the driver; `false` once the driver takes no more.
+    async fn send(&self, input: Input) -> bool {
+        self.events.send(DriverEvent::Input(input)).await.is_ok()
+    }
+}
+
+/// Connects to a server, with a small send buffer.
+async fn connect(address: SocketAddr) -> io::Result<TcpStream> {
+    let socket = if address.is_ipv4() { TcpSocket::new_v4()? } else { TcpSocket::new_v6()? };
+    // Where the machine doesn't allow it, more can wait in the kernel: nothing else is different.
+    let _ = socket.set_send_buffer_size(UPSTREAM_SEND_BUFFER_BYTES);
+    socket.connect(address).await
+}
--- /dev/null
+++ b/crates/lilacpitch-node/src/net/counters.rs
@@ -0,0 +1,32 @@
+//! The periodic log line of counters, which operators' tools read by its keys.
+
+use crate::core::NodeCore;
+use std::collections::BTreeMap;
+
+/// Logs what the core has counted, and malformed messages by kind. The keys are fixed: the operators' page lists them.
+pub(super) fn log_counters(core: &NodeCore, malformed: &BTreeMap<&'static str, u64>) {
+    let calls = core.call_counts();
+    let connections = core.connection_counts();
+    let counters = core.counters();
+    tracing::info!(
+        open = calls.open,
+        standing = calls.established,
+        callers = connections.callers,
+        links = connections.upstreams,
+        c.taken = counters.accepted,
+        c.sends = counters.attempts,
+        c.stood = counters.succeeded,
+        c.refused = counters.rejected,
+        c.failed = counters.failed,
+        c.gone = counters.cancelled,
+        c.adopted = counters.adopted,
+        c.strays = counters.unmatched,
+        c.links_lost = counters.upstreams_lost,
+        c.links_mute = counters.upstreams_unresponsive,
+        c.orphans = counters.orphaned,
+        outcomes = ?counters.outcomes,
+        bad = ?counters.rejected_messages,
+        malformed = ?malformed,
+        "counters"
+    );
+}
--- /dev/null
+++ b/crates/lilacpitch-node/src/net/driver_event.rs
@@ -0,0 +1,54 @@
+//! What the tasks of connections and of the coordinator's client send to the driver.
+
+use super::coordinator_poll::PollError;
+use crate::core::Input;
+use crate::signalling::LineError;
+use lilacpitch_sip::SipError;
+use std::net::SocketAddr;
+use thiserror::Error;
+
+/// An event for the driver.
+#[derive(Debug)]
+pub(super) enum DriverEvent {
+    /// An input of the core.
+    Input(Input),
+    /// A peer sent something malformed; its connection is closed.
+    Malformed(MalformedMessage),
+}
+
+/// What was malformed.
+#[derive(Debug, Error)]
+pub(super) enum MalformedMessage {
+    /// A caller's message.
+    #[error("{0}")]
+    Caller(#[source] SipError),
+    /// A server's line.
+    #[error("{address}: {error}")]
+    Server {
+        /// The server's address.
+        address: SocketAddr,
+        /// What is wrong.
+        #[source]
+        error: LineError,
+    },
+    /// The coordinator's response.
+    #[error("{0}")]
+    Coordinator(#[source] PollError),
+}
+
+impl MalformedMessage {
+    /// The kind under which it is counted and, the first time, logged.
+    pub fn kind(&self) -> &'static str {
+        match self {
+            MalformedMessage::Caller(SipError::Head(_)) => "caller's head",
+            MalformedMessage::Caller(SipError::StartLine(_)) => "caller's start line",
+            MalformedMessage::Caller(SipError::Length { .. }) => "caller's length",
+            MalformedMessage::Caller(SipError::TooLong { .. }) => "caller's message too long",
+            MalformedMessage::Server { error: LineError::TooLong, .. } => "server's line too long",
+            MalformedMessage::Server { error: LineError::Json(_) | LineError::Field(_), .. } => {
+                "server's line"
+            }
+            MalformedMessage::Coordinator(_) => "coordinator's answer",
+        }
+    }
+}
--- a/crates/lilacpitch-node/tests/ends.rs
+++ b/crates/lilacpitch-node/tests/ends.rs
@@ -54,7 +54,7 @@
         }
         let link = link.expect("sent at once");
         self.say(link, json!({"kind": "running", "uid": format!("{call:016x}"), "meta": {}, "body": "x"}));
-        assert_eq!(self.node.call_counts().0, 0, "it stands");
+        assert_eq!(self.node.call_counts().open, 0, "it stands");
         link
     }
 
--- a/crates/lilacpitch-node/tests/orders.rs
+++ b/crates/lilacpitch-node/tests/orders.rs
@@ -368,8 +368,8 @@
         self.pass(60_000 * MS);
         let counted = self.node.counters();
         let ended: u64 = counted.outcomes.values().sum();
-        assert_eq!(counted.sends + counted.adopted, ended, "each attempt ends once: {counted:?}");
-        let kept = ["module's servers", "timers", "releases unsent"];
+        assert_eq!(counted.attempts + counted.adopted, ended, "each attempt ends once: {counted:?}");
+        let kept = ["module's servers", "timers", "unsent releases"];
         let sizes = self.node.sizes();
         let left: Vec<_> = sizes.iter().filter(|(name, size)| *size > 0 && !kept.contains(name)).collect();
         assert!(left.is_empty(), "kept: {left:?}");
--- a/crates/lilacpitch-sip/src/message.rs
+++ b/crates/lilacpitch-sip/src/message.rs
@@ -1,13 +1,13 @@
-//! Messages, and the bytes of those that a front node sends.
+//! Requests and responses, and the encoding of those that a front node sends.
 
 use lilacpitch_protocol::http::Fields;
 
-/// What came on a stream.
+/// A message read from a stream.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Message {
     /// A request.
     Request(Request),
-    /// A response to a request that went out.
+    /// A response to a request that this node sent.
     Response(Response),
 }
 
@@ -16,58 +16,62 @@
 pub struct Request {
     /// The method, as sent.
     pub method: String,
-    /// The address on the first line, as sent.
+    /// The request URI, as sent.
     pub uri: String,
-    /// `Call-ID`, where it can be used in an answer.
+    /// `Call-ID`, where it is valid.
     pub call_id: Option<String>,
     /// `CSeq`, as sent; empty where there is none.
     pub cseq: String,
-    /// All fields.
+    /// All header fields.
     pub fields: Fields,
     /// The body.
     pub body: Vec<u8>,
 }
 
-/// A response (RFC 3261 section 7.2); its body is not kept.
+/// A response (RFC 3261 section 7.2), without its body.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Response {
     /// The status code.
     pub status: u16,
-    /// `Call-ID`, where it can be read.
+    /// `Call-ID`, where it is valid.
     pub call_id: Option<String>,
     /// `CSeq`, as sent.
     pub cseq: String,
 }
 
-/// Whether a `Call-ID` can stand in a head as it is, and is not too long to be kept.
+/// Longest `Call-ID` that is kept, in bytes.
+const MAX_CALL_ID_BYTES: usize = 128;
+
+/// Whether a `Call-ID` can be copied into a head as it is, and is of a bounded length.
 pub(crate) fn is_call_id(id: &str) -> bool {
-    (1..=128).contains(&id.len()) && id.bytes().all(|b| b.is_ascii_graphic())
+    (1..=MAX_CALL_ID_BYTES).contains(&id.len()) && id.bytes().all(|b| b.is_ascii_graphic())
 }
 
 impl Request {
-    /// The user part of the address: what was dialled (RFC 3261 section 19.1.1).
+    /// The user part of the request URI: the dialled number (RFC 3261 section 19.1.1).
     pub fn user(&self) -> Option<&str> {
         let rest = self.uri.strip_prefix("sip:")?;
         rest.split_once('@').map(|(user, _)| user).filter(|user| !user.is_empty())
     }
 
-    /// What a later response copies of this request (RFC 3261 section 8.2.6.2), as head lines.
+    /// The fields that a response copies from this request (RFC 3261 section 8.2.6.2), as header lines.
     pub fn echo(&self) -> String {
         let mut lines = String::new();
         for name in ["Via", "From", "To"] {
-            self.fields.all(name).for_each(|value| line(&mut lines, name, value));
+            self.fields.all(name).for_each(|value| push_field(&mut lines, name, value));
         }
-        self.call_id.iter().for_each(|id| line(&mut lines, "Call-ID", id));
-        line(&mut lines, "CSeq", &self.cseq);
+        self.call_id.iter().for_each(|id| push_field(&mut lines, "Call-ID", id));
+        push_field(&mut lines, "CSeq", &self.cseq);
         lines
     }
 
-    /// The bytes of a response without a body.
+    /// Encodes a response to this request, without a body.
     pub fn response(&self, status: u16, reason: &str) -> Vec<u8> {
         Response::bytes(status, reason, &self.echo(), &[], &[])
     }
 
-    /// The bytes of a request that a front node sends: `BYE` (RFC 3261 section 15.1.1) with its reason (RFC 3326).
+    /// Encodes the request that a front node sends: `BYE` (RFC 3261 section 15.1.1) with its reason (RFC 3326) as a
+    /// Q.850 cause.
     pub fn bye(call_id: &str, cause: u16) -> Vec<u8> {
         format!(
             "BYE sip:call@net SIP/2.0\r\nVia: SIP/2.0/TCP front\r\nCall-ID: {call_id}\r\nCSeq: 2 BYE\r\n\
@@ -78,11 +82,11 @@
 }
 
 impl Response {
-    /// The bytes of a response: `echo` are the lines copied from the request, `more` are further fields.
-    pub fn bytes(status: u16, reason: &str, echo: &str, more: &[(&str, String)], body: &[u8]) -> Vec<u8> {
+    /// Encodes a response: `echo` holds the lines copied from the request, `fields` further header fields.
+    pub fn bytes(status: u16, reason: &str, echo: &str, fields: &[(&str, String)], body: &[u8]) -> Vec<u8> {
         let mut head = format!("SIP/2.0 {status} {reason}\r\n{echo}");
-        more.iter().for_each(|(name, value)| line(&mut head, name, value));
-        line(&mut head, "Content-Length", &body.len().to_string());
+        fields.iter().for_each(|(name, value)| push_field(&mut head, name, value));
+        push_field(&mut head, "Content-Length", &body.len().to_string());
         head.push_str("\r\n");
         let mut bytes = head.into_bytes();
         bytes.extend_from_slice(body);
@@ -90,7 +94,7 @@
     }
 }
 
-fn line(lines: &mut String, name: &str, value: &str) {
+fn push_field(lines: &mut String, name: &str, value: &str) {
     lines.push_str(name);
     lines.push_str(": ");
     lines.push_str(value);
--- a/crates/lilacpitch-sip/tests/pinned_bytes.rs
+++ b/crates/lilacpitch-sip/tests/pinned_bytes.rs
@@ -14,7 +14,7 @@
     let mut decoder = Decoder::default();
     decoder.feed(bytes);
     let messages = std::iter::from_fn(|| decoder.next_message().unwrap()).collect();
-    assert!(!decoder.within_message(), "nothing is left over");
+    assert!(!decoder.has_partial_message(), "nothing is left over");
     messages
 }
 
--- a/crates/lilacpitch-sip/tests/streams.rs
+++ b/crates/lilacpitch-sip/tests/streams.rs
@@ -52,7 +52,11 @@
     ] {
         let (messages, error) = read(invite(length, "").as_bytes(), 4096);
         let error = error.unwrap_or_else(|| panic!("{length:?} was taken"));
-        assert_eq!((messages.len(), error.answer().map(|(status, ..)| status)), (0, answer), "{length:?}");
+        assert_eq!(
+            (messages.len(), error.final_response().map(|(status, ..)| status)),
+            (0, answer),
+            "{length:?}"
+        );
     }
 }
 
