--- a/crates/lilacpitch-edge/src/core/links.rs
+++ b/crates/lilacpitch-edge/src/core/links.rs
@@ -131,7 +131,12 @@
         let Link::Up(link, count) = &mut row.link else { return None };
         let (link, number) = (*link, *count);
         *count += 1;
-        effects.push(Effect::ToServer { link, message: number, text: message.encode(), not_after_ns });
+        effects.push(Effect::ToServer {
+            upstream: link,
+            message: number,
+            text: message.encode(),
+            not_after_ns,
+        });
         Some((link, number))
     }
 
--- a/crates/lilacpitch-edge/src/core/mod.rs
+++ b/crates/lilacpitch-edge/src/core/mod.rs
@@ -58,14 +58,14 @@
     /// A connection has ended or could not be made. Of the messages given to it, so many may have left.
     UpstreamClosed {
         /// The connection.
-        link: UpstreamId,
+        upstream: UpstreamId,
         /// Messages that may have reached the server.
         written: u64,
     },
     /// A set-up given to a connection was not written in time, and never will be.
     NotWritten {
         /// The connection.
-        link: UpstreamId,
+        upstream: UpstreamId,
         /// Which of its messages, from 0.
         message: u64,
     },
@@ -99,7 +99,7 @@
     /// Send a server a text message: the connection's messages are numbered from 0 in their order.
     ToServer {
         /// The connection.
-        link: UpstreamId,
+        upstream: UpstreamId,
         /// Its number among the connection's messages.
         message: u64,
         /// The message.
@@ -235,8 +235,8 @@
             Input::CallerClosed(caller) => self.on_caller_closed(caller, effects),
             Input::UpstreamConnected(link) => self.on_link_up(link, effects),
             Input::UpstreamText(link, text) => self.on_link_text(link, &text, effects),
-            Input::UpstreamClosed { link, written } => self.on_link_down(link, written, effects),
-            Input::NotWritten { link, message } => self.on_not_written(link, message, effects),
+            Input::UpstreamClosed { upstream: link, written } => self.on_link_down(link, written, effects),
+            Input::NotWritten { upstream: link, message } => self.on_not_written(link, message, effects),
             Input::PoolList(pools) => self.on_pool_list(&pools, effects),
             Input::PeerReported(origin, facts) => self.on_told(origin, facts),
             Input::RumorsReceived(heard) => self.on_heard(heard),
--- a/crates/lilacpitch-edge/src/net/driver.rs
+++ b/crates/lilacpitch-edge/src/net/driver.rs
@@ -206,7 +206,7 @@
             News::Input(input) => {
                 match &input {
                     Input::CallerClosed(caller) => drop(self.callers.remove(caller)),
-                    Input::UpstreamClosed { link, .. } => drop(self.links.remove(link)),
+                    Input::UpstreamClosed { upstream: link, .. } => drop(self.links.remove(link)),
                     _ => {}
                 }
                 self.feed(input);
@@ -314,7 +314,7 @@
                     self.tell_later(Input::CallerClosed(caller));
                 }
             }
-            Effect::ToServer { link, message, text, not_after_ns } => {
+            Effect::ToServer { upstream: link, message, text, not_after_ns } => {
                 let full = match self.links.get(&link) {
                     Some(peer) => {
                         peer.out.try_send(Outgoing { number: message, text, not_after_ns }).is_err()
@@ -322,7 +322,7 @@
                     None => false,
                 };
                 if full {
-                    self.tell_later(Input::NotWritten { link, message });
+                    self.tell_later(Input::NotWritten { upstream: link, message });
                 }
             }
             Effect::Connect(link, address) => self.connect(link, address),
@@ -420,7 +420,7 @@
                     let heard = async |heard| {
                         let input = match heard {
                             Heard::Text(text) => Input::UpstreamText(link, text),
-                            Heard::NotWritten(message) => Input::NotWritten { link, message },
+                            Heard::NotWritten(message) => Input::NotWritten { upstream: link, message },
                         };
                         news.send(News::Input(input)).await.is_ok()
                     };
@@ -431,7 +431,7 @@
                 Ok(Err(why)) => tracing::debug!(link, %address, why, "no connection"),
                 Err(_) => tracing::debug!(link, %address, "no connection in time"),
             }
-            let _ = news.send(News::Input(Input::UpstreamClosed { link, written })).await;
+            let _ = news.send(News::Input(Input::UpstreamClosed { upstream: link, written })).await;
         });
         self.links.insert(link, Peer { out, task: task.abort_handle() });
     }
--- a/crates/lilacpitch-testbed/src/simulated_run.rs
+++ b/crates/lilacpitch-testbed/src/simulated_run.rs
@@ -354,7 +354,7 @@
                 let at = self.arrives((1, front, server));
                 self.at(at, Happens::Connect { front, link, server });
             }
-            Effect::ToServer { link, text, .. } => {
+            Effect::ToServer { upstream: link, text, .. } => {
                 let on = self.servers.iter().position(|s| s.conns.get(&front) == Some(&link));
                 let Some(server) = on else { return };
                 let at = self.arrives((1, front, server));
@@ -376,11 +376,11 @@
             // Taken by the machine, answered by nobody: the front's own patience ends it.
             return self.at(
                 self.now + self.connect_ns,
-                Happens::ToFront(front, Input::UpstreamClosed { link, written: 0 }),
+                Happens::ToFront(front, Input::UpstreamClosed { upstream: link, written: 0 }),
             );
         }
         let input = if row.stopped {
-            Input::UpstreamClosed { link, written: 0 }
+            Input::UpstreamClosed { upstream: link, written: 0 }
         } else {
             row.conns.insert(front, link);
             Input::UpstreamConnected(link)
@@ -477,7 +477,7 @@
         let server_name = row.name.clone();
         self.record(Seen::LinkEnded { server: server_name, edge: front });
         let at = self.arrives((2, server, front));
-        self.at(at, Happens::ToFront(front, Input::UpstreamClosed { link, written: u64::MAX }));
+        self.at(at, Happens::ToFront(front, Input::UpstreamClosed { upstream: link, written: u64::MAX }));
     }
 
     fn drop_all(&mut self, server: usize) {
