--- a/crates/lilacpitch-location/src/lib.rs
+++ b/crates/lilacpitch-location/src/lib.rs
@@ -1,10 +1,11 @@
-//! The register of numbers that a site holds, without I/O.
+//! The location service of a site (RFC 3261, section 10): records of where numbers are reached and which calls to them
+//! are active, without I/O.
 //!
-//! - [`row`]: a number, where it is reached or which call stands there, and since when.
-//! - [`query`]: a question over rows, with a cursor where there are more than fit.
-//! - [`register`]: rows in shards by hash of the number, each shard under its own lock.
-//! - [`summary`]: what a site says of a shard: no number outside it has a row there. It may only err towards
-//!   asking. [`gcs`] is its compact form.
+//! - [`record`]: a number, where it is reached or which call to it is active, and since when.
+//! - [`query`]: a query for records, with a cursor where there are more than fit.
+//! - [`store`]: records in shards by hash of the number, each shard under its own lock.
+//! - [`summary`]: which numbers may have records in a shard: a number outside it has none. [`golomb_coded_set`] is its
+//!   compact form.
 //!
 //! **Order of locks.** No function here holds two shards' locks at once, so there is no order to keep; whoever
 //! holds a lock of its own may call in here, and nothing here calls out while a shard is locked.
@@ -18,7 +19,7 @@
 pub mod store;
 pub mod summary;
 
-/// The locks of [`register`]; a test puts others in their place that try all orders.
+/// The locks of [`store`]; a test replaces them by locks that try all orders.
 mod sync {
     pub use parking_lot::RwLock;
 }
--- a/crates/lilacpitch-location/src/query.rs
+++ b/crates/lilacpitch-location/src/query.rs
@@ -1,34 +1,34 @@
-//! Questions over rows.
+//! Queries for location records, and pages of their results.
 
 use crate::record::{Key, Kind, LocationRecord, Number};
 use serde::{Deserialize, Serialize};
 
-/// Which numbers are asked for.
+/// Which numbers a query is for.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum QueryTarget {
-    /// One.
+    /// One number.
     Number(Number),
-    /// All that begin so.
+    /// All numbers with this prefix.
     Prefix(String),
 }
 
-/// A question. What is left out does not matter.
+/// A query. A condition that is `None` matches every record.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Query {
-    /// Which numbers.
+    /// The numbers.
     pub target: QueryTarget,
-    /// What their rows say.
+    /// The kind of records.
     pub kind: Option<Kind>,
-    /// Of this class.
+    /// The class of calls.
     pub class: Option<String>,
-    /// Through this trunk group.
+    /// The trunk group.
     pub trunk_group: Option<String>,
-    /// Since a moment from the first to the second, both in it, in milliseconds since 1970.
+    /// The record began between these moments, both included, in milliseconds since 1970.
     pub since_ms: Option<(u64, u64)>,
 }
 
 impl Query {
-    /// Where one number is reached.
+    /// The query for the bindings of a number: where it is reached.
     pub fn binding_of(number: Number) -> Self {
         Query {
             target: QueryTarget::Number(number),
@@ -39,25 +39,25 @@
         }
     }
 
-    /// Whether a row is asked for.
-    pub fn matches(&self, row: &LocationRecord) -> bool {
+    /// Whether a record matches.
+    pub fn matches(&self, record: &LocationRecord) -> bool {
         let number = match &self.target {
-            QueryTarget::Number(number) => *number == row.key.number,
-            QueryTarget::Prefix(prefix) => row.key.number.as_str().starts_with(prefix.as_str()),
+            QueryTarget::Number(number) => *number == record.key.number,
+            QueryTarget::Prefix(prefix) => record.key.number.as_str().starts_with(prefix.as_str()),
         };
         number
-            && self.kind.is_none_or(|kind| kind == row.key.kind)
-            && self.class.as_ref().is_none_or(|class| *class == row.class)
-            && self.trunk_group.as_ref().is_none_or(|group| *group == row.trunk_group)
-            && self.since_ms.is_none_or(|(from, to)| (from..=to).contains(&row.since_ms))
+            && self.kind.is_none_or(|kind| kind == record.key.kind)
+            && self.class.as_ref().is_none_or(|class| *class == record.class)
+            && self.trunk_group.as_ref().is_none_or(|group| *group == record.trunk_group)
+            && self.since_ms.is_none_or(|(from, to)| (from..=to).contains(&record.since_ms))
     }
 }
 
-/// A part of what was found, in the order of keys.
+/// A page of the records found, in the order of keys.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Page {
-    /// The rows.
+    /// The records.
     pub records: Vec<LocationRecord>,
-    /// Where to go on: there may be more after this key.
+    /// Continue behind this key: there may be more; `None`: there are none.
     pub cursor: Option<Key>,
 }
--- a/crates/lilacpitch-location/src/record.rs
+++ b/crates/lilacpitch-location/src/record.rs
@@ -1,4 +1,4 @@
-//! Rows: a number, where it is reached or which call stands, and since when.
+//! Location records: where a number is reached, or which call to it is active, and since when.
 
 use crate::error::LocationError;
 use serde::{Deserialize, Serialize};
@@ -15,11 +15,14 @@
 pub struct Number(Box<str>);
 
 impl Number {
-    /// Reads a number.
+    /// Parses a number.
+    ///
+    /// # Errors
+    /// [`LocationError::Number`], where it is malformed.
     pub fn new(text: &str) -> Result<Self, LocationError> {
         let digits = text.strip_prefix('+').unwrap_or(text);
-        let sound = |b: u8| b.is_ascii_digit() || b == b'*' || b == b'#';
-        if digits.is_empty() || digits.len() > MAX_DIGITS || !digits.bytes().all(sound) {
+        let is_valid = |b: u8| b.is_ascii_digit() || b == b'*' || b == b'#';
+        if digits.is_empty() || digits.len() > MAX_DIGITS || !digits.bytes().all(is_valid) {
             return Err(LocationError::Number(text.chars().take(40).collect()));
         }
         Ok(Number(text.into()))
@@ -56,17 +59,17 @@
     }
 }
 
-/// What a row says of its number.
+/// What a record tells of its number.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Kind {
-    /// A handset, console or driver is reached here.
+    /// A binding: a handset, console or driver is reached here.
     Binding,
-    /// A call to it stands here.
+    /// A call to it is active here.
     ActiveCall,
 }
 
 impl Kind {
-    /// As it is written on pages.
+    /// The name on the operator's pages.
     pub fn as_str(self) -> &'static str {
         match self {
             Kind::Binding => "reached",
@@ -75,53 +78,56 @@
     }
 }
 
-/// Who holds a row: a front for a number that is reached, a server for a call that stands.
+/// The owner of a record: a front for a binding, a server for an active call.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Owner {
     /// The front's or the server's name.
     pub name: String,
-    /// The front that wrote the row: whoever it belonged to goes with that front's life.
+    /// The front that wrote the record: it is removed with that front's incarnation.
     pub front: String,
-    /// That life of the front, in nanoseconds since 1970.
+    /// The incarnation of that front, in nanoseconds since 1970.
     pub incarnation: u64,
-    /// Tells rows of one holder for one number apart: the front's number of the connection or call.
+    /// Distinguishes records of one owner for one number: the front's number of the connection or call.
     pub serial: u64,
 }
 
-/// What makes a row one: its number and who holds it.
+/// The key of a record. The order of fields is that of the comparison and of the wire.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Key {
     /// The number.
     pub number: Number,
-    /// What the row says.
+    /// The kind of record.
     pub kind: Kind,
-    /// Who holds it.
+    /// The owner.
     pub owner: Owner,
 }
 
 impl Key {
-    /// Not after any key whose number begins so: where a range of them starts.
+    /// A key that is at or before all keys whose number begins with these digits.
     pub fn lowest_with_prefix(digits: &str) -> Self {
-        let holder = Owner { name: String::new(), front: String::new(), incarnation: 0, serial: 0 };
-        Key { number: Number(digits.into()), kind: Kind::Binding, owner: holder }
+        let owner = Owner { name: String::new(), front: String::new(), incarnation: 0, serial: 0 };
+        Key { number: Number(digits.into()), kind: Kind::Binding, owner }
     }
 }
 
-/// One row.
+/// A location record.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LocationRecord {
     /// Its key.
     pub key: Key,
     /// The class of the call, or of calls to it; may be empty.
     pub class: String,
-    /// The trunk group: the pool through which it is reached or through which the call stands.
+    /// The trunk group: the pool through which it is reached or through which the call goes.
     pub trunk_group: String,
     /// Since when, in milliseconds since 1970, by the clock of the front that wrote it.
     pub since_ms: u64,
 }
 
 impl LocationRecord {
-    /// Whether its names can be some; its number was checked when it was read.
+    /// Checks the names; the number was checked when it was parsed.
+    ///
+    /// # Errors
+    /// [`LocationError::Name`], naming the field.
     pub fn check(&self) -> Result<(), LocationError> {
         let names = [
             ("class", &self.class),
--- a/crates/lilacpitch-location/src/store.rs
+++ b/crates/lilacpitch-location/src/store.rs
@@ -1,4 +1,5 @@
-//! Rows in shards, each shard under its own lock.
+//! The location store: records in shards by hash of the number, each shard under its own lock, with a summary that
+//! tells which numbers have records.
 
 use crate::error::LocationError;
 use crate::query::{Page, Query, QueryTarget};
@@ -8,15 +9,15 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// Rows of one shard, in the order of their keys. Shared with a snapshot until the next write.
+/// The records of one shard, in the order of their keys. Shared with a snapshot until the next write.
 pub type Records = Arc<BTreeMap<Key, LocationRecord>>;
 
-/// Most shards of a register.
+/// Most shards of a store.
 pub const MAX_SHARDS: usize = 1 << 16;
 
 #[derive(Debug, Default)]
 struct Shard {
-    rows: Records,
+    records: Records,
     changes: ShardChanges,
 }
 
@@ -25,27 +26,30 @@
         self.from(number.as_str()).next().is_some_and(|(key, _)| key.number == *number)
     }
 
-    /// Rows from the first on whose number begins so.
+    /// The records from the first one on whose number begins with these digits.
     fn from(&self, digits: &str) -> impl Iterator<Item = (&Key, &LocationRecord)> {
-        self.rows.range(Key::lowest_with_prefix(digits)..)
+        self.records.range(Key::lowest_with_prefix(digits)..)
     }
 
     fn rebase(&mut self) {
-        let mut numbers: Vec<&Number> = self.rows.keys().map(|key| &key.number).collect();
+        let mut numbers: Vec<&Number> = self.records.keys().map(|key| &key.number).collect();
         numbers.dedup();
         let fingerprints: Vec<u32> = numbers.into_iter().map(|n| fingerprint(n.hash64())).collect();
         self.changes.rebase(&fingerprints);
     }
 }
 
-/// The register of a site. All methods take `&self`: threads share it.
+/// The location store of a site. All methods take `&self`: threads share it.
 #[derive(Debug)]
 pub struct LocationStore {
     shards: Box<[RwLock<Shard>]>,
 }
 
 impl LocationStore {
-    /// An empty register of so many shards.
+    /// An empty store of so many shards.
+    ///
+    /// # Errors
+    /// [`LocationError::Shards`], where the number is 0 or over [`MAX_SHARDS`].
     pub fn new(shards: usize) -> Result<Self, LocationError> {
         if !(1..=MAX_SHARDS).contains(&shards) {
             return Err(LocationError::Shards(shards));
@@ -62,62 +66,62 @@
         &self.shards[shard_of(number.hash64(), self.shards.len())]
     }
 
-    /// Enters a row, in place of one with its key; what stood there.
-    pub fn upsert(&self, row: LocationRecord) -> Option<LocationRecord> {
-        let mut shard = self.shard(&row.key.number).write();
-        // Known already: whoever could not rule it out before can't now, and the version needs no step.
-        if !shard.has(&row.key.number) {
-            shard.changes.add(fingerprint(row.key.number.hash64()));
+    /// Inserts a record, or replaces the one with its key; the one that it replaced.
+    pub fn upsert(&self, record: LocationRecord) -> Option<LocationRecord> {
+        let mut shard = self.shard(&record.key.number).write();
+        // Where the number has records already, the summary contains it, and its version stays.
+        if !shard.has(&record.key.number) {
+            shard.changes.add(fingerprint(record.key.number.hash64()));
         }
-        Arc::make_mut(&mut shard.rows).insert(row.key.clone(), row)
+        Arc::make_mut(&mut shard.records).insert(record.key.clone(), record)
     }
 
-    /// The row of a key.
+    /// The record with a key.
     pub fn get(&self, key: &Key) -> Option<LocationRecord> {
-        self.shard(&key.number).read().rows.get(key).cloned()
+        self.shard(&key.number).read().records.get(key).cloned()
     }
 
-    /// Takes a row out; the row.
+    /// Removes the record with a key; the record.
     pub fn withdraw(&self, key: &Key) -> Option<LocationRecord> {
-        Arc::make_mut(&mut self.shard(&key.number).write().rows).remove(key)
+        Arc::make_mut(&mut self.shard(&key.number).write().records).remove(key)
     }
 
-    /// Takes out all rows that a front wrote in lives before this one; their keys. A shard at a time.
-    pub fn remove_older_incarnations(&self, front: &str, before_life: u64) -> Vec<Key> {
-        let mut gone = Vec::new();
+    /// Removes all records that a front wrote in incarnations before this one, a shard at a time; their keys.
+    pub fn remove_older_incarnations(&self, front: &str, before: u64) -> Vec<Key> {
+        let mut removed = Vec::new();
         for shard in &self.shards {
-            let old = |key: &Key| key.owner.front == front && key.owner.incarnation < before_life;
-            let keys: Vec<Key> = shard.read().rows.keys().filter(|key| old(key)).cloned().collect();
+            let old = |key: &Key| key.owner.front == front && key.owner.incarnation < before;
+            let keys: Vec<Key> = shard.read().records.keys().filter(|key| old(key)).cloned().collect();
             if !keys.is_empty() {
                 let mut shard = shard.write();
-                let rows = Arc::make_mut(&mut shard.rows);
-                gone.extend(keys.into_iter().filter(|key| rows.remove(key).is_some()));
+                let records = Arc::make_mut(&mut shard.records);
+                removed.extend(keys.into_iter().filter(|key| records.remove(key).is_some()));
             }
         }
-        gone
+        removed
     }
 
-    /// Up to `limit` rows that a question asks for, in the order of keys, from behind a cursor on.
+    /// Up to `limit` records that match a query, in the order of keys, behind the cursor `after`.
     pub fn find(&self, query: &Query, after: Option<&Key>, limit: usize) -> Page {
         match &query.target {
             QueryTarget::Number(number) => {
                 let shard = self.shard(number).read();
-                let of_it = shard.from(number.as_str()).take_while(|(key, _)| key.number == *number);
-                page(of_it, query, after, limit)
+                let matching = shard.from(number.as_str()).take_while(|(key, _)| key.number == *number);
+                page(matching, query, after, limit)
             }
             QueryTarget::Prefix(prefix) => self.find_prefix(prefix, query, after, limit),
         }
     }
 
-    /// One shard's lock at a time: each gives its first, and the first of all are kept.
+    /// One shard's lock at a time: each gives its first records, and the first of all are retained.
     fn find_prefix(&self, prefix: &str, query: &Query, after: Option<&Key>, limit: usize) -> Page {
         let mut all = Page::default();
         for shard in &self.shards {
             let shard = shard.read();
-            // From the cursor on, where that is further: a long walk costs each row once.
+            // From the cursor on, where that is further: a long search costs each record once.
             let from = after.map_or(prefix, |key| prefix.max(key.number.as_str()));
-            let of_it = shard.from(from).take_while(|(key, _)| key.number.as_str().starts_with(prefix));
-            let part = page(of_it, query, after, limit);
+            let matching = shard.from(from).take_while(|(key, _)| key.number.as_str().starts_with(prefix));
+            let part = page(matching, query, after, limit);
             drop(shard);
             all.cursor = all.cursor.or(part.cursor);
             all.records.extend(part.records);
@@ -125,74 +129,79 @@
         all.records.sort_unstable_by(|a, b| a.key.cmp(&b.key));
         let cut = all.records.len() > limit;
         all.records.truncate(limit);
-        all.cursor = all.records.last().map(|row| row.key.clone()).filter(|_| cut || all.cursor.is_some());
+        all.cursor =
+            all.records.last().map(|record| record.key.clone()).filter(|_| cut || all.cursor.is_some());
         all
     }
 
-    /// How many rows there are.
+    /// How many records there are.
     pub fn len(&self) -> usize {
-        self.shards.iter().map(|shard| shard.read().rows.len()).sum()
+        self.shards.iter().map(|shard| shard.read().records.len()).sum()
     }
 
-    /// Whether there are none.
+    /// Whether there are no records.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
 
-    /// The rows of all shards, taken one after the other without waiting for writers: a write that comes after a
-    /// shard was taken copies that shard and goes on. Whoever needs one moment for all holds its writers back.
+    /// The records of all shards, taken one after the other without blocking writers: a write to a shard that was taken
+    /// copies it. A caller that needs one moment for all shards keeps its writers from writing meanwhile.
     pub fn snapshot(&self) -> Vec<Records> {
-        self.shards.iter().map(|shard| shard.read().rows.clone()).collect()
+        self.shards.iter().map(|shard| shard.read().records.clone()).collect()
     }
 
-    /// Puts a snapshot's rows in place of all there are.
-    pub fn restore(&self, rows: impl IntoIterator<Item = LocationRecord>) -> Result<(), LocationError> {
+    /// Replaces all records by those of a snapshot.
+    ///
+    /// # Errors
+    /// [`LocationError`], where a record is malformed; nothing is replaced then.
+    pub fn restore(&self, records: impl IntoIterator<Item = LocationRecord>) -> Result<(), LocationError> {
         let mut parts: Vec<BTreeMap<Key, LocationRecord>> = vec![BTreeMap::new(); self.shards.len()];
-        for row in rows {
-            row.check()?;
-            let at = shard_of(row.key.number.hash64(), self.shards.len());
-            parts[at].insert(row.key.clone(), row);
+        for record in records {
+            record.check()?;
+            let at = shard_of(record.key.number.hash64(), self.shards.len());
+            parts[at].insert(record.key.clone(), record);
         }
-        for (shard, rows) in self.shards.iter().zip(parts) {
+        for (shard, records) in self.shards.iter().zip(parts) {
             let mut shard = shard.write();
-            shard.rows = Arc::new(rows);
+            shard.records = Arc::new(records);
             shard.rebase();
         }
         Ok(())
     }
 
-    /// The versions of the summaries of all shards.
+    /// The version of each shard's summary.
     pub fn versions(&self) -> Vec<u64> {
         self.shards.iter().map(|shard| shard.read().changes.version).collect()
     }
 
-    /// What a router lacks of a shard's summary that has the version `known` of it.
+    /// The update of a shard's summary since a version; `None`: there is none, or no such shard.
     pub fn summary(&self, shard: usize, known: Option<u64>) -> Option<ShardUpdate> {
         let at = self.shards.get(shard)?;
         {
-            let held = at.read();
-            if !held.changes.base_is_due() {
-                return held.changes.since(shard as u32, known);
+            let state = at.read();
+            if !state.changes.base_is_due() {
+                return state.changes.since(shard as u32, known);
             }
         }
-        let mut held = at.write();
-        if held.changes.base_is_due() {
-            held.rebase();
+        let mut state = at.write();
+        if state.changes.base_is_due() {
+            state.rebase();
         }
-        held.changes.since(shard as u32, known)
+        state.changes.since(shard as u32, known)
     }
 }
 
 fn page<'a>(
-    rows: impl Iterator<Item = (&'a Key, &'a LocationRecord)>,
+    records: impl Iterator<Item = (&'a Key, &'a LocationRecord)>,
     query: &Query,
     after: Option<&Key>,
     limit: usize,
 ) -> Page {
     let past = |key: &&Key| after.is_none_or(|after| *key > after);
-    let mut found = rows.filter(|(key, row)| past(key) && query.matches(row)).map(|(_, row)| row);
-    let rows: Vec<LocationRecord> = found.by_ref().take(limit).cloned().collect();
+    let mut found =
+        records.filter(|(key, record)| past(key) && query.matches(record)).map(|(_, record)| record);
+    let records: Vec<LocationRecord> = found.by_ref().take(limit).cloned().collect();
     let more = found.next().is_some();
-    let cursor = rows.last().map(|row| row.key.clone()).filter(|_| more);
-    Page { records: rows, cursor }
+    let cursor = records.last().map(|record| record.key.clone()).filter(|_| more);
+    Page { records, cursor }
 }
--- /dev/null
+++ b/crates/lilacpitch-rpc/src/handshake.rs
@@ -0,0 +1,114 @@
+//! The handshake: each end sends a Hello, and both are alike from then on.
+
+use crate::connection::{LocalIdentity, RequestHandler, RpcConnection};
+use crate::error::RpcError;
+use bytes::Bytes;
+use futures_util::{SinkExt, StreamExt};
+use lilacpitch_fleet::frame::{FrameReader, FrameWriter, MAX_FRAME_BYTES};
+use lilacpitch_fleet::message::{Body, Hello, VERSION};
+use rand::rngs::StdRng;
+use rand::{Rng, SeedableRng};
+use std::net::SocketAddr;
+use std::sync::Arc;
+use std::time::Duration;
+use tokio::net::tcp::{OwnedReadHalf, OwnedWriteHalf};
+use tokio::net::TcpStream;
+use tokio_util::codec::{FramedRead, FramedWrite, LengthDelimitedCodec};
+
+/// The receiving half of a connection.
+pub(crate) struct FrameSource {
+    pub(crate) stream: FramedRead<OwnedReadHalf, LengthDelimitedCodec>,
+    pub(crate) reader: FrameReader,
+}
+
+/// The sending half of a connection.
+pub(crate) struct FrameSink {
+    pub(crate) stream: FramedWrite<OwnedWriteHalf, LengthDelimitedCodec>,
+    pub(crate) writer: FrameWriter,
+    /// Draws the nonces of frames.
+    pub(crate) rng: StdRng,
+}
+
+/// Connects to a process and makes the handshake; each may take up to `timeout`.
+///
+/// # Errors
+/// [`RpcError`]: the process was not reached, or the handshake failed.
+pub async fn connect(
+    address: SocketAddr,
+    identity: &LocalIdentity,
+    handler: Arc<dyn RequestHandler>,
+    timeout: Duration,
+) -> Result<Arc<RpcConnection>, RpcError> {
+    let timed_out = || std::io::Error::from(std::io::ErrorKind::TimedOut);
+    let stream = match tokio::time::timeout(timeout, TcpStream::connect(address)).await {
+        Ok(Ok(stream)) => stream,
+        Ok(Err(error)) => return Err(RpcError::Unreachable(address, error)),
+        Err(_) => return Err(RpcError::Unreachable(address, timed_out())),
+    };
+    accept(stream, identity, handler, timeout).await
+}
+
+/// Makes the handshake on a stream, at either end: both do the same. It may take up to `timeout`.
+///
+/// # Errors
+/// [`RpcError`]: the other end sent no valid Hello in time.
+pub async fn accept(
+    stream: TcpStream,
+    identity: &LocalIdentity,
+    handler: Arc<dyn RequestHandler>,
+    timeout: Duration,
+) -> Result<Arc<RpcConnection>, RpcError> {
+    let _ = stream.set_nodelay(true);
+    let codec = LengthDelimitedCodec::builder().max_frame_length(MAX_FRAME_BYTES).new_codec();
+    let (read, write) = stream.into_split();
+    let mut rng =
+        StdRng::try_from_os_rng().map_err(|error| handshake_error(format!("no randomness: {error}")))?;
+    let nonce: u64 = rng.random_range(1..=u64::MAX);
+    let mut source = FrameSource {
+        stream: FramedRead::new(read, codec.clone()),
+        reader: FrameReader::new(identity.keys.clone(), nonce),
+    };
+    let mut sink = FrameSink {
+        stream: FramedWrite::new(write, codec),
+        writer: FrameWriter::new(identity.keys.clone()),
+        rng,
+    };
+    let hello = own_hello(identity, nonce);
+    let first_frame = sink.writer.seal(&Body::Hello(hello), sink.rng.random())?;
+    let exchange = exchange_hellos(&mut source, &mut sink, first_frame);
+    let peer = match tokio::time::timeout(timeout, exchange).await {
+        Ok(Ok(Body::Hello(peer))) => peer,
+        Ok(Ok(_)) => return Err(handshake_error("not a Hello")),
+        Ok(Err(error)) => return Err(error),
+        Err(_) => return Err(handshake_error("not in time")),
+    };
+    sink.writer.set_peer(&peer);
+    Ok(RpcConnection::spawn(peer, source, sink, handler))
+}
+
+fn own_hello(identity: &LocalIdentity, nonce: u64) -> Hello {
+    Hello {
+        version: VERSION,
+        name: identity.name.clone(),
+        incarnation: identity.incarnation,
+        role: identity.role.clone(),
+        nonce,
+    }
+}
+
+async fn exchange_hellos(
+    source: &mut FrameSource,
+    sink: &mut FrameSink,
+    first_frame: Vec<u8>,
+) -> Result<Body, RpcError> {
+    sink.stream.send(Bytes::from(first_frame)).await.map_err(|error| handshake_error(error.to_string()))?;
+    match source.stream.next().await {
+        Some(Ok(bytes)) => source.reader.open(&bytes).map_err(RpcError::from),
+        Some(Err(error)) => Err(handshake_error(error.to_string())),
+        None => Err(handshake_error("closed")),
+    }
+}
+
+fn handshake_error(reason: impl Into<String>) -> RpcError {
+    RpcError::Handshake(reason.into())
+}
--- a/crates/lilacpitch-rpc/src/lib.rs
+++ b/crates/lilacpitch-rpc/src/lib.rs
@@ -1,16 +1,20 @@
-//! Links between processes of the fleet: the shell around [`lilacpitch_fleet::frame`], on tokio.
+//! Requests and responses between processes of the fleet, over TCP: the tokio shell around [`lilacpitch_fleet::frame`].
 //!
-//! A [`Link`] is one TCP connection over which both ends ask and answer. Its state is in two places: the frames'
-//! counters in its two tasks, and the questions that wait for an answer under one lock, which is never held across an
-//! await. What can't be taken is refused, what floods is told 'full', and what breaks the frames ends that connection
-//! alone.
+//! - `handshake`: connects, or accepts, and exchanges Hellos. `connection`: requests and responses, both ways.
+//! - `dialer`: a connection that is made again when it was lost. `steady_clock`: the clock of leases.
+//!
+//! Frames that can't be opened end their connection alone; requests beyond a limit are rejected as overload.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
-mod dial;
-mod link;
-mod steady;
+mod connection;
+mod dialer;
+mod error;
+mod handshake;
+mod steady_clock;
 
-pub use dial::Dialer;
-pub use link::{accept, connect, LocalIdentity, RequestHandler, ResponseFuture, RpcConnection, RpcError};
-pub use steady::steady_ns;
+pub use connection::{LocalIdentity, RequestHandler, ResponseFuture, RpcConnection};
+pub use dialer::Dialer;
+pub use error::RpcError;
+pub use handshake::{accept, connect};
+pub use steady_clock::steady_ns;
--- a/crates/lilacpitch-rpc/tests/links.rs
+++ b/crates/lilacpitch-rpc/tests/connections.rs
@@ -1,4 +1,4 @@
-//! Two ends of a link over loopback: questions both ways, a stranger's key, rubbish, doubled bytes, silence.
+//! Two ends of a connection over loopback: requests both ways, a foreign key, damaged and duplicate frames, silence.
 
 use lilacpitch_fleet::error::FrameError;
 use lilacpitch_fleet::frame::FrameWriter;
@@ -15,10 +15,10 @@
 struct Echo;
 
 impl RequestHandler for Echo {
-    fn handle(self: Arc<Self>, from: Arc<RpcConnection>, ask: Request) -> ResponseFuture {
+    fn handle(self: Arc<Self>, from: Arc<RpcConnection>, request: Request) -> ResponseFuture {
         Box::pin(async move {
-            match ask {
-                // Asks back over the same link before it answers.
+            match request {
+                // Sends a request of its own over the same connection before it responds.
                 Request::Progress => from.request(Request::ReadIndex, SOON).await.unwrap(),
                 Request::ReadIndex => Response::ReadIndex(from.peer.incarnation),
                 Request::ReleaseLease => std::future::pending().await,
@@ -28,25 +28,20 @@
     }
 }
 
-fn me(name: &str, life: u64, key: u8) -> LocalIdentity {
-    LocalIdentity {
-        name: name.into(),
-        incarnation: life,
-        role: Role::Front,
-        keys: Keys::from_bytes([key; 32]),
-    }
+fn identity(name: &str, incarnation: u64, key: u8) -> LocalIdentity {
+    LocalIdentity { name: name.into(), incarnation, role: Role::Front, keys: Keys::from_bytes([key; 32]) }
 }
 
 async fn pair(key: u8) -> (Result<Arc<RpcConnection>, RpcError>, Result<Arc<RpcConnection>, RpcError>) {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
-    let (there, here) = (me("b", 2, key), me("a", 1, 1));
+    let (there, here) = (identity("b", 2, key), identity("a", 1, 1));
     let accepted = async { accept(listener.accept().await.unwrap().0, &there, Arc::new(Echo), SOON).await };
     tokio::join!(connect(address, &here, Arc::new(Echo), SOON), accepted)
 }
 
 #[tokio::test]
-async fn both_ends_ask_and_answer_over_one_connection() {
+async fn both_ends_send_requests_over_one_connection() {
     let (a, b) = pair(1).await;
     let (a, b) = (a.unwrap(), b.unwrap());
     assert_eq!((a.peer.name.as_str(), b.peer.name.as_str()), ("b", "a"));
@@ -55,26 +50,26 @@
 }
 
 #[tokio::test]
-async fn a_stranger_is_refused_and_an_end_ends_what_waits() {
+async fn rejects_a_foreign_key_and_fails_requests_in_flight_when_the_connection_ends() {
     let (a, b) = pair(9).await;
     assert!(matches!(a, Err(RpcError::Frame(_) | RpcError::Handshake(_))));
     assert!(matches!(b, Err(RpcError::Frame(_) | RpcError::Handshake(_))));
     let (a, b) = pair(1).await;
     let (a, b) = (a.unwrap(), b.unwrap());
-    let asking = a.request(Request::ReleaseLease, SOON);
+    let request = a.request(Request::ReleaseLease, SOON);
     let ending = async {
         tokio::time::sleep(Duration::from_millis(50)).await;
         b.close();
     };
-    let (asked, ()) = tokio::join!(asking, ending);
-    assert!(matches!(asked, Err(RpcError::Closed)));
+    let (result, ()) = tokio::join!(request, ending);
+    assert!(matches!(result, Err(RpcError::Closed)));
     let late = pair(1).await.0.unwrap().request(Request::ReleaseLease, Duration::from_millis(50)).await;
     assert!(matches!(late, Err(RpcError::TimedOut)));
 }
 
-/// Two builds side by side: the other's first frame is opened, and its version refused by name.
+/// Two builds side by side: the other's first frame is opened, and its version rejected by its number.
 #[tokio::test]
-async fn another_version_is_refused_by_name_and_others_go_on() {
+async fn rejects_another_version_by_its_number_and_keeps_other_connections() {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
     let (name, role) = ("later".to_string(), Role::Front);
@@ -88,17 +83,20 @@
         // Until the other end has ended it.
         drop(stream.read_to_end(&mut Vec::new()).await);
     };
-    let there = me("b", 2, 1);
+    let there = identity("b", 2, 1);
     let accepted = async { accept(listener.accept().await.unwrap().0, &there, Arc::new(Echo), SOON).await };
     let ((), refused) = tokio::join!(later, accepted);
     let version = matches!(&refused, Err(RpcError::Frame(FrameError::Version(v))) if *v == VERSION + 1);
     assert!(version, "{:?}", refused.err());
-    assert!(pair(1).await.0.unwrap().request(Request::ReadIndex, SOON).await.is_ok(), "others go on");
+    assert!(
+        pair(1).await.0.unwrap().request(Request::ReadIndex, SOON).await.is_ok(),
+        "other connections go on"
+    );
 }
 
 #[tokio::test]
-async fn doubled_and_damaged_frames_end_their_connection_alone() {
-    // Between the two a relay that passes one way as it is, and says the other way's second frame twice.
+async fn duplicate_or_damaged_frame_ends_its_connection_alone() {
+    // Between the two a relay that passes one direction as it is, and the second frame of the other one twice, or damaged.
     for damage in [false, true] {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let relay = TcpListener::bind("127.0.0.1:0").await.unwrap();
@@ -126,7 +124,7 @@
             };
             tokio::join!(forth, async { drop(tokio::io::copy(&mut fr, &mut nw).await) });
         });
-        let (here, there) = (me("a", 1, 1), me("b", 2, 1));
+        let (here, there) = (identity("a", 1, 1), identity("b", 2, 1));
         let accepted =
             async { accept(listener.accept().await.unwrap().0, &there, Arc::new(Echo), SOON).await };
         let (a, b) = tokio::join!(connect(via, &here, Arc::new(Echo), SOON), accepted);
@@ -134,8 +132,8 @@
         let _ = a.request(Request::ReadIndex, Duration::from_millis(500)).await;
         tokio::time::timeout(SOON, b.ended())
             .await
-            .expect("the end that was told twice, or rubbish, ends it");
+            .expect("the end that received a frame twice, or a damaged one, ends it");
         let (c, _d) = pair(1).await;
-        assert!(c.unwrap().request(Request::ReadIndex, SOON).await.is_ok(), "others go on");
+        assert!(c.unwrap().request(Request::ReadIndex, SOON).await.is_ok(), "other connections go on");
     }
 }
