--- a/crates/lilacpitch-edge/tests/node/servers.rs
+++ b/crates/lilacpitch-edge/tests/node/servers.rs
@@ -204,7 +204,10 @@
     let slow = server.next("launch");
     std::thread::sleep(ms(250));
     server.answer(&slow, "there");
-    let (took, record) = (slow.at.elapsed(), node.last_attempt_record(&format!("step=established call=13 wire_id={}", id(50))));
+    let (took, record) = (
+        slow.at.elapsed(),
+        node.last_attempt_record(&format!("step=established call=13 wire_id={}", id(50))),
+    );
     let wait = record.split("wait_ms=").nth(1).and_then(|rest| rest.split(' ').next()).unwrap();
     let wait = ms(wait.parse().unwrap());
     assert!(wait >= ms(150) && wait <= took + ms(100), "{wait:?} of {took:?}: {record}");
