--- a/crates/lilacpitch-fleet/tests/cache_orders.rs
+++ b/crates/lilacpitch-fleet/tests/cache_orders.rs
@@ -81,7 +81,7 @@
 }
 
 #[test]
-fn no_order_of_locks_refills_with_the_old() {
+fn never_caches_a_purged_answer_in_any_lock_order() {
     for scope in [
         PurgeScope::Number(number()),
         PurgeScope::Prefix("1555".into()),
@@ -93,7 +93,7 @@
 }
 
 #[test]
-fn without_the_guard_some_order_does() {
+fn caches_a_purged_answer_in_some_lock_order_without_the_safeguard() {
     let guards = Safeguards { stale_fills: false, ..Safeguards::default() };
     let played = std::panic::catch_unwind(move || {
         shuttle::check_random(move || play(guards, PurgeScope::Number(number())), 3_000);
--- a/crates/lilacpitch-fleet/tests/errors.rs
+++ b/crates/lilacpitch-fleet/tests/errors.rs
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn all_variants_have_a_code_of_their_own_and_a_help() {
+fn every_error_has_its_own_code_and_a_help() {
     let mut codes = BTreeSet::new();
     let word = String::new;
     walk!(codes, LocationError, [
--- a/crates/lilacpitch-fleet/tests/model.rs
+++ b/crates/lilacpitch-fleet/tests/model.rs
@@ -115,6 +115,18 @@
         root
     }
 
+    /// Another process of the root becomes the origin.
+    fn take_over_root(&self, s: &mut State) {
+        let position = s.root.position();
+        s.root = self.origin();
+        s.root.reset(LogTail::starting_at(position, BTreeSet::new()));
+        s.root.allow_grants_until(u64::MAX, position);
+        // It has aggregated its own children all the while, and there were none.
+        s.root.aggregate(s.now);
+        s.root.become_origin(s.now);
+        s.taken_over = true;
+    }
+
     fn deliver(&self, s: &mut State, message: Message) {
         match message {
             Message::Renew(who, life, asked, applied) => {
@@ -288,16 +300,7 @@
                 s.front = (s.front.0 + 1, LeaseHolder::new(0));
                 (s.cached, s.reading, s.asked) = (None, None, false);
             }
-            Action::TakeOver => {
-                let position = s.root.position();
-                s.root = self.origin();
-                s.root.reset(LogTail::starting_at(position, BTreeSet::new()));
-                s.root.allow_grants_until(u64::MAX, position);
-                // It has counted those below it all the while, and there were none.
-                s.root.aggregate(s.now);
-                s.root.become_origin(s.now);
-                s.taken_over = true;
-            }
+            Action::TakeOver => self.take_over_root(&mut s),
             Action::Write => {
                 s.wrote = s.relay.2.accepts_writes_from(s.now, &id(Who::Front, s.front.0)) && !s.asked
             }
@@ -334,28 +337,28 @@
 }
 
 #[test]
-fn purged_means_gone_in_every_order_of_events() {
+fn purged_answers_are_never_served_in_any_order_of_events() {
     explored(small(Safeguards::default())).assert_properties();
 }
 
 #[test]
-fn and_with_a_relay_that_dies() {
+fn purged_answers_are_never_served_when_the_parent_restarts() {
     explored(Fleet { lives: [2, 1], ..small(Safeguards::default()) }).assert_properties();
 }
 
 #[test]
-fn and_with_a_front_that_dies() {
+fn purged_answers_are_never_served_when_the_front_restarts() {
     explored(Fleet { lives: [1, 2], ..small(Safeguards::default()) }).assert_properties();
 }
 
 #[test]
-fn and_with_a_root_that_is_taken_over() {
+fn purged_answers_are_never_served_when_another_process_becomes_the_origin() {
     explored(Fleet { take_over: true, ..small(Safeguards::default()) }).assert_properties();
 }
 
 /// The model sees what it is there for.
 #[test]
-fn acknowledgements_that_are_assumed_and_writes_without_a_lease_are_found() {
+fn model_finds_violations_when_a_safeguard_is_off() {
     for (guards, property) in [
         (Safeguards { acknowledgements: false, ..Safeguards::default() }, "purged means gone"),
         (Safeguards { write_fencing: false, ..Safeguards::default() }, "who has not asked writes nothing"),
--- a/crates/lilacpitch-gossip/tests/network.rs
+++ b/crates/lilacpitch-gossip/tests/network.rs
@@ -156,7 +156,7 @@
 }
 
 #[test]
-fn twenty_fronts_that_start_at_once_find_each_other_and_are_all_told() {
+fn twenty_fronts_find_each_other_and_get_reports_when_they_start_together() {
     let mut net = Net::new(20, 0);
     net.run(8 * S);
     assert!((0..20).all(|i| net.sees(i) == 19), "{:?}", (0..20).map(|i| net.sees(i)).collect::<Vec<_>>());
@@ -174,7 +174,7 @@
 }
 
 #[test]
-fn with_loss_they_find_each_other_and_a_dead_one_is_noticed_by_all() {
+fn fronts_find_each_other_and_detect_a_dead_one_when_datagrams_are_lost() {
     for loss in [10, 30] {
         let mut net = Net::new(16, loss);
         net.run(20 * S);
@@ -203,7 +203,7 @@
 }
 
 #[test]
-fn a_front_that_restarts_under_its_name_replaces_its_former_life() {
+fn restarted_front_replaces_its_former_incarnation() {
     let mut net = Net::new(6, 0);
     net.run(5 * S);
     let before = net.fronts[1].as_ref().unwrap().members();
@@ -218,7 +218,7 @@
 }
 
 #[test]
-fn a_partition_heals_without_a_storm() {
+fn partition_heals_without_a_burst_of_datagrams() {
     let mut net = Net::new(12, 0);
     net.run(8 * S);
     net.reach = |a, b| (a < 6) == (b < 6);
@@ -238,7 +238,7 @@
 }
 
 #[test]
-fn with_all_messages_lost_a_front_starts_and_stops_asking() {
+fn front_starts_and_stops_requests_when_all_datagrams_are_lost() {
     let mut net = Net::new(4, 100);
     net.run(60 * S);
     assert!((0..4).all(|i| net.sees(i) == 0 && net.told(i).is_empty()));
@@ -256,7 +256,7 @@
 }
 
 #[test]
-fn what_must_be_refused_is_refused_by_name_and_counted() {
+fn rejects_bad_datagrams_by_reason_and_counts_them() {
     let (mut front, good) = asked();
     let mut out = Vec::new();
     let mut refused =
@@ -297,7 +297,7 @@
 }
 
 #[test]
-fn answers_count_once_and_only_when_asked_for() {
+fn accepts_each_response_once_and_only_when_requested() {
     let (mut teller, question) = asked();
     let mut out = Vec::new();
     teller.handle_datagram(START, &question, &mut out).unwrap();
@@ -350,7 +350,7 @@
 }
 
 #[test]
-fn questions_past_the_allowance_are_refused() {
+fn rejects_requests_beyond_the_answer_budget() {
     let mut front = Peers::new(settings(0, 3), START, 0);
     let mut asked = 0;
     let mut too_often = 0;
@@ -370,7 +370,7 @@
 }
 
 #[test]
-fn key_files_are_read_strictly_and_two_keys_hold_during_a_change() {
+fn key_files_are_parsed_strictly_and_two_keys_open_during_a_change() {
     let line = "ab".repeat(32);
     assert!(Keys::from_text(&format!("# old\n{line}\n\n{line}\n")).is_ok());
     for (text, error) in [
@@ -394,7 +394,7 @@
 }
 
 #[test]
-fn arbitrary_and_sealed_rubbish_never_panics() {
+fn arbitrary_bytes_never_panic_sealed_or_not() {
     let config = Config { cases: 2_000, failure_persistence: None, ..Config::default() };
     let mut runner = TestRunner::new_with_rng(config, TestRng::from_seed(RngAlgorithm::ChaCha, &[4; 32]));
     let bytes = proptest::collection::vec(any::<u8>(), 0..400);
--- a/crates/lilacpitch-location/tests/orders.rs
+++ b/crates/lilacpitch-location/tests/orders.rs
@@ -86,12 +86,12 @@
 }
 
 #[test]
-fn no_order_of_locks_rules_out_a_row_that_was_there() {
+fn summary_never_rules_out_a_record_in_any_lock_order() {
     shuttle::check_random(|| play(true), 1_000);
 }
 
 #[test]
-fn a_router_that_looks_too_late_is_seen() {
+fn detects_a_summary_that_is_read_too_late() {
     let played = std::panic::catch_unwind(|| shuttle::check_random(|| play(false), 1_000));
     assert!(played.is_err(), "the exploration would see it");
 }
--- a/crates/lilacpitch-location/tests/register.rs
+++ b/crates/lilacpitch-location/tests/store.rs
@@ -25,7 +25,7 @@
 
 proptest! {
     #[test]
-    fn finds_what_a_plain_table_finds_page_by_page(
+    fn finds_the_same_pages_as_a_plain_table(
         steps in prop::collection::vec((0u32..300, 0u64..3, any::<bool>()), 0..400),
         digits in "[0-9]{0,2}", limit in 1usize..9,
     ) {
@@ -53,7 +53,7 @@
     }
 
     #[test]
-    fn a_summary_never_rules_out_what_is_there(
+    fn summary_never_rules_out_a_number_with_records(
         steps in prop::collection::vec((0u32..2_000, any::<bool>()), 1..600), look_every in 1usize..40,
     ) {
         let (register, mut plain) = (LocationStore::new(4).unwrap(), BTreeSet::new());
@@ -79,7 +79,7 @@
 
     /// Seen on a day with faults: a relay that lagged took a router back, under the newer one's date.
     #[test]
-    fn a_router_with_two_sources_never_goes_back(
+    fn summary_never_goes_back_when_updates_come_from_two_sources(
         steps in prop::collection::vec((0u32..3_000, 0usize..4), 1..500),
     ) {
         let register = LocationStore::new(1).unwrap();
@@ -104,7 +104,7 @@
     }
 
     #[test]
-    fn damaged_bits_are_refused_or_read_and_never_a_panic(bytes in prop::collection::vec(any::<u8>(), 0..200), n in 0usize..500) {
+    fn damaged_sets_never_panic(bytes in prop::collection::vec(any::<u8>(), 0..200), n in 0usize..500) {
         if let Some(values) = golomb_coded_set::decode(&bytes, n) {
             prop_assert_eq!(values.len(), n);
             prop_assert!(values.windows(2).all(|pair| pair[0] <= pair[1]));
@@ -113,7 +113,7 @@
 }
 
 #[test]
-fn a_number_costs_under_twelve_bits_and_a_stranger_passes_once_in_a_thousand() {
+fn summary_takes_under_twelve_bits_a_number_at_one_false_positive_in_a_thousand() {
     let of = |from: u32| {
         (from..from + 200_000).map(|n| fingerprint(Number::new(&n.to_string()).unwrap().hash64()))
     };
@@ -129,7 +129,7 @@
 }
 
 #[test]
-fn threads_write_and_a_snapshot_is_taken_meanwhile() {
+fn snapshot_is_taken_while_threads_write() {
     let register = Arc::new(LocationStore::new(16).unwrap());
     let writers: Vec<_> = (0..4u32)
         .map(|thread| {
@@ -151,7 +151,7 @@
 }
 
 #[test]
-fn the_rows_of_a_fronts_former_lives_go_and_later_ones_stay() {
+fn removes_records_of_former_incarnations_only() {
     let register = LocationStore::new(4).unwrap();
     (0..100).for_each(|n| drop(register.upsert(row(n, 0, 0))));
     let mut later = row(1_000, 0, 0);
