--- a/crates/lilacpitch/src/controller/told.rs
+++ b/crates/lilacpitch/src/controller/told.rs
@@ -4,7 +4,7 @@
 
 impl Controller {
     /// What this front knows of servers from its own set-ups; hearsay is not passed on.
-    pub fn facts(&self) -> Vec<ServerReport> {
+    pub fn server_reports(&self) -> Vec<ServerReport> {
         let fact = |server: &Server| {
             // What goes on waiting is told anew twice a gap: others forget it else.
             let age_ns = server.oldest_ns().map(|oldest| self.now.saturating_sub(oldest));
--- a/crates/lilacpitch/tests/mechanism.rs
+++ b/crates/lilacpitch/tests/mechanism.rs
@@ -817,7 +817,7 @@
         front.call(0);
         front.pass(190 * MS);
         front.event(Event::TimerFired);
-        front.brain.facts()[0].wait_ns
+        front.brain.server_reports()[0].wait_ns
     };
     assert!(waits(3 * S, 12 * S) >= 190 * MS, "four in twelve seconds");
     assert!(waits(100 * MS, 12 * S) < 20 * MS, "forty: what is on its way waits nowhere");
@@ -871,7 +871,7 @@
         assert_eq!(sent_to(&actions, id), Some(22));
         front.pass(20 * MS);
         front.stands(id, 0);
-        front.brain.facts()
+        front.brain.server_reports()
     };
     // Own facts speak of what this front itself has seen, and of nothing it was told.
     let own = facts(&mut front);
