--- a/crates/lilacpitch-node/src/core/mod.rs
+++ b/crates/lilacpitch-node/src/core/mod.rs
@@ -324,7 +324,8 @@
         let of = |call: &CallId| self.calls.get(call).map(|call| call.wire);
         let believed = |what: &str, call: u64, wire: Option<u64>, server: ServerId| {
             let Some(row) = self.servers.get(&server) else { return };
-            let Some(fact) = self.brain.server_reports().into_iter().find(|fact| fact.server == server) else {
+            let Some(fact) = self.brain.server_reports().into_iter().find(|fact| fact.server == server)
+            else {
                 return;
             };
             let (open, standing) = self.calls_now();
--- a/crates/lilacpitch/src/controller/state.rs
+++ b/crates/lilacpitch/src/controller/state.rs
@@ -1,179 +1,317 @@
 //! What the module keeps of servers and calls: types, which decide nothing.
 
-use super::Count;
+use super::{Count, MAX_PEER_REPORTS, NEUTRAL_WEIGHT};
 use crate::interface::*;
-use crate::latency_deviation::Spread;
+use crate::latency_deviation::LatencyDeviation;
+use crate::peer_reports::PeerReports;
+use crate::pending_queue::PendingQueue;
+use rand_core::{RngCore, SeedableRng};
+use rand_pcg::Pcg32;
+use std::collections::BTreeMap;
 
 /// A set-up that has had no answer yet.
 #[derive(Clone, Copy)]
-pub(super) struct Unanswered {
+pub(super) struct InFlightAttempt {
     pub(super) call: CallId,
     pub(super) sent_ns: Nanos,
     /// From when on it waits: before, it was on its way.
-    pub(super) waits_ns: Nanos,
+    pub(super) waiting_since_ns: Nanos,
     /// A later set-up was answered first: this one does not wait in line, it is lost.
-    pub(super) overtaken: bool,
+    pub(super) is_overtaken: bool,
 }
 
 /// A server that is taken to be silent, until a single live call stands there.
 #[derive(Clone, Copy)]
-pub(super) struct Suspect {
-    pub(super) next_trial_ns: Nanos,
+pub(super) struct Ejection {
+    pub(super) next_probe_ns: Nanos,
     pub(super) rest_ns: Nanos,
-    pub(super) trials: u32,
+    pub(super) probes: u32,
     /// By what others tell alone.
-    pub(super) told: bool,
+    pub(super) is_by_peers_only: bool,
     /// The rest's share of the normal gap, as drawn when the suspicion began.
-    pub(super) drawn: f64,
+    pub(super) rest_fraction: f64,
 }
 
-impl Unanswered {
+impl InFlightAttempt {
     /// Leaves a span out of its time.
-    pub(super) fn shift(&mut self, span_ns: Nanos) {
-        self.sent_ns += span_ns;
-        self.waits_ns += span_ns;
+    pub(super) fn shift(&mut self, duration_ns: Nanos) {
+        self.sent_ns += duration_ns;
+        self.waiting_since_ns += duration_ns;
     }
 }
 
+/// The decisions of one front. Same settings, seed and events give the same actions.
+pub struct Controller {
+    pub(super) settings: Settings,
+    pub(super) rng: Pcg32,
+    pub(super) now: Nanos,
+    pub(super) started_ns: Option<Nanos>,
+    pub(super) period: u64,
+    pub(super) servers: BTreeMap<ServerId, Server>,
+    pub(super) calls: BTreeMap<CallId, CallState>,
+    /// Calls held or releasing, by when their patience or release ends; what stands costs no event anything.
+    /// Of held calls that the pick can't tell apart the oldest is asked for all.
+    pub(super) pending: PendingQueue<EquivalenceKey>,
+    pub(super) peer_reports: PeerReports<MAX_PEER_REPORTS>,
+    /// Numbers dialled that were given no server, and when they were first tried.
+    pub(super) unserved_numbers: BTreeMap<u64, Nanos>,
+    /// Numbers whose lines were all busy, and until when they rest.
+    pub(super) busy_numbers: BTreeMap<u64, Nanos>,
+    pub(super) top_priority: f64,
+    pub(super) resend_ns: Nanos,
+    pub(super) timer_ns: Option<Nanos>,
+    pub(super) stall_ns: Nanos,
+    pub(super) subscribe_ns: Option<Nanos>,
+}
+
 #[derive(Default)]
 pub(super) struct Server {
-    pub(super) entry: Endpoint,
+    pub(super) endpoint: Endpoint,
     pub(super) offered: Count,
     pub(super) sent: Count,
-    pub(super) stood: Count,
+    pub(super) succeeded: Count,
     /// What stood and the seconds it took, both fading: this front's normal rate there.
-    pub(super) normal: (f64, f64),
+    pub(super) normal_rate: (f64, f64),
     pub(super) ceiling_per_s: Option<f64>,
     /// The ceiling before the last symptom.
     pub(super) ceiling_before: Option<f64>,
-    pub(super) symptom_ns: Nanos,
-    /// The share of symptoms among the last SHARE_OVER set-ups that ended.
-    pub(super) ill: f64,
+    pub(super) last_symptom_ns: Nanos,
+    /// The share of symptoms among the last RATIO_SAMPLES set-ups that ended.
+    pub(super) symptom_ratio: f64,
     /// When a set-up was last seen to wait there.
-    pub(super) late_ns: Nanos,
+    pub(super) last_late_ns: Nanos,
     /// The last symptom was that its lines ran out, by its own word.
-    pub(super) no_lines: bool,
-    pub(super) deaf_until_ns: Nanos,
+    pub(super) lines_exhausted: bool,
+    pub(super) ignore_until_ns: Nanos,
     pub(super) cut: f64,
-    pub(super) told_wait_until_ns: Nanos,
+    pub(super) backoff_until_ns: Nanos,
     /// Its line became short by the word of others: from when on this front joins it.
-    pub(super) turn_ns: Nanos,
-    pub(super) out: Vec<Unanswered>,
-    pub(super) delay_ns: Nanos,
+    pub(super) join_at_ns: Nanos,
+    pub(super) in_flight: Vec<InFlightAttempt>,
+    pub(super) last_delay_ns: Nanos,
     /// The share of what stood, beside first attempts that ended by a fault; 0 at first.
-    pub(super) sound: f64,
+    pub(super) success_ratio: f64,
     /// What set-ups that stood had waited.
-    pub(super) waits: Spread,
+    pub(super) delays: LatencyDeviation,
     /// The shortest that a set-up took to stand there: what is on its way for no longer does not wait.
-    pub(super) least_ns: Option<Nanos>,
+    pub(super) shortest_ns: Option<Nanos>,
     /// The wait there as other fronts tell it.
-    pub(super) told_wait_ns: Option<Nanos>,
+    pub(super) peer_wait_ns: Option<Nanos>,
     /// Set-ups of other fronts that are unanswered there, as they tell it.
-    pub(super) told_out: usize,
+    pub(super) peer_in_flight: usize,
     /// What stood there a second at all fronts, as others tell it, where own set-ups are few.
-    pub(super) told_stood_per_s: Option<f64>,
-    pub(super) heard_ns: Nanos,
-    pub(super) sent_ns: Nanos,
+    pub(super) peer_success_per_s: Option<f64>,
+    pub(super) last_response_ns: Nanos,
+    pub(super) last_sent_ns: Nanos,
     /// Of one set-up, so much may go there while it is cold.
     pub(super) credit: f64,
-    pub(super) suspect: Option<Suspect>,
-    pub(super) cold_since_ns: Option<Nanos>,
-    pub(super) free: Option<f64>,
-    pub(super) free_ns: Nanos,
+    pub(super) ejection: Option<Ejection>,
+    pub(super) warming_up_since_ns: Option<Nanos>,
+    pub(super) free_capacity: Option<f64>,
+    pub(super) free_as_of_ns: Nanos,
 }
 
 #[derive(Clone, Copy, PartialEq, Eq)]
-pub(super) enum State {
-    Held,
-    Out,
+pub(super) enum CallPhase {
+    Queued,
+    InFlight,
     Releasing,
-    Standing,
+    Established,
 }
 
 /// One call's row in the one table that the rules are checked against.
-pub(super) struct Row {
+pub(super) struct CallState {
     pub(super) call: Call,
-    pub(super) state: State,
-    pub(super) taken_ns: Nanos,
-    pub(super) first_ns: Nanos,
+    pub(super) phase: CallPhase,
+    pub(super) arrived_ns: Nanos,
+    pub(super) first_try_ns: Nanos,
     pub(super) deadline_ns: Nanos,
     pub(super) not_before_ns: Nanos,
     pub(super) attempts: u32,
     pub(super) server: ServerId,
-    pub(super) calling_off: bool,
+    pub(super) is_cancelling: bool,
     /// How likely a call that is fine would have met the faults that it met.
-    pub(super) chance: f64,
+    pub(super) fault_likelihood: f64,
     /// The first attempt that may have run: its server's zone and number, and when it was sent.
     pub(super) may_have_run: Option<(u32, u32, Nanos)>,
 }
 
-impl Row {
+impl CallState {
     /// A call that was just taken.
-    pub(super) fn new(call: Call, taken_ns: Nanos, deadline_ns: Nanos) -> Self {
-        Row {
+    pub(super) fn new(call: Call, arrived_ns: Nanos, deadline_ns: Nanos) -> Self {
+        CallState {
             call,
-            state: State::Held,
-            taken_ns,
-            first_ns: taken_ns,
+            phase: CallPhase::Queued,
+            arrived_ns,
+            first_try_ns: arrived_ns,
             deadline_ns,
-            not_before_ns: taken_ns,
+            not_before_ns: arrived_ns,
             attempts: 0,
             server: 0,
-            calling_off: false,
-            chance: 1.0,
+            is_cancelling: false,
+            fault_likelihood: 1.0,
             may_have_run: None,
         }
     }
 }
 
-/// What the pick goes by in a call: class, first choice, width, flags, the attempt that may have run, and where
-/// the last one failed.
-pub(super) type Likeness = (usize, u32, u64, [bool; 3], Option<(u32, u32, Nanos)>, Option<ServerId>);
+/// What server selection goes by in a call: class, first choice, circuits, flags, the attempt that may have
+/// run, and where the last one failed.
+pub(super) type EquivalenceKey = (usize, u32, u64, [bool; 3], Option<(u32, u32, Nanos)>, Option<ServerId>);
 
 impl Server {
+    /// A server of which nothing is known but its place in the endpoint list.
+    pub(super) fn new(endpoint: Endpoint, now: Nanos) -> Self {
+        let warming_up_since_ns = (endpoint.up_since_ns > 0).then_some(endpoint.up_since_ns);
+        Server { endpoint, warming_up_since_ns, last_response_ns: now, ..Server::default() }
+    }
+
     /// One more set-up is unanswered, and on its way for so long.
-    pub(super) fn put_out(&mut self, call: CallId, sent_ns: Nanos, way_ns: Nanos) {
-        let waits_ns = sent_ns + way_ns;
-        self.out.push(Unanswered { call, sent_ns, waits_ns, overtaken: false });
+    pub(super) fn start_attempt(&mut self, call: CallId, sent_ns: Nanos, network_delay_ns: Nanos) {
+        let waiting_since_ns = sent_ns + network_delay_ns;
+        self.in_flight.push(InFlightAttempt { call, sent_ns, waiting_since_ns, is_overtaken: false });
     }
 
     /// A set-up is unanswered no longer.
-    pub(super) fn take_out(&mut self, call: CallId) -> Option<Unanswered> {
-        self.out.iter().position(|out| out.call == call).map(|at| self.out.remove(at))
+    pub(super) fn finish_attempt(&mut self, call: CallId) -> Option<InFlightAttempt> {
+        self.in_flight.iter().position(|attempt| attempt.call == call).map(|at| self.in_flight.remove(at))
     }
 
     /// A set-up ended by a fault: how many of them did so lately. A call counts once, one in `over`.
-    pub(super) fn faulted(&mut self, first: bool, over: f64) -> f64 {
-        let share = 1.0 - self.sound;
-        self.sound -= if first { self.sound / over } else { 0.0 };
-        share
+    pub(super) fn note_fault(&mut self, first: bool, over: f64) -> f64 {
+        let fault_ratio = 1.0 - self.success_ratio;
+        self.success_ratio -= if first { self.success_ratio / over } else { 0.0 };
+        fault_ratio
     }
 
     /// What stood here, over the time it took, both fading.
-    pub(super) fn stood_per_s(&self) -> f64 {
-        self.normal.0 / self.normal.1.max(1.0)
+    pub(super) fn success_per_s(&self) -> f64 {
+        self.normal_rate.0 / self.normal_rate.1.max(1.0)
     }
 
-    pub(super) fn in_service(&self) -> bool {
-        self.entry.availability == Availability::Ready
+    /// How long a set-up is surely on its way there; where few stood of late, the shortest has waited too.
+    pub(super) fn network_delay_ns(&self, period: u64) -> Nanos {
+        self.shortest_ns.filter(|_| !self.succeeded.is_sparse(period)).unwrap_or(0)
+    }
+
+    pub(super) fn is_in_service(&self) -> bool {
+        self.endpoint.availability == Availability::Ready
     }
 
     /// Since when the oldest set-up waits in line there; still on its way, it is yet to come.
-    pub(super) fn oldest_ns(&self) -> Option<Nanos> {
-        self.out.iter().find(|o| !o.overtaken).map(|o| o.waits_ns)
+    pub(super) fn oldest_since_ns(&self) -> Option<Nanos> {
+        self.in_flight.iter().find(|o| !o.is_overtaken).map(|o| o.waiting_since_ns)
     }
 }
 
-impl super::Controller {
+impl Controller {
+    /// A controller without servers or calls.
+    pub(super) fn empty(settings: Settings, seed: u64, resend_ns: Nanos, top_priority: f64) -> Self {
+        Controller {
+            rng: Pcg32::seed_from_u64(seed),
+            now: 0,
+            started_ns: None,
+            period: 0,
+            servers: BTreeMap::new(),
+            calls: BTreeMap::new(),
+            pending: PendingQueue::default(),
+            peer_reports: PeerReports::default(),
+            unserved_numbers: BTreeMap::new(),
+            busy_numbers: BTreeMap::new(),
+            top_priority,
+            resend_ns,
+            timer_ns: None,
+            stall_ns: 0,
+            subscribe_ns: None,
+            settings,
+        }
+    }
+
+    /// Drawn from 0 to 1, below 1.
+    pub(super) fn random_fraction(&mut self) -> f64 {
+        f64::from(self.rng.next_u32()) / (f64::from(u32::MAX) + 1.0)
+    }
+
+    /// The rate of a count, with `more` set-ups as if they came now.
+    pub(super) fn per_s(&self, count: &Count, more: f64) -> f64 {
+        count.per_s(self.period, self.window_s(), more)
+    }
+
+    /// Changes the record of a server, if there is one.
+    pub(super) fn update_server(&mut self, id: ServerId, change: impl FnOnce(&mut Server)) {
+        if let Some(server) = self.servers.get_mut(&id) {
+            change(server);
+        }
+    }
+
+    /// The settings of a call's class.
+    pub(super) fn class(&self, record: &CallState) -> &Class {
+        &self.settings.classes[record.call.class]
+    }
+
+    /// Keeps what a server reports of its load.
+    pub(super) fn record_load_report(&mut self, id: ServerId, report: LoadReport) {
+        let now = self.now;
+        self.update_server(id, |s| (s.free_capacity, s.free_as_of_ns) = (report.free_capacity, now));
+    }
+
+    /// Keeps a call's place among the waiting in step with its state.
+    pub(super) fn update_pending(&mut self, id: CallId) {
+        let Some(record) = self.calls.get(&id) else { return };
+        let place = match record.phase {
+            CallPhase::Releasing => Some((record.not_before_ns, None)),
+            CallPhase::Queued => {
+                Some((self.patience_ns(record), Some((self.equivalence_key(record), record.arrived_ns))))
+            }
+            CallPhase::InFlight | CallPhase::Established => None,
+        };
+        self.pending.set(id, place);
+    }
+
+    /// Whether exactly the queued and releasing calls are pending: an invariant.
+    pub(super) fn is_pending_in_step(&self) -> bool {
+        let waits = |phase| matches!(phase, CallPhase::Queued | CallPhase::Releasing);
+        self.calls.iter().all(|(id, record)| waits(record.phase) == self.pending.place(*id).is_some())
+    }
+
+    /// The median of what peers report of a server now, if enough of them do.
+    pub(super) fn peer_median(
+        &self,
+        id: ServerId,
+        half_life_ns: Nanos,
+        value: &dyn Fn(&ServerReport) -> f64,
+    ) -> Option<f64> {
+        self.peer_reports.weighted_median(id, self.now, half_life_ns, NEUTRAL_WEIGHT, value)
+    }
+
+    /// Takes a call out of the table, and out of the waiting.
+    pub(super) fn remove_call(&mut self, id: CallId) -> Option<CallState> {
+        self.pending.set(id, None);
+        self.calls.remove(&id)
+    }
+
+    /// All that the pick goes by in a held call.
+    pub(super) fn equivalence_key(&self, record: &CallState) -> EquivalenceKey {
+        let (call, may_have_run, failed) =
+            (record.call, record.may_have_run, (record.attempts > 0).then_some(record.server));
+        let flags = [call.retry_after_cut, call.in_transit, self.is_late(record)];
+        (call.class, call.first_choice, call.circuits.to_bits(), flags, may_have_run, failed)
+    }
+
     /// How much is kept, by name: for tests that nothing keeps growing.
     #[doc(hidden)]
     pub fn sizes(&self) -> Vec<(&'static str, usize)> {
         vec![
             ("module's servers", self.servers.len()),
             ("module's calls", self.calls.len()),
-            ("module's unserved numbers", self.unserved.len()),
-            ("module's busy numbers", self.busy.len()),
-            ("module's unanswered", self.servers.values().map(|s| s.out.len()).sum()),
+            ("module's unserved numbers", self.unserved_numbers.len()),
+            ("module's busy numbers", self.busy_numbers.len()),
+            ("module's unanswered", self.servers.values().map(|s| s.in_flight.len()).sum()),
         ]
     }
 }
+
+/// A fraction or multiple of a duration.
+pub(super) fn scaled(span: Nanos, of: f64) -> Nanos {
+    (span as f64 * of) as Nanos
+}
--- a/crates/lilacpitch/src/lib.rs
+++ b/crates/lilacpitch/src/lib.rs
@@ -1,7 +1,7 @@
 //! lilacpitch decides, at the edge of a network with central servers, what becomes of each call:
 //! which server gets its set-up, when, and when it is refused.
 //!
-//! The mechanism is call counting after Sabourin (ITC-13): see [`brain`], and [`interface`] for the
+//! The mechanism is call counting after Sabourin (ITC-13): see [`controller`], and [`interface`] for the
 //! plain types it is fed with and answers in. [`wire`] is the text framing of the adapter.
 //!
 //! The worked example below is part of the tests.
--- /dev/null
+++ b/crates/lilacpitch/tests/sliding_window.rs
@@ -0,0 +1,20 @@
+//! `SlidingWindowCount`: counts, rates and the minimum of samples.
+
+use lilacpitch::sliding_window::SlidingWindowCount;
+
+type Ten = SlidingWindowCount<10, 2, 100_000_000>;
+
+#[test]
+fn window_slides_but_keeps_its_minimum_of_samples() {
+    let mut count = Ten::default();
+    [1, 2, 3, 12].into_iter().for_each(|period| count.add(period));
+    count.slide(12);
+    assert_eq!((count.len(), count.last()), (2, Some(12)), "3 is within ten periods, 2 is not");
+    count.slide(40);
+    assert_eq!(count.len(), 2);
+    assert!(count.is_sparse(40) && !count.is_sparse(12));
+    // Two in 3.7 s: one step between them.
+    assert!((count.per_s(40, 1.0, 0.0) - 1.0 / 3.7).abs() < 1e-9);
+    assert!((count.per_s(12, 1.0, 1.0) - 3.0).abs() < 1e-9);
+    assert_eq!(Ten::default().per_s(5, 1.0, 1.0), 0.0);
+}
