--- a/crates/lilacpitch-gossip/src/peers.rs
+++ b/crates/lilacpitch-gossip/src/peers.rs
@@ -78,34 +78,40 @@
     /// Send a datagram.
     Send(SocketAddr, Vec<u8>),
     /// A peer is there.
-    Joined(MemberId),
+    MemberJoined(MemberId),
     /// A peer is gone: left, or taken to be dead.
-    Left(MemberId),
+    MemberLeft(MemberId),
     /// A peer asks what this front knows: to be answered by [`Peers::answer`].
     ReportsRequested(Requester),
     /// A peer says what it knows, as it was asked; its voice is that of its [`PeerId::origin`].
     ReportsReceived(MemberId, Vec<ServerReport>),
     /// What this front itself knows is wanted, to be told by [`Peers::tell`].
-    News,
+    ReportsWanted,
     /// What fronts, by their origins, have lately met at servers: new here.
-    Heard(Vec<(u64, ServerReport)>),
+    RumorsReceived(Vec<(u64, ServerReport)>),
 }
 
 /// What has been counted.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Counters {
-    /// Datagrams sent, and their bytes.
-    pub sent: (u64, u64),
-    /// Datagrams taken.
+    /// Datagrams sent.
+    pub sent_datagrams: u64,
+    /// Bytes of the datagrams sent, sealed.
+    pub sent_bytes: u64,
+    /// Datagrams accepted.
     pub accepted: u64,
-    /// Datagrams refused, by reason.
+    /// Datagrams rejected, by reason.
     pub rejected: BTreeMap<DatagramError, u64>,
-    /// Questions asked, and answers taken.
-    pub requests: (u64, u64),
-    /// Questions answered.
-    pub answered: u64,
-    /// Sheets of news told, and voices heard that were new.
-    pub news: (u64, u64),
+    /// Requests for reports sent to other members.
+    pub requests_sent: u64,
+    /// Responses to them that were accepted, one a datagram.
+    pub responses_accepted: u64,
+    /// Requests of other members answered.
+    pub requests_answered: u64,
+    /// Rumor batches sent, one a receiver.
+    pub rumor_batches_sent: u64,
+    /// Rumors received that were new here.
+    pub new_rumors: u64,
 }
 
 #[derive(Serialize, Deserialize)]
@@ -171,8 +177,8 @@
 impl Runtime<MemberId> for Gathered {
     fn notify(&mut self, notification: Notification<'_, MemberId>) {
         match notification {
-            Notification::MemberUp(peer) => self.effects.push(Effect::Joined(peer.clone())),
-            Notification::MemberDown(peer) => self.effects.push(Effect::Left(peer.clone())),
+            Notification::MemberUp(peer) => self.effects.push(Effect::MemberJoined(peer.clone())),
+            Notification::MemberDown(peer) => self.effects.push(Effect::MemberLeft(peer.clone())),
             Notification::Rejoin(me) => self.me = Some(me.clone()),
             _ => {}
         }
@@ -240,19 +246,19 @@
         self.now = self.now.max(now);
         let (now, own) = (self.now, self.me.origin());
         for fact in facts {
-            self.board.enter(now, own, fact);
+            self.board.record_report(now, own, fact);
         }
         let mut to: Vec<SocketAddr> = self.swim.iter_members().map(|m| m.id().address).collect();
         if to.is_empty() {
             return;
         }
-        let sheet = self.board.sheet(now, MAX_DATAGRAM_BYTES - OVERHEAD_BYTES - HEADER_BYTES);
+        let sheet = self.board.next_batch(now, MAX_DATAGRAM_BYTES - OVERHEAD_BYTES - HEADER_BYTES);
         if sheet.is_empty() {
             return;
         }
         for _ in 0..NEWS_TO.min(to.len()) {
             let to = to.swap_remove(self.rng.random_range(0..to.len()));
-            self.counters.news.0 += 1;
+            self.counters.rumor_batches_sent += 1;
             self.send(to, Body::News(sheet.clone()), effects);
         }
     }
@@ -296,13 +302,13 @@
 
     /// The peers that are there, in order.
     pub fn members(&self) -> Vec<MemberId> {
-        let mut members: Vec<MemberId> = self.seen().cloned().collect();
+        let mut members: Vec<MemberId> = self.member_ids().cloned().collect();
         members.sort();
         members
     }
 
     /// The same, as they come.
-    pub fn seen(&self) -> impl Iterator<Item = &MemberId> {
+    pub fn member_ids(&self) -> impl Iterator<Item = &MemberId> {
         self.swim.iter_members().map(|m| m.id())
     }
 
@@ -327,7 +333,7 @@
                 Due::News => {
                     let gap = NEWS_GAP_NS / 2 + self.rng.random_range(0..=NEWS_GAP_NS);
                     self.later(gap, Due::News);
-                    effects.push(Effect::News);
+                    effects.push(Effect::ReportsWanted);
                 }
             }
         }
@@ -393,9 +399,9 @@
             Body::News(sheet) => {
                 let (now, own) = (self.now, self.me.origin());
                 let heard = self.board.receive(now, own, sheet)?;
-                self.counters.news.1 += heard.len() as u64;
+                self.counters.new_rumors += heard.len() as u64;
                 if !heard.is_empty() {
-                    effects.push(Effect::Heard(heard));
+                    effects.push(Effect::RumorsReceived(heard));
                 }
                 Ok(())
             }
@@ -422,7 +428,7 @@
         if !self.answers.entry(from.clone()).or_default().insert(part) {
             return Err(DatagramError::Unsolicited);
         }
-        self.counters.requests.1 += 1;
+        self.counters.responses_accepted += 1;
         effects.push(Effect::ReportsReceived(from, facts));
         Ok(())
     }
@@ -436,7 +442,7 @@
         effects: &mut Vec<Effect>,
     ) {
         self.now = self.now.max(now);
-        self.counters.answered += 1;
+        self.counters.requests_answered += 1;
         for (part, facts) in facts[..facts.len().min(MAX_REPORTS)].chunks(REPORTS_PER_DATAGRAM).enumerate() {
             let body = Body::Facts { question: asker.question, part: part as u8, facts: facts.to_vec() };
             self.send(asker.peer.address, body, effects);
@@ -457,7 +463,7 @@
         from.retain(|address| !self.answers.keys().any(|peer| peer.address == *address));
         for _ in 0..ASKED_AT_ONCE.min(from.len()) {
             let to = from.swap_remove(self.rng.random_range(0..from.len()));
-            self.counters.requests.0 += 1;
+            self.counters.requests_sent += 1;
             self.send(to, Body::Ask { question: self.question }, effects);
         }
         // Half of the gap is drawn: fronts that start together must not ask in step.
@@ -521,8 +527,8 @@
         self.rng.fill_bytes(&mut nonce);
         let sealed = self.settings.keys.seal(&plain, nonce);
         debug_assert!(sealed.len() <= MAX_DATAGRAM_BYTES, "{} bytes", sealed.len());
-        self.counters.sent.0 += 1;
-        self.counters.sent.1 += sealed.len() as u64;
+        self.counters.sent_datagrams += 1;
+        self.counters.sent_bytes += sealed.len() as u64;
         effects.push(Effect::Send(to, sealed));
     }
 }
