--- a/crates/lilacpitch/src/bin/lilacpitch-wirehost.rs
+++ b/crates/lilacpitch/src/bin/lilacpitch-wirehost.rs
@@ -1,35 +1,64 @@
 //! Hosts controllers, one for each front, on the text wire: standard input to standard output.
 #![forbid(unsafe_code)]
 
-use lilacpitch::wire::Host;
+use lilacpitch::wire::{Host, WireError};
+use std::fmt;
 use std::io::{self, BufRead, BufReader, BufWriter, Write};
 use std::process::ExitCode;
 
+/// Size of the buffers of standard input and output.
+const BUFFER_BYTES: usize = 1 << 16;
+
+/// Why the program ends early.
+enum HostError {
+    Read(io::Error),
+    Write(io::Error),
+    NotUtf8 { line: u64 },
+    Wire(WireError),
+}
+
+impl fmt::Display for HostError {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        match self {
+            HostError::Read(error) => write!(f, "reading: {error}"),
+            HostError::Write(error) => write!(f, "writing: {error}"),
+            HostError::NotUtf8 { line } => write!(f, "line {line}: field line: not UTF-8"),
+            HostError::Wire(error) => error.fmt(f),
+        }
+    }
+}
+
+impl From<WireError> for HostError {
+    fn from(error: WireError) -> Self {
+        HostError::Wire(error)
+    }
+}
+
 fn main() -> ExitCode {
     match run() {
         Ok(()) => ExitCode::SUCCESS,
-        Err(message) => {
-            eprintln!("lilacpitch-wirehost: {message}");
+        Err(error) => {
+            eprintln!("lilacpitch-wirehost: {error}");
             ExitCode::from(2)
         }
     }
 }
 
-fn run() -> Result<(), String> {
-    let mut input = BufReader::with_capacity(1 << 16, io::stdin().lock());
-    let mut output = BufWriter::with_capacity(1 << 16, io::stdout().lock());
+fn run() -> Result<(), HostError> {
+    let mut input = BufReader::with_capacity(BUFFER_BYTES, io::stdin().lock());
+    let mut output = BufWriter::with_capacity(BUFFER_BYTES, io::stdout().lock());
     let mut host = Host::new();
     let (mut bytes, mut reply) = (Vec::new(), String::new());
     loop {
         bytes.clear();
-        if input.read_until(b'\n', &mut bytes).map_err(|e| format!("reading: {e}"))? == 0 {
-            return host.end_of_input().map_err(|e| e.to_string());
+        if input.read_until(b'\n', &mut bytes).map_err(HostError::Read)? == 0 {
+            return Ok(host.end_of_input()?);
         }
-        let line = std::str::from_utf8(&bytes)
-            .map_err(|_| format!("line {}: field line: not UTF-8", host.lines_read() + 1))?;
-        if host.line(line.trim_end_matches(['\n', '\r']), &mut reply).map_err(|e| e.to_string())? {
-            output.write_all(reply.as_bytes()).map_err(|e| format!("writing: {e}"))?;
-            output.flush().map_err(|e| format!("writing: {e}"))?;
+        let line =
+            std::str::from_utf8(&bytes).map_err(|_| HostError::NotUtf8 { line: host.lines_read() + 1 })?;
+        if host.line(line.trim_end_matches(['\n', '\r']), &mut reply)? {
+            output.write_all(reply.as_bytes()).map_err(HostError::Write)?;
+            output.flush().map_err(HostError::Write)?;
             reply.clear();
         }
     }
--- a/crates/lilacpitch/src/controller.rs
+++ b/crates/lilacpitch/src/controller.rs
@@ -197,7 +197,7 @@
 
     /// One timer at a time: the next period's end, or sooner when a call's release or patience runs out.
     fn set_timer(&mut self, actions: &mut Vec<Action>) {
-        let due_ns = self.pending.next_ns().unwrap_or(Nanos::MAX);
+        let due_ns = self.pending.next_deadline_ns().unwrap_or(Nanos::MAX);
         let at = due_ns.min((self.period + 1) * PERIOD_NS).max(self.now + 1);
         if self.timer_ns.is_none_or(|set| at < set) {
             self.timer_ns = Some(at);
--- a/crates/lilacpitch/src/controller/calls.rs
+++ b/crates/lilacpitch/src/controller/calls.rs
@@ -176,10 +176,10 @@
             self.pending.due(self.now).filter_map(|id| self.turn_order(id)).collect();
         self.pending.groups().into_iter().for_each(|key| self.enqueue_first(key, &mut ready));
         while let Some((_, _, id)) = ready.pop_first() {
-            let place = self.pending.place(id);
+            let entry = self.pending.entry(id);
             self.try_dispatch(id, actions);
-            let moved = self.pending.place(id) != place;
-            if let Some((key, _)) = place.and_then(|(_, line)| line).filter(|_| moved) {
+            let has_moved = self.pending.entry(id) != entry;
+            if let Some((key, _)) = entry.and_then(|(_, group)| group).filter(|_| has_moved) {
                 self.enqueue_first(key, &mut ready);
             }
         }
@@ -187,7 +187,7 @@
 
     /// Gives the first of a line its turn, and before it those that have become late and go to another line.
     fn enqueue_first(&mut self, key: EquivalenceKey, ready: &mut BTreeSet<(i64, Nanos, CallId)>) {
-        while let Some(id) = self.pending.first(key) {
+        while let Some(id) = self.pending.oldest(key) {
             ready.extend(self.turn_order(id));
             if self.calls.get(&id).is_none_or(|record| self.equivalence_key(record) == key) {
                 return;
--- a/crates/lilacpitch/src/controller/state.rs
+++ b/crates/lilacpitch/src/controller/state.rs
@@ -258,20 +258,20 @@
     /// Keeps a call's place among the waiting in step with its state.
     pub(super) fn update_pending(&mut self, id: CallId) {
         let Some(record) = self.calls.get(&id) else { return };
-        let place = match record.phase {
+        let entry = match record.phase {
             CallPhase::Releasing => Some((record.not_before_ns, None)),
             CallPhase::Queued => {
                 Some((self.patience_ns(record), Some((self.equivalence_key(record), record.arrived_ns))))
             }
             CallPhase::InFlight | CallPhase::Established => None,
         };
-        self.pending.set(id, place);
+        self.pending.set(id, entry);
     }
 
     /// Whether exactly the queued and releasing calls are pending: an invariant.
     pub(super) fn is_pending_in_step(&self) -> bool {
         let waits = |phase| matches!(phase, CallPhase::Queued | CallPhase::Releasing);
-        self.calls.iter().all(|(id, record)| waits(record.phase) == self.pending.place(*id).is_some())
+        self.calls.iter().all(|(id, record)| waits(record.phase) == self.pending.entry(*id).is_some())
     }
 
     /// The median of what peers report of a server now, if enough of them do.
--- a/crates/lilacpitch/src/peer_reports.rs
+++ b/crates/lilacpitch/src/peer_reports.rs
@@ -1,35 +1,35 @@
-//! What other fronts told of servers: a container, which decides nothing.
+//! What peers reported of servers: a container, which decides nothing.
 
 use crate::interface::{Nanos, ServerId, ServerReport};
 use std::collections::BTreeMap;
 
-/// Facts by server and teller, each with the moment that its evidence is of; of each server the newest `MOST`.
+/// Reports by server and peer, each with the time of its evidence; of each server the newest `MAX`.
 #[derive(Debug, Default)]
-pub struct PeerReports<const MOST: usize> {
-    facts: BTreeMap<(ServerId, u64), (Nanos, ServerReport)>,
-    /// By server the last two fronts at which something more stood, the latest first, and when.
-    stood: BTreeMap<ServerId, [(u64, Nanos); 2]>,
+pub struct PeerReports<const MAX: usize> {
+    reports: BTreeMap<(ServerId, u64), (Nanos, ServerReport)>,
+    /// By server the last two peers that reported further successes, the latest first, and when.
+    successes: BTreeMap<ServerId, [(u64, Nanos); 2]>,
 }
 
-impl<const MOST: usize> PeerReports<MOST> {
-    /// Takes what a front tells in place of what it told of that server before.
-    pub fn add(&mut self, peer: u64, as_of: Nanos, fact: ServerReport) {
-        let id = fact.server;
-        let count = fact.succeeded;
-        let before = self.facts.insert((id, peer), (as_of, fact));
+impl<const MAX: usize> PeerReports<MAX> {
+    /// Records a report in place of the peer's earlier one of that server.
+    pub fn add(&mut self, peer: u64, as_of: Nanos, report: ServerReport) {
+        let id = report.server;
+        let count = report.succeeded;
+        let before = self.reports.insert((id, peer), (as_of, report));
         if before.is_some_and(|(_, before)| before.succeeded < count) {
-            self.note_stood(id, peer, as_of);
+            self.record_success(id, peer, as_of);
         }
-        let known = self.facts.range((id, 0)..=(id, u64::MAX));
-        if known.clone().count() > MOST {
+        let known = self.reports.range((id, 0)..=(id, u64::MAX));
+        if known.clone().count() > MAX {
             let oldest = known.min_by_key(|(_, (as_of, _))| *as_of).map(|(key, _)| *key);
-            oldest.map(|key| self.facts.remove(&key));
+            oldest.map(|key| self.reports.remove(&key));
         }
     }
 
-    fn note_stood(&mut self, id: ServerId, peer: u64, at: Nanos) {
-        let last = self.stood.entry(id).or_default();
-        match last.iter().position(|(teller, _)| *teller == peer) {
+    fn record_success(&mut self, id: ServerId, peer: u64, at: Nanos) {
+        let last = self.successes.entry(id).or_default();
+        match last.iter().position(|(reporter, _)| *reporter == peer) {
             Some(known) => last[known].1 = last[known].1.max(at),
             None if at > last[1].1 => last[1] = (peer, at),
             None => {}
@@ -37,33 +37,33 @@
         last.sort_by_key(|(_, at)| std::cmp::Reverse(*at));
     }
 
-    /// When something last stood at a server by the word of two fronts: the earlier of their moments.
+    /// When a set-up last succeeded at a server by the reports of two peers: the earlier of their times; 0 if unknown.
     pub fn last_success_ns(&self, id: ServerId) -> Nanos {
-        self.stood.get(&id).map_or(0, |last| last[1].1)
+        self.successes.get(&id).map_or(0, |last| last[1].1)
     }
 
-    /// Forgets what is not newer than this.
+    /// Removes what is not newer than `end`.
     pub fn remove_until(&mut self, end: Nanos) {
-        self.facts.retain(|_, (as_of, _)| *as_of > end);
-        self.stood.retain(|_, last| last[0].1 > end);
+        self.reports.retain(|_, (as_of, _)| *as_of > end);
+        self.successes.retain(|_, last| last[0].1 > end);
     }
 
-    /// What is known of a server.
+    /// The reports of a server, with the times of their evidence.
     pub fn about(&self, id: ServerId) -> impl Iterator<Item = &(Nanos, ServerReport)> {
-        self.facts.range((id, 0)..=(id, u64::MAX)).map(|(_, told)| told)
+        self.reports.range((id, 0)..=(id, u64::MAX)).map(|(_, entry)| entry)
     }
 
     /// The sum of a count over what is newer than a moment, each by `each` at most, and the largest by no more than
-    /// the next: one front alone adds nothing, and takes nothing from what the others tell.
+    /// the next: one peer alone adds nothing, and takes nothing from what others report.
     pub fn sum_bounded(
         &self,
         id: ServerId,
         since: Nanos,
         each: usize,
-        count: fn(&ServerReport) -> u32,
+        count_of: fn(&ServerReport) -> u32,
     ) -> usize {
-        let lately = self.about(id).filter(|(as_of, _)| *as_of > since);
-        let counts = lately.map(|(_, fact)| (count(fact) as usize).min(each));
+        let recent = self.about(id).filter(|(as_of, _)| *as_of > since);
+        let counts = recent.map(|(_, report)| (count_of(report) as usize).min(each));
         let (sum, most, next) = counts.fold((0, 0, 0), |(sum, most, next), count| {
             (sum + count, most.max(count), next.max(most.min(count)))
         });
@@ -93,10 +93,10 @@
         median.map(|(value, _)| value).filter(|_| total > 2.0 * neutral)
     }
 
-    /// Since when the voices of a server are kept whole: the oldest, where there are as many as are kept.
+    /// Since when the reports of a server are complete: the time of the oldest, if there are as many as are kept.
     pub fn complete_since(&self, id: ServerId) -> Option<Nanos> {
         let as_of = self.about(id).map(|(as_of, _)| *as_of);
         let (count, oldest) = as_of.fold((0, Nanos::MAX), |(count, oldest), at| (count + 1, oldest.min(at)));
-        (count >= MOST).then_some(oldest)
+        (count >= MAX).then_some(oldest)
     }
 }
--- a/crates/lilacpitch/src/pending_queue.rs
+++ b/crates/lilacpitch/src/pending_queue.rs
@@ -1,79 +1,78 @@
-//! Where calls wait: a container, which decides nothing. Calls that the pick cannot tell apart stand in one line.
+//! Calls that wait for a server or for their release: a container, which decides nothing. Calls that server
+//! selection cannot tell apart form one group, of which only the oldest needs to be tried.
 
 use crate::interface::{CallId, Nanos};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A call's place: when its waiting ends, and in which line it stands since when, if in any.
-pub type Place<K> = (Nanos, Option<(K, Nanos)>);
+/// A pending call: when its waiting ends, and the group it is in since when, if in any.
+pub type PendingEntry<K> = (Nanos, Option<(K, Nanos)>);
 
-/// Calls that wait, by when their waiting ends and by line, the oldest of a line first.
+/// Pending calls by when their waiting ends, and by group, the oldest of a group first.
 #[derive(Debug, Clone)]
 pub struct PendingQueue<K> {
-    places: BTreeMap<CallId, Place<K>>,
-    due: BTreeSet<(Nanos, CallId)>,
-    lines: BTreeMap<K, BTreeSet<(Nanos, CallId)>>,
+    entries: BTreeMap<CallId, PendingEntry<K>>,
+    deadlines: BTreeSet<(Nanos, CallId)>,
+    groups: BTreeMap<K, BTreeSet<(Nanos, CallId)>>,
 }
 
 impl<K: Ord + Copy> Default for PendingQueue<K> {
     fn default() -> Self {
-        PendingQueue { places: BTreeMap::new(), due: BTreeSet::new(), lines: BTreeMap::new() }
+        PendingQueue { entries: BTreeMap::new(), deadlines: BTreeSet::new(), groups: BTreeMap::new() }
     }
 }
 
 impl<K: Ord + Copy> PendingQueue<K> {
-    /// Gives a call a place, another place, or none.
-    pub fn set(&mut self, id: CallId, place: Option<Place<K>>) {
-        let before = self.place(id);
-        if place == before {
+    /// Adds a call, changes its entry, or removes it.
+    pub fn set(&mut self, id: CallId, entry: Option<PendingEntry<K>>) {
+        let before = self.entry(id);
+        if entry == before {
             return;
         }
-        if let Some((due, line)) = before {
-            self.due.remove(&(due, id));
-            if let Some((kind, since)) = line {
-                self.leave(kind, (since, id));
-            }
-            self.places.remove(&id);
+        if let Some(before) = before {
+            self.remove(id, before);
         }
-        if let Some((due, line)) = place {
-            self.places.insert(id, (due, line));
-            self.due.insert((due, id));
-            if let Some((kind, since)) = line {
-                self.lines.entry(kind).or_default().insert((since, id));
+        if let Some((deadline_ns, group)) = entry {
+            self.entries.insert(id, (deadline_ns, group));
+            self.deadlines.insert((deadline_ns, id));
+            if let Some((key, since_ns)) = group {
+                self.groups.entry(key).or_default().insert((since_ns, id));
             }
         }
     }
 
-    fn leave(&mut self, kind: K, place: (Nanos, CallId)) {
-        if let Some(line) = self.lines.get_mut(&kind) {
-            line.remove(&place);
-            if line.is_empty() {
-                self.lines.remove(&kind);
-            }
+    fn remove(&mut self, id: CallId, (deadline_ns, group): PendingEntry<K>) {
+        self.entries.remove(&id);
+        self.deadlines.remove(&(deadline_ns, id));
+        let Some((key, since_ns)) = group else { return };
+        let Some(members) = self.groups.get_mut(&key) else { return };
+        members.remove(&(since_ns, id));
+        if members.is_empty() {
+            self.groups.remove(&key);
         }
     }
 
-    /// A call's place.
-    pub fn place(&self, id: CallId) -> Option<Place<K>> {
-        self.places.get(&id).copied()
+    /// The entry of a call.
+    pub fn entry(&self, id: CallId) -> Option<PendingEntry<K>> {
+        self.entries.get(&id).copied()
     }
 
-    /// The calls whose waiting has ended by now.
+    /// The calls whose waiting has ended by `now`.
     pub fn due(&self, now: Nanos) -> impl Iterator<Item = CallId> + '_ {
-        self.due.range(..=(now, CallId::MAX)).map(|(_, id)| *id)
+        self.deadlines.range(..=(now, CallId::MAX)).map(|(_, id)| *id)
     }
 
-    /// When the first call's waiting ends.
-    pub fn next_ns(&self) -> Option<Nanos> {
-        self.due.first().map(|(due, _)| *due)
+    /// When the waiting of the next call ends.
+    pub fn next_deadline_ns(&self) -> Option<Nanos> {
+        self.deadlines.first().map(|(deadline_ns, _)| *deadline_ns)
     }
 
-    /// The kinds of lines there are.
+    /// The keys of all groups, in their order.
     pub fn groups(&self) -> Vec<K> {
-        self.lines.keys().copied().collect()
+        self.groups.keys().copied().collect()
     }
 
-    /// The first of a line.
-    pub fn first(&self, kind: K) -> Option<CallId> {
-        self.lines.get(&kind).and_then(|line| line.first()).map(|(_, id)| *id)
+    /// The oldest call of a group.
+    pub fn oldest(&self, key: K) -> Option<CallId> {
+        self.groups.get(&key).and_then(|members| members.first()).map(|(_, id)| *id)
     }
 }
--- a/crates/lilacpitch/src/settings.rs
+++ b/crates/lilacpitch/src/settings.rs
@@ -21,14 +21,29 @@
 
 impl std::error::Error for SettingsError {}
 
+/// A value of a server's load report that is not a finite number.
+#[derive(Debug, Clone, PartialEq, Eq)]
+pub struct ReportValueError {
+    /// The value as reported, at most 40 characters of it.
+    pub value: String,
+}
+
+impl fmt::Display for ReportValueError {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        write!(f, "not a number: {}", self.value)
+    }
+}
+
+impl std::error::Error for ReportValueError {}
+
 fn fault<T>(field: &str, what: impl Into<String>) -> Result<T, SettingsError> {
     Err(SettingsError { field: field.to_string(), what: what.into() })
 }
 
-/// What the settings tell: of the decisions, and of what carries them.
+/// The settings of a front: those of the decisions, and those of the program around them.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Site {
-    /// What the module is told.
+    /// Settings of the controller.
     pub settings: Settings,
     /// Names of the values in a server's report, in their order.
     pub report_fields: Vec<String>,
@@ -36,11 +51,11 @@
     pub class_names: Vec<String>,
     /// Names of the zones, in their order.
     pub zone_names: Vec<String>,
-    /// Open requests allowed at once; more are refused before they reach the module.
+    /// Open requests allowed at once; more are rejected before they reach the controller.
     pub max_open: usize,
-    /// Connections that are not made within this time are given up.
+    /// Connections that are not made within this time are abandoned.
     pub connect_timeout_ns: Nanos,
-    /// How long a set-up to a server that drains may still leave after the front was told.
+    /// How long a set-up to a server that drains may still leave after the front learned of it.
     pub drain_grace_ns: Nanos,
 }
 
@@ -66,7 +81,7 @@
                 _ => fault(path, "not a number"),
             },
         };
-        let span =
+        let duration =
             |path: &str, default: f64| Ok::<Nanos, SettingsError>(number(path, default)?.max(0.0) as Nanos);
         let flag = |path: &str, default: bool| match at(path) {
             None | Some(Value::Null) => Ok(default),
@@ -83,7 +98,7 @@
         if classes.is_empty() {
             return fault("classes", "no classes");
         }
-        let tick_ns = span("tick_ns", 0.0)?;
+        let tick_ns = duration("tick_ns", 0.0)?;
         if tick_ns == 0 {
             return fault("tick_ns", "must be above 0");
         }
@@ -92,14 +107,18 @@
         let settings = Settings {
             classes,
             home: (home >= 0.0).then_some(home as u32),
-            resend_interval_ns: span("family_info.retransmit_ns", 0.0)?,
-            release_ns: span("family_info.release_ns", 0.0)?,
+            resend_interval_ns: duration("family_info.retransmit_ns", 0.0)?,
+            release_ns: duration("family_info.release_ns", 0.0)?,
             max_attempts: number("permissions.max_attempts", 1.0)?.max(1.0) as u32,
             may_cancel: flag("permissions.cancel", false)?,
-            max_retry_after_ns: if retry_after { span("permissions.max_retry_after_ns", 0.0)? } else { 0 },
+            max_retry_after_ns: if retry_after {
+                duration("permissions.max_retry_after_ns", 0.0)?
+            } else {
+                0
+            },
             must_subscribe: word(at("discovery")) == "on_request",
             slow_start_floor: number("rules.cold_from", 1.0)?.clamp(0.0, 1.0),
-            slow_start_ns: span("rules.cold_ns", 0.0)?,
+            slow_start_ns: duration("rules.cold_ns", 0.0)?,
             overload_multiple: number("rules.tip_multiple", 1.0)?.max(1.0),
             tick_ns,
         };
@@ -109,22 +128,25 @@
             class_names: all.iter().map(|class| word(class.get("name"))).collect(),
             zone_names: words("dcs"),
             max_open: number("permissions.max_open", f64::from(u32::MAX))?.max(1.0) as usize,
-            connect_timeout_ns: span("permissions.connect_timeout_ns", 1e9)?,
-            drain_grace_ns: span("rules.stop_sending_within_ns", 0.0)?,
+            connect_timeout_ns: duration("permissions.connect_timeout_ns", 1e9)?,
+            drain_grace_ns: duration("rules.stop_sending_within_ns", 0.0)?,
         })
     }
 
-    /// What is used of a server's report; values below 0 are not known.
+    /// Reads the values of a server's report that are used; values below 0 mean unknown.
+    ///
+    /// # Errors
+    /// The first value that is not a finite number.
     pub fn report<'a>(
         &self,
         mut value_of: impl FnMut(usize, &str) -> Option<&'a str>,
-    ) -> Result<LoadReport, String> {
+    ) -> Result<LoadReport, ReportValueError> {
         let mut report = LoadReport::default();
         for (index, name) in self.report_fields.iter().enumerate() {
             let Some(text) = value_of(index, name) else { continue };
             let value = match text.parse::<f64>() {
                 Ok(value) if value.is_finite() => value,
-                _ => return Err(format!("not a number: {text:.40}")),
+                _ => return Err(ReportValueError { value: format!("{text:.40}") }),
             };
             if name == "free" && value >= 0.0 {
                 report.free_capacity = Some(value);
--- a/crates/lilacpitch/src/wire.rs
+++ b/crates/lilacpitch/src/wire.rs
@@ -27,10 +27,14 @@
 
 impl std::error::Error for WireError {}
 
-type Fault = (String, String);
+/// What is malformed in a line, before its number is known.
+struct Fault {
+    field: String,
+    what: String,
+}
 
 fn fault<T>(field: &str, what: impl Into<String>) -> Result<T, Fault> {
-    Err((field.to_string(), what.into()))
+    Err(Fault { field: field.to_string(), what: what.into() })
 }
 
 /// The fields of one line. Unknown ones stay unread.
@@ -61,7 +65,7 @@
     }
 
     fn need(&self, key: &str) -> Result<&'a str, Fault> {
-        self.get(key).ok_or_else(|| (key.to_string(), "missing".to_string()))
+        self.get(key).map_or_else(|| fault(key, "missing"), Ok)
     }
 
     fn uint(&self, key: &str) -> Result<u64, Fault> {
@@ -76,8 +80,8 @@
         self.uint(key)
     }
 
-    /// A span that the wire may state as negative when it has run out.
-    fn span(&self, key: &str) -> Result<Nanos, Fault> {
+    /// A duration; the wire may state it as negative when it has run out.
+    fn duration(&self, key: &str) -> Result<Nanos, Fault> {
         let text = self.need(key)?;
         match text.parse::<i64>() {
             Ok(value) => Ok(value.max(0) as u64),
@@ -110,7 +114,8 @@
     fn report(&self, site: &Site) -> Result<LoadReport, Fault> {
         let text = self.get("pressure").filter(|text| !text.is_empty() && *text != "-");
         let parts: Vec<&str> = text.map_or(Vec::new(), |text| text.split(',').collect());
-        site.report(|index, _| parts.get(index).copied()).or_else(|what| fault("pressure", what))
+        site.report(|index, _| parts.get(index).copied())
+            .or_else(|error| fault("pressure", error.to_string()))
     }
 }
 
@@ -134,7 +139,7 @@
     })
 }
 
-fn entry(fields: &Fields) -> Result<Endpoint, Fault> {
+fn endpoint(fields: &Fields) -> Result<Endpoint, Fault> {
     Ok(Endpoint {
         server: fields.uint("server")?,
         number: fields.small("number")?,
@@ -182,7 +187,8 @@
     now: Option<Nanos>,
     fronts: BTreeMap<u64, Hosted>,
     lists: BTreeMap<u64, Vec<Endpoint>>,
-    filling: Option<(u64, u64)>,
+    /// The list whose rows are being read, and how many are missing.
+    unfinished_list: Option<(u64, u64)>,
     actions: Vec<Action>,
     lines: u64,
 }
@@ -202,12 +208,15 @@
     pub fn end_of_input(&self) -> Result<(), WireError> {
         match self.now {
             None => Ok(()),
-            Some(_) => Err(self.error(("YOUR_TURN".into(), "input ended within a batch".into()))),
+            Some(_) => {
+                Err(self
+                    .error(Fault { field: "YOUR_TURN".into(), what: "input ended within a batch".into() }))
+            }
         }
     }
 
-    fn error(&self, (field, what): Fault) -> WireError {
-        WireError { line: self.lines, field, what }
+    fn error(&self, fault: Fault) -> WireError {
+        WireError { line: self.lines, field: fault.field, what: fault.what }
     }
 
     /// Takes one line; `true` when `reply` holds a complete reply.
@@ -222,119 +231,166 @@
         }
         let text = if line.starts_with("LAUNCH\t") { "info" } else { "" };
         let (name, fields) = Fields::parse(line, text)?;
-        if let Some((set, left)) = self.filling {
-            if name != "ROW" {
-                return fault("records", format!("{left} rows missing"));
-            }
-            let entry = entry(&fields)?;
-            self.lists.entry(set).or_default().push(entry);
-            self.filling = (left > 1).then_some((set, left - 1));
+        if let Some((list, missing)) = self.unfinished_list {
+            self.add_row(list, missing, name, &fields)?;
             return Ok(false);
         }
-        let now = match (name, self.now) {
-            ("TURN", None) => {
-                self.now = Some(fields.uint("now_ns")?);
-                return Ok(false);
-            }
-            ("TURN", Some(_)) => return fault("TURN", "batch within a batch"),
-            (_, Some(now)) => now,
-            (_, None) => return fault(&format!("{name:.40}"), "outside a batch"),
-        };
+        if name == "TURN" {
+            self.begin_batch(&fields)?;
+            return Ok(false);
+        }
+        let Some(now) = self.now else { return fault(&format!("{name:.40}"), "outside a batch") };
         match name {
             "YOUR_TURN" => {
                 reply.push_str("DONE\n");
                 self.now = None;
                 return Ok(true);
             }
-            "INVENTORY" => {
-                let (set, count) = (fields.uint("set_id")?, fields.uint("records")?);
-                self.lists.insert(set, Vec::new());
-                self.filling = (count > 0).then_some((set, count));
-                return Ok(false);
-            }
+            "INVENTORY" => self.begin_list(&fields)?,
             "ROW" => return fault("ROW", "row without a list"),
-            _ => {}
+            _ => self.take_front_message(now, name, &fields, reply)?,
         }
-        let front = match name {
-            "LAUNCH" | "ROSTER_CHANGE" | "ASK" | "CLIENT_GONE" | "FIRED" | "ECHO" | "SETTLED"
-            | "NEIGHBOUR_SAYS" | "DETACH" | "UNDER_WAY" => fields.uint("front")?,
-            other => return fault(&format!("{other:.40}"), "unknown message"),
-        };
-        if name == "LAUNCH" {
-            let seed = fields.uint("seed")?;
-            let info = fields.need("info")?;
-            let site = Site::read(info).map_err(|error| (error.field, error.what))?;
-            let controller = Controller::new(site.settings.clone(), seed);
-            self.fronts.insert(front, Hosted { controller, site });
-            return Ok(false);
+        Ok(false)
+    }
+
+    fn begin_batch(&mut self, fields: &Fields) -> Result<(), Fault> {
+        if self.now.is_some() {
+            return fault("TURN", "batch within a batch");
         }
-        if name == "DETACH" {
-            self.fronts.remove(&front);
-            return Ok(false);
+        self.now = Some(fields.uint("now_ns")?);
+        Ok(())
+    }
+
+    fn begin_list(&mut self, fields: &Fields) -> Result<(), Fault> {
+        let (list, count) = (fields.uint("set_id")?, fields.uint("records")?);
+        self.lists.insert(list, Vec::new());
+        self.unfinished_list = (count > 0).then_some((list, count));
+        Ok(())
+    }
+
+    fn add_row(&mut self, list: u64, missing: u64, name: &str, fields: &Fields) -> Result<(), Fault> {
+        if name != "ROW" {
+            return fault("records", format!("{missing} rows missing"));
         }
-        // Late news for a front that was stopped is legal and means nothing.
-        let Some(hosted) = self.fronts.get_mut(&front) else {
-            return Ok(false);
-        };
-        let event = match name {
-            "ROSTER_CHANGE" => {
-                let kind = fields.uint("kind")?;
-                let list = || -> Result<Vec<Endpoint>, Fault> {
-                    let set = fields.uint("set_id")?;
-                    self.lists.get(&set).cloned().ok_or_else(|| ("set_id".into(), "no such list".into()))
-                };
-                Event::EndpointsUpdated(match kind {
-                    0 => EndpointUpdate::Changes(list()?),
-                    1 | 2 => EndpointUpdate::Full(list()?),
-                    3 => EndpointUpdate::Failed,
-                    _ => return fault("kind", "not 0 to 3"),
-                })
-            }
-            "ASK" => {
-                let class = fields.uint_or("category", 0)? as usize;
-                if class >= hosted.site.class_names.len() {
-                    return fault("category", "no such class");
-                }
-                Event::CallArrived(Call {
-                    id: fields.uint("handle")?,
-                    class,
-                    first_choice: fields.number_or("terminates_at", -1.0)? as i64 as u32,
-                    budget_ns: fields.span("budget_ns")?,
-                    dialled: fields.get("item").map(|_| fields.uint("item")).transpose()?,
-                    circuits: fields.number_or("units", 1.0)?,
-                    retry_after_cut: fields.flag("again")?,
-                    in_transit: fields.flag("midflow")?,
-                })
-            }
-            "CLIENT_GONE" => Event::ClientDisconnected(fields.uint("handle")?),
-            "FIRED" => {
-                fields.uint("key_back")?;
-                Event::TimerFired
-            }
-            "UNDER_WAY" => {
-                Event::CallEstablished { call: fields.uint("handle")?, attempt: fields.small("hop")? }
-            }
-            "SETTLED" => Event::AttemptCompleted {
-                call: fields.uint("handle")?,
-                attempt: fields.small("hop")?,
-                server: fields.uint("server")?,
-                outcome: outcome(&fields)?,
-                is_final: fields.flag("closed")?,
-                report: fields.report(&hosted.site)?,
-            },
-            "ECHO" => {
-                fields.need("result")?;
-                let report = fields.report(&hosted.site)?;
-                Event::ServerLoadReported { server: fields.uint("server")?, report }
-            }
-            // Fronts' messages are not used.
-            _ => return Ok(false),
-        };
+        let endpoint = endpoint(fields)?;
+        self.lists.entry(list).or_default().push(endpoint);
+        self.unfinished_list = (missing > 1).then_some((list, missing - 1));
+        Ok(())
+    }
+
+    /// A message for one front: its start, its stop, or an event for its controller.
+    fn take_front_message(
+        &mut self,
+        now: Nanos,
+        name: &str,
+        fields: &Fields,
+        reply: &mut String,
+    ) -> Result<(), Fault> {
+        if !FRONT_MESSAGES.contains(&name) {
+            return fault(&format!("{name:.40}"), "unknown message");
+        }
+        let front = fields.uint("front")?;
+        match name {
+            "LAUNCH" => return self.start_front(front, fields),
+            "DETACH" => _ = self.fronts.remove(&front),
+            _ => {}
+        }
+        // A late message for a front that was stopped is legal and has no effect.
+        let Some(hosted) = self.fronts.get_mut(&front) else { return Ok(()) };
+        let Some(event) = event(name, fields, &hosted.site, &self.lists)? else { return Ok(()) };
         self.actions.clear();
         hosted.controller.handle(now, event, &mut self.actions);
         for action in &self.actions {
             print(front, action, reply);
         }
-        Ok(false)
+        Ok(())
+    }
+
+    fn start_front(&mut self, front: u64, fields: &Fields) -> Result<(), Fault> {
+        let seed = fields.uint("seed")?;
+        let info = fields.need("info")?;
+        let site = Site::read(info).map_err(|error| Fault { field: error.field, what: error.what })?;
+        let controller = Controller::new(site.settings.clone(), seed);
+        self.fronts.insert(front, Hosted { controller, site });
+        Ok(())
     }
 }
+
+/// Messages that name the front they are for.
+const FRONT_MESSAGES: [&str; 10] = [
+    "LAUNCH",
+    "ROSTER_CHANGE",
+    "ASK",
+    "CLIENT_GONE",
+    "FIRED",
+    "ECHO",
+    "SETTLED",
+    "NEIGHBOUR_SAYS",
+    "DETACH",
+    "UNDER_WAY",
+];
+
+/// The event that a front's message stands for; `None` for messages that are not used.
+fn event(
+    name: &str,
+    fields: &Fields,
+    site: &Site,
+    lists: &BTreeMap<u64, Vec<Endpoint>>,
+) -> Result<Option<Event>, Fault> {
+    Ok(Some(match name {
+        "ROSTER_CHANGE" => Event::EndpointsUpdated(endpoint_update(fields, lists)?),
+        "ASK" => Event::CallArrived(call(fields, site)?),
+        "CLIENT_GONE" => Event::ClientDisconnected(fields.uint("handle")?),
+        "FIRED" => {
+            fields.uint("key_back")?;
+            Event::TimerFired
+        }
+        "UNDER_WAY" => Event::CallEstablished { call: fields.uint("handle")?, attempt: fields.small("hop")? },
+        "SETTLED" => Event::AttemptCompleted {
+            call: fields.uint("handle")?,
+            attempt: fields.small("hop")?,
+            server: fields.uint("server")?,
+            outcome: outcome(fields)?,
+            is_final: fields.flag("closed")?,
+            report: fields.report(site)?,
+        },
+        "ECHO" => {
+            fields.need("result")?;
+            let report = fields.report(site)?;
+            Event::ServerLoadReported { server: fields.uint("server")?, report }
+        }
+        // Messages between fronts are not used.
+        _ => return Ok(None),
+    }))
+}
+
+fn endpoint_update(fields: &Fields, lists: &BTreeMap<u64, Vec<Endpoint>>) -> Result<EndpointUpdate, Fault> {
+    let kind = fields.uint("kind")?;
+    let list = || -> Result<Vec<Endpoint>, Fault> {
+        let id = fields.uint("set_id")?;
+        lists.get(&id).cloned().map_or_else(|| fault("set_id", "no such list"), Ok)
+    };
+    Ok(match kind {
+        0 => EndpointUpdate::Changes(list()?),
+        1 | 2 => EndpointUpdate::Full(list()?),
+        3 => EndpointUpdate::Failed,
+        _ => return fault("kind", "not 0 to 3"),
+    })
+}
+
+fn call(fields: &Fields, site: &Site) -> Result<Call, Fault> {
+    let class = fields.uint_or("category", 0)? as usize;
+    if class >= site.class_names.len() {
+        return fault("category", "no such class");
+    }
+    Ok(Call {
+        id: fields.uint("handle")?,
+        class,
+        first_choice: fields.number_or("terminates_at", -1.0)? as i64 as u32,
+        budget_ns: fields.duration("budget_ns")?,
+        dialled: fields.get("item").map(|_| fields.uint("item")).transpose()?,
+        circuits: fields.number_or("units", 1.0)?,
+        retry_after_cut: fields.flag("again")?,
+        in_transit: fields.flag("midflow")?,
+    })
+}
--- a/crates/lilacpitch/tests/pending_queue.rs
+++ b/crates/lilacpitch/tests/pending_queue.rs
@@ -8,10 +8,10 @@
     queue.set(1, Some((50, Some(('a', 10)))));
     queue.set(2, Some((40, Some(('a', 5)))));
     queue.set(3, Some((30, None)));
-    assert_eq!((queue.first('a'), queue.next_ns(), queue.groups()), (Some(2), Some(30), vec!['a']));
+    assert_eq!((queue.oldest('a'), queue.next_deadline_ns(), queue.groups()), (Some(2), Some(30), vec!['a']));
     queue.set(2, Some((60, Some(('b', 5)))));
-    assert_eq!((queue.first('a'), queue.first('b')), (Some(1), Some(2)));
+    assert_eq!((queue.oldest('a'), queue.oldest('b')), (Some(1), Some(2)));
     assert_eq!(queue.due(50).collect::<Vec<_>>(), vec![3, 1]);
     (1..=3).for_each(|id| queue.set(id, None));
-    assert_eq!((queue.next_ns(), queue.groups(), queue.place(1)), (None, vec![], None));
+    assert_eq!((queue.next_deadline_ns(), queue.groups(), queue.entry(1)), (None, vec![], None));
 }
