--- a/crates/lilacpitch/tests/common/mod.rs
+++ b/crates/lilacpitch/tests/common/mod.rs
@@ -9,10 +9,10 @@
 
 /// Two classes, the second worth three times the first; nothing here is any deployment's figure.
 pub fn settings() -> Settings {
-    let class = |worth: f64| Class {
+    let class = |priority_weight: f64| Class {
         latency_objective_ns: 1_600 * MS,
         deadline_ns: 8 * S,
-        priority_weight: worth,
+        priority_weight,
         late_weight: 0.2,
         idempotency: Idempotency::Idempotent,
         key_retention_ns: 5 * S,
@@ -34,27 +34,27 @@
     }
 }
 
-pub fn entry(server: ServerId, number: u32) -> Endpoint {
+pub fn endpoint(server: ServerId, number: u32) -> Endpoint {
     Endpoint { server, number, zone: 0, availability: Availability::Ready, up_since_ns: 0 }
 }
 
 pub struct Front {
-    pub brain: Controller,
+    pub controller: Controller,
     pub now: Nanos,
     pub next: CallId,
     /// Everything done so far, with its time.
     pub log: Vec<(Nanos, Action)>,
-    wakes: std::collections::BTreeSet<Nanos>,
+    timers: std::collections::BTreeSet<Nanos>,
 }
 
 impl Front {
     pub fn new(settings: Settings, entries: &[Endpoint]) -> Self {
         let mut front = Front {
-            brain: Controller::new(settings, 7),
+            controller: Controller::new(settings, 7),
             now: 100 * S,
             next: 1,
             log: Vec::new(),
-            wakes: Default::default(),
+            timers: Default::default(),
         };
         front.event(Event::EndpointsUpdated(EndpointUpdate::Full(entries.to_vec())));
         front
@@ -63,10 +63,10 @@
     /// Feeds one event now; returns what was done about it.
     pub fn event(&mut self, event: Event) -> Vec<Action> {
         let mut actions = Vec::new();
-        self.brain.handle(self.now, event, &mut actions);
+        self.controller.handle(self.now, event, &mut actions);
         for action in &actions {
             if let Action::SetTimer(at) = action {
-                self.wakes.insert(*at);
+                self.timers.insert(*at);
             }
             self.log.push((self.now, *action));
         }
@@ -74,10 +74,10 @@
     }
 
     /// Lets time pass, with the wakes that were asked for.
-    pub fn pass(&mut self, span: Nanos) -> Vec<Action> {
-        let (end, mut done) = (self.now + span, Vec::new());
-        while let Some(at) = self.wakes.first().copied().filter(|at| *at <= end) {
-            self.wakes.remove(&at);
+    pub fn advance(&mut self, duration: Nanos) -> Vec<Action> {
+        let (end, mut done) = (self.now + duration, Vec::new());
+        while let Some(at) = self.timers.first().copied().filter(|at| *at <= end) {
+            self.timers.remove(&at);
             self.now = self.now.max(at);
             done.extend(self.event(Event::TimerFired));
         }
@@ -106,27 +106,33 @@
         self.call_with(|c| c.class = class)
     }
 
-    pub fn stands(&mut self, call: CallId, attempt: u32) -> Vec<Action> {
+    pub fn establish(&mut self, call: CallId, attempt: u32) -> Vec<Action> {
         self.event(Event::CallEstablished { call, attempt })
     }
 
-    pub fn settled(&mut self, call: CallId, attempt: u32, server: ServerId, outcome: Outcome) -> Vec<Action> {
+    pub fn end_attempt(
+        &mut self,
+        call: CallId,
+        attempt: u32,
+        server: ServerId,
+        outcome: Outcome,
+    ) -> Vec<Action> {
         let report = LoadReport::default();
         self.event(Event::AttemptCompleted { call, attempt, server, outcome, is_final: false, report })
     }
 
     /// Calls arrive this far apart and stand 40 ms after their set-up, for a while.
-    pub fn steady(&mut self, apart: Nanos, span: Nanos) {
-        let (end, mut next) = (self.now + span, Vec::new());
+    pub fn run_steady(&mut self, interval: Nanos, duration: Nanos) {
+        let (end, mut next) = (self.now + duration, Vec::new());
         while self.now < end {
             let mut actions = std::mem::take(&mut next);
             actions.extend(self.call(0).1);
-            actions.extend(self.pass(apart.saturating_sub(40 * MS)));
-            actions.extend(self.pass(40 * MS));
+            actions.extend(self.advance(interval.saturating_sub(40 * MS)));
+            actions.extend(self.advance(40 * MS));
             for action in actions {
                 if let Action::ForwardSetup { call, .. } = action {
                     // What an answer sets free is sent at once, and stands with the next.
-                    next.extend(self.stands(call, self.attempts(call) - 1));
+                    next.extend(self.establish(call, self.attempts(call) - 1));
                 }
             }
         }
@@ -146,9 +152,47 @@
     })
 }
 
-pub fn answered(actions: &[Action], id: CallId) -> bool {
+pub fn is_answered(actions: &[Action], id: CallId) -> bool {
     actions.iter().any(|a| match a {
         Action::Reject { call, .. } | Action::Fail { call } => *call == id,
         _ => false,
     })
 }
+
+pub fn two_servers() -> Vec<Endpoint> {
+    vec![endpoint(11, 1), endpoint(22, 2)]
+}
+
+pub fn healthy_report(server: ServerId) -> ServerReport {
+    ServerReport {
+        server,
+        age_ns: 100 * MS,
+        wait_ns: 20 * MS,
+        in_flight: 0,
+        succeeded: 0,
+        is_unresponsive: false,
+        warming_up_for_ns: None,
+        is_draining: false,
+    }
+}
+
+/// Of so many first choices of server 11, so far apart, those sent there; these words are told before each.
+pub fn forwarded_during(
+    front: &mut Front,
+    calls: usize,
+    interval_ns: Nanos,
+    reports: &[ServerReport],
+) -> usize {
+    let mut there = 0;
+    for _ in 0..calls {
+        for (peer, report) in reports.iter().enumerate() {
+            front.event(Event::PeerReported { peer: peer as u64, server_reports: vec![*report] });
+        }
+        let (id, actions) = front.call(0);
+        there += usize::from(sent_to(&actions, id) == Some(11));
+        front.advance(20 * MS);
+        front.establish(id, 0);
+        front.advance(interval_ns - 20 * MS);
+    }
+    there
+}
--- a/crates/lilacpitch/tests/faults.rs
+++ b/crates/lilacpitch/tests/faults.rs
@@ -7,18 +7,18 @@
 
 /// Two servers, and calls of which so many of ten stand at the first try; the others meet a fault there.
 fn front(stand_of_ten: usize) -> Front {
-    let mut front = Front::new(settings(), &[entry(11, 1), entry(12, 2)]);
+    let mut front = Front::new(settings(), &[endpoint(11, 1), endpoint(12, 2)]);
     for call in 0..200 {
         let (id, actions) = front.call_with(|c| c.first_choice = 1 + call % 2);
         let server = sent_to(&actions, id).expect("sent at once");
-        front.pass(40 * MS);
+        front.advance(40 * MS);
         if call as usize % 20 / 2 < stand_of_ten {
-            front.stands(id, 0);
+            front.establish(id, 0);
         } else {
-            front.settled(id, 0, server, Outcome::Fault);
+            front.end_attempt(id, 0, server, Outcome::Fault);
             front.event(lilacpitch::Event::ClientDisconnected(id));
         }
-        front.pass(60 * MS);
+        front.advance(60 * MS);
     }
     front
 }
@@ -28,11 +28,11 @@
     let (id, mut actions) = front.call(1);
     for attempt in 0..settings().max_attempts {
         let Some(server) = sent_to(&actions, id) else { break };
-        front.pass(40 * MS);
-        actions = front.settled(id, attempt, server, Outcome::Fault);
-        actions.extend(front.pass(MS));
+        front.advance(40 * MS);
+        actions = front.end_attempt(id, attempt, server, Outcome::Fault);
+        actions.extend(front.advance(MS));
     }
-    (front.attempts(id), answered(&actions, id))
+    (front.attempts(id), is_answered(&actions, id))
 }
 
 #[test]
@@ -46,6 +46,6 @@
 #[test]
 fn where_servers_fault_much_else_a_call_has_all_its_attempts() {
     assert_eq!(always_faulted(&mut front(2)), (settings().max_attempts, true));
-    let mut new = Front::new(settings(), &[entry(11, 1), entry(12, 2)]);
+    let mut new = Front::new(settings(), &[endpoint(11, 1), endpoint(12, 2)]);
     assert_eq!(always_faulted(&mut new), (settings().max_attempts, true), "nothing is known of them yet");
 }
--- a/crates/lilacpitch/tests/fleet.rs
+++ b/crates/lilacpitch/tests/fleet.rs
@@ -32,7 +32,7 @@
     /// Answers on their way, by when they arrive.
     due: BTreeMap<(Nanos, u64), Answer>,
     sends: VecDeque<(Nanos, usize, ServerId)>,
-    stood: Vec<(Nanos, ServerId)>,
+    succeeded: Vec<(Nanos, ServerId)>,
     come_back: Vec<Nanos>,
     serial: u64,
 }
@@ -48,11 +48,11 @@
             servers: servers.iter().map(|(id, does)| (*id, (*does, 0))).collect(),
             due: BTreeMap::new(),
             sends: VecDeque::new(),
-            stood: Vec::new(),
+            succeeded: Vec::new(),
             come_back: Vec::new(),
             serial: 0,
         };
-        let list: Vec<Endpoint> = servers.iter().map(|(id, _)| entry(*id, *id as u32)).collect();
+        let list: Vec<Endpoint> = servers.iter().map(|(id, _)| endpoint(*id, *id as u32)).collect();
         fleet.all(|| Event::EndpointsUpdated(EndpointUpdate::Full(list.clone())));
         fleet
     }
@@ -105,13 +105,13 @@
     }
 
     /// Runs for a while: each front gets a call every `apart`, its first choice by `choice` of the call's id.
-    fn run(&mut self, span: Nanos, apart: Nanos, choice: impl Fn(u64) -> u32) {
-        let end = self.now + span;
+    fn run(&mut self, duration: Nanos, interval: Nanos, choice: impl Fn(u64) -> u32) {
+        let end = self.now + duration;
         while self.now < end {
             self.now += 5 * MS;
             for front in 0..FRONTS {
                 // Spread over the span by the front's number.
-                if (self.now / (5 * MS) + front as u64 * 7).is_multiple_of(apart / (5 * MS)) {
+                if (self.now / (5 * MS) + front as u64 * 7).is_multiple_of(interval / (5 * MS)) {
                     let call = Call {
                         id: self.next,
                         class: usize::from(self.next.is_multiple_of(5)),
@@ -134,7 +134,7 @@
                 let (_, (front, call, attempt, server, outcome)) = self.due.pop_first().unwrap();
                 match outcome {
                     None => {
-                        self.stood.push((self.now, server));
+                        self.succeeded.push((self.now, server));
                         self.event(front, Event::CallEstablished { call, attempt });
                     }
                     Some(outcome) => {
@@ -158,14 +158,16 @@
     }
 
     /// Set-ups a second that all fronts together sent to a server over the last `span`.
-    fn sent_per_s(&self, server: ServerId, span: Nanos) -> f64 {
-        let from = self.now - span;
-        self.sends.iter().filter(|(at, _, s)| *at > from && *s == server).count() as f64 * 1e9 / span as f64
+    fn sent_per_s(&self, server: ServerId, duration: Nanos) -> f64 {
+        let from = self.now - duration;
+        self.sends.iter().filter(|(at, _, s)| *at > from && *s == server).count() as f64 * 1e9
+            / duration as f64
     }
 
-    fn stood_per_s(&self, server: ServerId, span: Nanos) -> f64 {
-        let from = self.now - span;
-        self.stood.iter().filter(|(at, s)| *at > from && *s == server).count() as f64 * 1e9 / span as f64
+    fn stood_per_s(&self, server: ServerId, duration: Nanos) -> f64 {
+        let from = self.now - duration;
+        self.succeeded.iter().filter(|(at, s)| *at > from && *s == server).count() as f64 * 1e9
+            / duration as f64
     }
 }
 
@@ -194,12 +196,12 @@
 #[test]
 fn a_cold_server_gets_no_more_together_than_it_can_do() {
     let mut fleet = four();
-    let gone = Endpoint { availability: Availability::Removed, ..entry(1, 1) };
-    fleet.all(|| Event::EndpointsUpdated(EndpointUpdate::Changes(vec![gone])));
+    let removed = Endpoint { availability: Availability::Removed, ..endpoint(1, 1) };
+    fleet.all(|| Event::EndpointsUpdated(EndpointUpdate::Changes(vec![removed])));
     fleet.run(3 * S, 670 * MS, one_of_four);
     fleet.servers.insert(1, (Does::Works(30.0), 0));
-    let back = Endpoint { up_since_ns: fleet.now, ..entry(1, 1) };
-    fleet.all(|| Event::EndpointsUpdated(EndpointUpdate::Changes(vec![back])));
+    let restarted = Endpoint { up_since_ns: fleet.now, ..endpoint(1, 1) };
+    fleet.all(|| Event::EndpointsUpdated(EndpointUpdate::Changes(vec![restarted])));
     // It can do 30 a second at first and falls over at 90, each a second; 75 were normal.
     let mut most: f64 = 0.0;
     for _ in 0..12 {
@@ -218,9 +220,12 @@
     let mut fleet = four();
     fleet.servers.insert(1, (Does::Works(30.0), fleet.now));
     fleet.run(20 * S, 670 * MS, one_of_four);
-    let (sent, stood) = (fleet.sent_per_s(1, 5 * S), fleet.stood_per_s(1, 5 * S));
+    let (sent, succeeded) = (fleet.sent_per_s(1, 5 * S), fleet.stood_per_s(1, 5 * S));
     assert!(sent < 40.0, "{sent} a second sent where 30 can be done");
-    assert!(stood > 5.0 && stood > 0.8 * sent, "{stood} a second stand of {sent}: the jam was let go");
+    assert!(
+        succeeded > 5.0 && succeeded > 0.8 * sent,
+        "{succeeded} a second stand of {sent}: the jam was let go"
+    );
     fleet.servers.insert(1, (Does::Works(100.0), 0));
     fleet.run(30 * S, 670 * MS, one_of_four);
     assert!(fleet.stood_per_s(1, 5 * S) > 55.0, "no lasting ceiling: {}", fleet.stood_per_s(1, 5 * S));
@@ -244,8 +249,8 @@
         assert!(bins.values().all(|n| *n <= 12), "{bins:?}");
         fleet.servers.insert(1, (Does::Works(100.0), 0));
         fleet.run(40 * S, 670 * MS, one_of_four);
-        let stood = fleet.stood_per_s(1, 5 * S);
-        assert!(stood > 50.0, "{stood} a second stand again");
+        let succeeded = fleet.stood_per_s(1, 5 * S);
+        assert!(succeeded > 50.0, "{succeeded} a second stand again");
     }
 }
 
@@ -262,6 +267,6 @@
         fleet.servers.insert(server, (Does::Works(100.0), 0));
     }
     fleet.run(40 * S, 670 * MS, one_of_four);
-    let stood: f64 = (1..=4).map(|server| fleet.stood_per_s(server, 5 * S)).sum();
-    assert!(stood > 250.0, "{stood} of 300 a second stand again");
+    let succeeded: f64 = (1..=4).map(|server| fleet.stood_per_s(server, 5 * S)).sum();
+    assert!(succeeded > 250.0, "{succeeded} of 300 a second stand again");
 }
--- a/crates/lilacpitch/tests/lost.rs
+++ b/crates/lilacpitch/tests/lost.rs
@@ -8,28 +8,28 @@
 
 /// How long one that was overtaken is waited for, at a server whose set-ups stand after one of these in turn.
 fn given_up_after(delays: [Nanos; 2]) -> Nanos {
-    let mut front = Front::new(settings(), &[entry(11, 1), entry(12, 2)]);
-    let mut stood = 0;
-    while stood < 200 {
+    let mut front = Front::new(settings(), &[endpoint(11, 1), endpoint(12, 2)]);
+    let mut succeeded = 0;
+    while succeeded < 200 {
         let (call, actions) = front.call(1);
-        front.pass(delays[stood % 2]);
+        front.advance(delays[succeeded % 2]);
         if sent_to(&actions, call) == Some(11) {
-            front.stands(call, 0);
+            front.establish(call, 0);
         }
-        front.pass(200 * MS);
-        stood += 1;
+        front.advance(200 * MS);
+        succeeded += 1;
     }
     let (lost, actions) = front.call(1);
     assert_eq!(sent_to(&actions, lost), Some(11));
     let sent_ns = front.now;
-    front.pass(MS);
+    front.advance(MS);
     let (next, actions) = front.call(1);
     assert_eq!(sent_to(&actions, next), Some(11));
-    front.pass(delays[0]);
-    front.stands(next, 0);
+    front.advance(delays[0]);
+    front.establish(next, 0);
     while front.now < sent_ns + S {
         // What else goes on there: an event every few milliseconds.
-        let done = front.pass(5 * MS);
+        let done = front.advance(5 * MS);
         let done = [done, front.event(lilacpitch::Event::TimerFired)].concat();
         if done.contains(&Action::CancelAttempt { call: lost, attempt: 0 }) {
             return front.now - sent_ns;
--- a/crates/lilacpitch/tests/rules.rs
+++ b/crates/lilacpitch/tests/rules.rs
@@ -89,9 +89,9 @@
 /// The world outside the controller: plays events, and checks every action against the rules.
 struct World {
     settings: Settings,
-    brain: Controller,
+    controller: Controller,
     now: Nanos,
-    wakes: BTreeSet<Nanos>,
+    timers: BTreeSet<Nanos>,
     calls: BTreeMap<CallId, Known>,
     list: BTreeMap<ServerId, Endpoint>,
     sends: Vec<(Nanos, ServerId)>,
@@ -100,7 +100,7 @@
 impl World {
     fn feed(&mut self, event: Event) {
         let mut actions = Vec::new();
-        self.brain.handle(self.now, event, &mut actions);
+        self.controller.handle(self.now, event, &mut actions);
         for action in actions {
             self.check(action);
         }
@@ -170,14 +170,14 @@
             }
             Action::SetTimer(at) => {
                 assert!(at > now);
-                self.wakes.insert(at);
+                self.timers.insert(at);
             }
             Action::Subscribe => assert!(self.settings.must_subscribe),
         }
     }
 
     /// Lets time pass in ticks; time-outs at the deadline come as the wire sends them.
-    fn pass(&mut self, span_ms: u64) {
+    fn advance(&mut self, span_ms: u64) {
         let end = self.now + span_ms * MS;
         while self.now < end {
             self.now += self.settings.tick_ns;
@@ -190,8 +190,8 @@
             for id in due {
                 self.end(id, Outcome::TimedOut);
             }
-            if let Some(at) = self.wakes.first().copied().filter(|at| *at <= self.now) {
-                self.wakes.remove(&at);
+            if let Some(at) = self.timers.first().copied().filter(|at| *at <= self.now) {
+                self.timers.remove(&at);
                 self.feed(Event::TimerFired);
             }
             let slack = 20 * MS;
@@ -256,7 +256,7 @@
                 self.calls.insert(*next, known);
                 self.feed(Event::CallArrived(call));
             }
-            Step::Pass(ms) => self.pass(ms),
+            Step::Pass(ms) => self.advance(ms),
             Step::Stand(i) => {
                 if let Some(id) = self.pick(i, false) {
                     let attempt = self.calls[&id].out.map_or(0, |o| o.0);
@@ -321,13 +321,14 @@
         .run(
             &(varied(), proptest::collection::vec(step(), 1..120), any::<u64>()),
             |(settings, steps, seed)| {
-                let list: BTreeMap<ServerId, Endpoint> =
-                    (0..4u64).map(|s| (s, Endpoint { zone: s as u32 % 2, ..entry(s, s as u32) })).collect();
+                let list: BTreeMap<ServerId, Endpoint> = (0..4u64)
+                    .map(|s| (s, Endpoint { zone: s as u32 % 2, ..endpoint(s, s as u32) }))
+                    .collect();
                 let mut world = World {
-                    brain: Controller::new(settings.clone(), seed),
+                    controller: Controller::new(settings.clone(), seed),
                     settings,
                     now: 50 * S,
-                    wakes: BTreeSet::new(),
+                    timers: BTreeSet::new(),
                     calls: BTreeMap::new(),
                     list,
                     sends: Vec::new(),
@@ -338,7 +339,7 @@
                 for step in steps {
                     world.play(step, &mut next);
                 }
-                world.pass(10_000);
+                world.advance(10_000);
                 sends.set(sends.get() + world.sends.len());
                 Ok(())
             },
