--- /dev/null
+++ b/crates/lilacpitch-edge/src/core/attempts.rs
@@ -0,0 +1,226 @@
+//! Attempts: a set-up forwarded to one server, resent while unanswered, cancelled or completed.
+//!
+//! Each attempt ends once, with an [`Outcome`] that the controller gets; its server is told where it may know of it.
+
+use super::{AttemptId, EdgeCore, Effect, Timer, UpstreamId};
+use lilacpitch::interface::{LoadReport, Nanos, Outcome, ServerId};
+use lilacpitch::Event;
+use lilacpitch_protocol::message::signal::ToServer;
+
+/// How far an attempt has come.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub(super) enum AttemptState {
+    /// Waits for a connection.
+    Queued,
+    /// Given to a connection as its message of this number, and not answered yet.
+    InFlight { upstream: UpstreamId, message: u64 },
+    /// The call is established there.
+    Established,
+}
+
+impl AttemptState {
+    /// Whether the set-up was given to a connection, so that the server must be told of the attempt's end.
+    fn was_transmitted(self) -> bool {
+        self != AttemptState::Queued
+    }
+}
+
+/// An attempt that has not ended.
+#[derive(Debug)]
+pub(super) struct Attempt {
+    pub call: u64,
+    pub server: ServerId,
+    /// Its number among the call's attempts, from 0.
+    pub index: u32,
+    pub state: AttemptState,
+    /// How long until the set-up is sent again: doubled with each time.
+    resend_interval_ns: Nanos,
+    /// How often the set-up was given to a connection.
+    transmissions: u32,
+}
+
+impl EdgeCore {
+    /// Begins an attempt: the controller sends a call to a server.
+    pub(super) fn forward_setup(
+        &mut self,
+        call_id: u64,
+        server: ServerId,
+        timeout_ns: Nanos,
+        effects: &mut Vec<Effect>,
+    ) {
+        let Some(call) = self.calls.get_mut(&call_id) else { return };
+        let id = self.next_attempt;
+        self.next_attempt += 1;
+        let index = call.begin_attempt(id, server);
+        let attempt = Attempt {
+            call: call_id,
+            server,
+            index,
+            state: AttemptState::Queued,
+            resend_interval_ns: self.settings.timing.resend_ns,
+            transmissions: 0,
+        };
+        self.attempts.insert(id, attempt);
+        self.servers.add_attempt(server, id);
+        self.timers.set(Timer::AttemptTimeout(id), self.now + timeout_ns);
+        if self.servers.is_connected(server) {
+            self.transmit_setup(id, effects);
+        } else if !self.servers.is_connecting(server) {
+            // Never reached: the next attempt to connect is the reconnect timer's.
+            self.end_attempt(id, Outcome::Unreachable, LoadReport::default(), effects);
+        }
+        if !self.safeguards.one_attempt {
+            self.send_second_setup(call_id, server, effects);
+        }
+    }
+
+    /// What an edge without [`Safeguards::one_attempt`](super::Safeguards) does: for tests of the checker.
+    fn send_second_setup(&mut self, call_id: u64, server: ServerId, effects: &mut Vec<Effect>) {
+        let (Some(other), Some(call)) = (self.servers.connected_other_than(server), self.calls.get(&call_id))
+        else {
+            return;
+        };
+        let id = self.next_attempt;
+        let message = ToServer::Setup {
+            attempt: id,
+            call: call.label.clone(),
+            class: call.class.clone(),
+            number: None,
+            repeat: 0,
+        };
+        self.next_attempt += 1;
+        self.transmit(other, &message, None, effects);
+    }
+
+    /// Gives an attempt's set-up to its server's connection, for the first time or again.
+    pub(super) fn transmit_setup(&mut self, id: AttemptId, effects: &mut Vec<Effect>) {
+        let Some(attempt) = self.attempts.get(&id) else { return };
+        let Some(call) = self.calls.get(&attempt.call) else { return };
+        let (server, interval_ns) = (attempt.server, attempt.resend_interval_ns);
+        let message = ToServer::Setup {
+            attempt: id,
+            call: call.label.clone(),
+            class: call.class.clone(),
+            number: call.number.clone(),
+            repeat: attempt.transmissions,
+        };
+        let not_after_ns = Some(self.setup_deadline_ns());
+        let Some((upstream, message)) = self.transmit(server, &message, not_after_ns, effects) else {
+            return;
+        };
+        let Some(attempt) = self.attempts.get_mut(&id) else { return };
+        if attempt.transmissions == 0 {
+            self.counters.setups_sent += 1;
+            attempt.state = AttemptState::InFlight { upstream, message };
+        } else {
+            self.counters.setups_resent += 1;
+        }
+        attempt.transmissions += 1;
+        attempt.resend_interval_ns = interval_ns.saturating_mul(2);
+        self.timers.set(Timer::Resend(id), self.now + interval_ns);
+    }
+
+    /// How long a set-up may wait in a connection's queue: half of the grace after a drain, so that none leaves
+    /// past the grace even if it was queued just before the drain.
+    fn setup_deadline_ns(&self) -> Nanos {
+        self.now + self.settings.rules.drain_grace_ns / 2
+    }
+
+    /// Sends an unanswered set-up again, but not to a server that drains: if the first was lost, this one would be
+    /// new work there.
+    pub(super) fn resend(&mut self, id: AttemptId, effects: &mut Vec<Effect>) {
+        let Some(attempt) = self.attempts.get(&id) else { return };
+        let is_in_flight = matches!(attempt.state, AttemptState::InFlight { .. });
+        // After a stall of this edge both timers may be due: what has timed out is not sent again.
+        let has_timed_out = self.timers.at(Timer::AttemptTimeout(id)).is_none_or(|at| at <= self.now);
+        let may_be_sent = self.servers.is_in_service(attempt.server) || !self.safeguards.drain_deadline;
+        if is_in_flight && !has_timed_out && may_be_sent {
+            self.transmit_setup(id, effects);
+        }
+    }
+
+    /// Cancels a call's attempt at the controller's request, unless the call is established.
+    pub(super) fn cancel_attempt(&mut self, call: u64, index: u32, effects: &mut Vec<Effect>) {
+        let Some(id) = self.calls.get(&call).and_then(|call| call.attempt) else { return };
+        let Some(attempt) = self.attempts.get(&id) else { return };
+        if attempt.index == index && attempt.state != AttemptState::Established {
+            self.end_attempt(id, Outcome::Cancelled, LoadReport::default(), effects);
+        }
+    }
+
+    /// Ends an attempt that has no answer: its server is told if it may know of it, the controller in any case.
+    pub(super) fn end_attempt(
+        &mut self,
+        id: AttemptId,
+        outcome: Outcome,
+        report: LoadReport,
+        effects: &mut Vec<Effect>,
+    ) {
+        let Some(attempt) = self.attempts.remove(&id) else { return };
+        self.forget_attempt(id, attempt.server);
+        match outcome {
+            Outcome::TimedOut => self.counters.attempts_timed_out += 1,
+            Outcome::Cancelled => self.counters.attempts_cancelled += 1,
+            Outcome::Overloaded(_) => self.counters.attempts_overloaded += 1,
+            _ => {}
+        }
+        let is_ended_here = matches!(outcome, Outcome::TimedOut | Outcome::Cancelled);
+        if is_ended_here && attempt.state.was_transmitted() {
+            self.transmit(attempt.server, &ToServer::Cancel { attempt: id }, None, effects);
+        }
+        if let Some(call) = self.calls.get_mut(&attempt.call) {
+            call.attempt = None;
+        }
+        self.report_completion(&attempt, outcome, false, report);
+        self.disconnect_if_removed(attempt.server, effects);
+    }
+
+    /// Cancels the attempt of a call that is abandoned. The controller is told that no further one follows.
+    pub(super) fn abandon_attempt(&mut self, id: AttemptId, effects: &mut Vec<Effect>) {
+        let Some(attempt) = self.attempts.remove(&id) else { return };
+        self.forget_attempt(id, attempt.server);
+        self.counters.attempts_cancelled += 1;
+        if attempt.state.was_transmitted() {
+            self.transmit(attempt.server, &ToServer::Cancel { attempt: id }, None, effects);
+        }
+        self.report_completion(&attempt, Outcome::Cancelled, true, LoadReport::default());
+        self.disconnect_if_removed(attempt.server, effects);
+    }
+
+    /// Releases the attempt of a call that was established.
+    pub(super) fn release_attempt(&mut self, id: AttemptId, effects: &mut Vec<Effect>) {
+        let Some(attempt) = self.attempts.remove(&id) else { return };
+        self.forget_attempt(id, attempt.server);
+        self.transmit(attempt.server, &ToServer::Release { attempt: id }, None, effects);
+        self.report_completion(&attempt, Outcome::Completed, true, LoadReport::default());
+        self.disconnect_if_removed(attempt.server, effects);
+    }
+
+    fn forget_attempt(&mut self, id: AttemptId, server: ServerId) {
+        self.clear_attempt_timers(id);
+        self.servers.remove_attempt(server, id);
+    }
+
+    pub(super) fn clear_attempt_timers(&mut self, id: AttemptId) {
+        self.timers.clear(Timer::AttemptTimeout(id));
+        self.timers.clear(Timer::Resend(id));
+    }
+
+    /// Reports an attempt's end to the controller. `is_final`: its call has ended with it.
+    pub(super) fn report_completion(
+        &mut self,
+        attempt: &Attempt,
+        outcome: Outcome,
+        is_final: bool,
+        report: LoadReport,
+    ) {
+        self.pending_events.push_back(Event::AttemptCompleted {
+            call: attempt.call,
+            attempt: attempt.index,
+            server: attempt.server,
+            outcome,
+            is_final,
+            report,
+        });
+    }
+}
--- a/crates/lilacpitch-edge/src/core/calls.rs
+++ b/crates/lilacpitch-edge/src/core/calls.rs
@@ -1,15 +1,18 @@
-//! Calls and their attempts: taken, sent, answered once, released.
+//! Calls: accepted, answered once, established, released.
+//!
+//! A call is in the tables until its one final answer is sent or, once established, until it is released.
 
-use super::attempt::{Attempt, AttemptState};
-use super::site::{dialled, NO_POOL};
-use super::{left, AttemptId, CallerId, EdgeCore, Effect, Timer};
+use super::attempts::AttemptState;
+use super::site::{hash_dialled_number, NO_POOL};
+use super::{AttemptId, CallerId, EdgeCore, Effect, Timer, NS_PER_MS};
 use lilacpitch::interface::{self, LoadReport, Nanos, Outcome, ServerId};
 use lilacpitch::Event;
 use lilacpitch_protocol::message::call::{Answer, ToCaller};
-use lilacpitch_protocol::message::signal::ToServer;
+use lilacpitch_protocol::message::signal::ReleaseCause;
+use thiserror::Error;
 
-/// What a caller asked for.
-pub(super) struct Asked {
+/// A caller's request to set a call up.
+pub(super) struct SetupRequest {
     pub call: String,
     pub class: String,
     pub pool: Option<String>,
@@ -17,292 +20,268 @@
     pub budget_ms: u64,
 }
 
-/// A call that was taken and has not ended.
+/// Why a set-up gets an `error` and no final answer. The texts cross the wire.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
+enum SetupError {
+    #[error("unknown caller")]
+    UnknownCaller,
+    #[error("the front is stopping")]
+    Stopping,
+    #[error("call id is in use")]
+    CallIdInUse,
+    #[error("too many calls on this connection")]
+    TooManyCallsOfCaller,
+    #[error("too many calls at this front")]
+    TooManyCalls,
+    #[error("unknown class")]
+    UnknownClass,
+    #[error("unknown pool")]
+    UnknownPool,
+}
+
+/// A call that was accepted and has not ended.
 #[derive(Debug)]
 pub(super) struct Call {
     pub caller: CallerId,
-    /// The caller's id of it.
+    /// The id that the caller gave it.
     pub name: String,
-    /// What servers and logs know it by.
-    label: String,
+    /// The id by which servers and logs know it.
+    pub label: String,
     pub class: String,
     pub number: Option<String>,
-    pub stands: bool,
-    /// What the module is told once the fleet has said where the number is, and since when that is waited for.
-    pub waits: Option<(interface::Call, Nanos)>,
-    /// The attempt that is queued, out or standing.
+    pub is_established: bool,
+    /// While the fleet looks its number up.
+    pub pending_locate: Option<PendingLocate>,
+    /// The attempt that is queued, in flight or established.
     pub attempt: Option<AttemptId>,
+    /// How many attempts were begun.
     attempts: u32,
     span: tracing::Span,
 }
 
+/// A call that waits for the fleet.
+#[derive(Debug)]
+pub(super) struct PendingLocate {
+    /// What the controller gets once the fleet has answered.
+    pub call: interface::Call,
+    /// When the wait began.
+    pub since_ns: Nanos,
+}
+
+impl Call {
+    /// Notes a new attempt, and gives its number among the call's attempts.
+    pub fn begin_attempt(&mut self, id: AttemptId, server: ServerId) -> u32 {
+        let index = self.attempts;
+        self.attempts += 1;
+        self.attempt = Some(id);
+        self.span.in_scope(|| tracing::debug!(attempt = id, server, "setup forwarded"));
+        index
+    }
+}
+
 impl EdgeCore {
-    /// Takes a call, or says why not, with the id that the caller gave it.
-    pub(super) fn take_call(
-        &mut self,
-        caller: CallerId,
-        asked: Asked,
-        effects: &mut Vec<Effect>,
-    ) -> Result<(), (&'static str, String)> {
+    /// Accepts a call, or answers why not.
+    pub(super) fn handle_setup(&mut self, caller: CallerId, setup: SetupRequest, effects: &mut Vec<Effect>) {
+        if self.has_withdrawn_settings() {
+            return self.reject_setup(caller, setup, effects);
+        }
+        match self.check_setup(caller, &setup) {
+            Ok((class, first_choice)) => self.accept_call(caller, setup, class, first_choice, effects),
+            Err(error) => self.send_error(caller, error.to_string(), Some(setup.call), effects),
+        }
+    }
+
+    /// Checks a set-up against the limits, and gives the numbers of its class and of its pool.
+    fn check_setup(&self, caller: CallerId, setup: &SetupRequest) -> Result<(usize, u32), SetupError> {
         let limits = &self.settings.limits;
-        let no = |reason| Err((reason, asked.call.clone()));
-        let Some(own) = self.callers.get_mut(&caller) else { return no("unknown caller") };
-        if self.stopping {
-            return no("the front is stopping");
+        let own_calls = self.callers.get(&caller).ok_or(SetupError::UnknownCaller)?;
+        if self.is_stopping {
+            return Err(SetupError::Stopping);
         }
-        if own.contains_key(&asked.call) {
-            return no("call id is in use");
+        if own_calls.contains_key(&setup.call) {
+            return Err(SetupError::CallIdInUse);
         }
-        if own.len() >= limits.calls_per_caller {
-            return no("too many calls on this connection");
+        if own_calls.len() >= limits.calls_per_caller {
+            return Err(SetupError::TooManyCallsOfCaller);
         }
         if self.calls.len() >= limits.calls {
-            return no("too many calls at this front");
+            return Err(SetupError::TooManyCalls);
         }
-        let Some(class) = self.site.class(&asked.class) else { return no("unknown class") };
-        let first_choice = match &asked.pool {
+        let class = self.site.class(&setup.class).ok_or(SetupError::UnknownClass)?;
+        let first_choice = match &setup.pool {
             None => NO_POOL,
-            Some(name) => match self.site.pool(name) {
-                Some(number) => number,
-                None => return no("unknown pool"),
-            },
+            Some(name) => self.site.pool(name).ok_or(SetupError::UnknownPool)?,
         };
+        Ok((class, first_choice))
+    }
+
+    fn accept_call(
+        &mut self,
+        caller: CallerId,
+        setup: SetupRequest,
+        class: usize,
+        first_choice: u32,
+        effects: &mut Vec<Effect>,
+    ) {
         let id = self.next_call;
         self.next_call += 1;
-        own.insert(asked.call.clone(), id);
-        let label = format!("{}/{id}/{}", self.name, asked.call);
+        self.callers.entry(caller).or_default().insert(setup.call.clone(), id);
+        let label = format!("{}/{id}/{}", self.name, setup.call);
         let span = tracing::debug_span!("call", label);
-        span.in_scope(|| tracing::debug!(class = asked.class, pool = asked.pool, asked.budget_ms, "taken"));
-        self.counters.calls_taken += 1;
-        let call = interface::Call {
+        span.in_scope(|| {
+            tracing::debug!(class = setup.class, pool = setup.pool, setup.budget_ms, "call accepted")
+        });
+        self.counters.calls_accepted += 1;
+        let arrived = interface::Call {
             id,
             class,
             first_choice,
-            // The caller's time began when it sent, which may be before a stall of this front.
-            budget_ns: (asked.budget_ms * 1_000_000).saturating_sub(self.stall.span_ns(self.now)),
-            dialled: asked.number.as_deref().map(dialled),
+            // The caller's time began when it sent, which may be before a stall of this edge.
+            budget_ns: (setup.budget_ms * NS_PER_MS).saturating_sub(self.stall.span_ns(self.now)),
+            dialled: setup.number.as_deref().map(hash_dialled_number),
             circuits: 1.0,
             retry_after_cut: false,
             in_transit: false,
         };
-        let ask = self.asks_fleet(&asked, call.budget_ns);
-        if let (Some(patience_ns), Some(number)) = (ask, asked.number.clone()) {
-            self.timers.set(Timer::Locate(id), self.now + patience_ns);
-            effects.push(Effect::Locate { call: id, number, patience_ns });
-        } else {
-            self.follow.push_back(Event::CallArrived(call));
+        let pending_locate = self.begin_locate(&setup, arrived, effects);
+        if pending_locate.is_none() {
+            self.pending_events.push_back(Event::CallArrived(arrived));
         }
-        self.calls.insert(
-            id,
-            Call {
-                caller,
-                name: asked.call,
-                label,
-                class: asked.class,
-                number: asked.number,
-                stands: false,
-                waits: ask.map(|_| (call, self.now)),
-                attempt: None,
-                attempts: 0,
-                span,
-            },
-        );
-        Ok(())
-    }
-
-    /// The module sends a call to a server.
-    pub(super) fn send(&mut self, call: u64, server: ServerId, timeout_ns: Nanos, effects: &mut Vec<Effect>) {
-        let resend_gap_ns = self.settings.timing.resend_ns;
-        let Some(row) = self.calls.get_mut(&call) else { return };
-        let id = self.next_attempt;
-        self.next_attempt += 1;
-        let hop = row.attempts;
-        row.attempts += 1;
-        row.attempt = Some(id);
-        row.span.in_scope(|| tracing::debug!(attempt = id, server, "sent"));
-        let attempt = Attempt { call, server, hop, state: AttemptState::Queued, resend_gap_ns, repeats: 0 };
-        self.attempts.insert(id, attempt);
-        self.servers.rows.entry(server).and_modify(|row| {
-            row.attempts.insert(id);
-        });
-        self.timers.set(Timer::TimeOut(id), self.now + timeout_ns);
-        match self.servers.rows.get(&server).map(|row| row.link) {
-            Some(super::links::Link::Up(..)) => self.transmit_setup(id, effects),
-            Some(super::links::Link::Connecting(_)) => {}
-            // Never reached: the next try to connect is the timer's.
-            _ => self.end_attempt(id, Outcome::Unreachable, LoadReport::default(), effects),
-        }
-        if !self.guards.one_attempt {
-            self.send_a_second(call, server, effects);
-        }
-    }
-
-    /// What a front without its guard would do: for tests of the judge.
-    fn send_a_second(&mut self, call: u64, server: ServerId, effects: &mut Vec<Effect>) {
-        let other = self.servers.rows.iter().find(|(id, row)| **id != server && row.up().is_some());
-        let (Some((other, _)), Some(row)) = (other, self.calls.get(&call)) else { return };
-        let (other, id) = (*other, self.next_attempt);
-        let message = ToServer::Setup {
-            attempt: id,
-            call: row.label.clone(),
-            class: row.class.clone(),
-            number: None,
-            repeat: 0,
-        };
-        self.next_attempt += 1;
-        self.transmit(other, &message, None, effects);
-    }
-
-    pub(super) fn transmit_setup(&mut self, id: AttemptId, effects: &mut Vec<Effect>) {
-        let Some(attempt) = self.attempts.get(&id) else { return };
-        let Some(call) = self.calls.get(&attempt.call) else { return };
-        let (server, gap_ns) = (attempt.server, attempt.resend_gap_ns);
-        let message = ToServer::Setup {
-            attempt: id,
-            call: call.label.clone(),
-            class: call.class.clone(),
-            number: call.number.clone(),
-            repeat: attempt.repeats,
+        let call = Call {
+            caller,
+            name: setup.call,
+            label,
+            class: setup.class,
+            number: setup.number,
+            is_established: false,
+            pending_locate,
+            attempt: None,
+            attempts: 0,
+            span,
         };
-        let not_after = Some(self.set_up_not_after());
-        let Some((link, number)) = self.transmit(server, &message, not_after, effects) else { return };
-        let Some(attempt) = self.attempts.get_mut(&id) else { return };
-        if attempt.repeats == 0 {
-            self.counters.attempts_sent += 1;
-            attempt.state = AttemptState::Out { link, message: number };
-        } else {
-            self.counters.attempts_repeated += 1;
-        }
-        attempt.repeats += 1;
-        attempt.resend_gap_ns = gap_ns.saturating_mul(2);
-        self.timers.set(Timer::Resend(id), self.now + gap_ns);
-    }
-
-    /// An unanswered set-up goes out again, but not to a server that drains: if the first was lost, the repeat
-    /// would be new work there.
-    pub(super) fn resend(&mut self, id: AttemptId, effects: &mut Vec<Effect>) {
-        let Some(attempt) = self.attempts.get(&id) else { return };
-        let out = matches!(attempt.state, AttemptState::Out { .. });
-        // After a stall of this front both may be due: what has timed out is not sent again.
-        let over = self.timers.at(Timer::TimeOut(id)).is_none_or(|at| at <= self.now);
-        if out && !over && (self.servers.in_service(attempt.server) || !self.guards.drain_deadline) {
-            self.transmit_setup(id, effects);
-        }
-    }
-
-    /// The module calls an attempt off.
-    pub(super) fn cancel(&mut self, call: u64, hop: u32, effects: &mut Vec<Effect>) {
-        let Some(id) = self.calls.get(&call).and_then(|c| c.attempt) else { return };
-        if self.attempts.get(&id).is_some_and(|a| a.hop == hop && a.state != AttemptState::Standing) {
-            self.end_attempt(id, Outcome::Cancelled, LoadReport::default(), effects);
-        }
+        self.calls.insert(id, call);
     }
 
-    /// A server answered: the call stands.
-    pub(super) fn stands(&mut self, id: AttemptId, report: LoadReport, effects: &mut Vec<Effect>) {
-        self.timers.clear(Timer::TimeOut(id));
-        self.timers.clear(Timer::Resend(id));
+    /// A server has answered an attempt: its call is established.
+    pub(super) fn establish_call(&mut self, id: AttemptId, report: LoadReport, effects: &mut Vec<Effect>) {
+        self.clear_attempt_timers(id);
         let Some(attempt) = self.attempts.get_mut(&id) else { return };
-        attempt.state = AttemptState::Standing;
-        let (call, hop, server) = (attempt.call, attempt.hop, attempt.server);
-        let Some(row) = self.calls.get_mut(&call) else { return };
-        row.stands = true;
-        let (caller, name) = (row.caller, row.name.clone());
-        row.span.in_scope(|| tracing::debug!(attempt = id, "stands"));
-        self.counters.calls_stood += 1;
+        attempt.state = AttemptState::Established;
+        let (call_id, index, server) = (attempt.call, attempt.index, attempt.server);
+        let Some(call) = self.calls.get_mut(&call_id) else { return };
+        call.is_established = true;
+        let (caller, name) = (call.caller, call.name.clone());
+        call.span.in_scope(|| tracing::debug!(attempt = id, "call established"));
+        self.counters.calls_established += 1;
         let answer = ToCaller::Final { call: name, answer: Answer::Stands, come_back_ms: None, cause: None };
         effects.push(Effect::ToCaller(caller, answer.encode()));
-        if !self.guards.one_answer {
+        if !self.safeguards.one_answer {
             effects.push(Effect::ToCaller(caller, answer.encode()));
         }
-        self.row_stands(call, server);
-        self.follow.push_back(Event::CallEstablished { call, attempt: hop });
+        self.add_active_call(call_id, server);
+        self.pending_events.push_back(Event::CallEstablished { call: call_id, attempt: index });
         if report.free_capacity.is_some() {
-            self.follow.push_back(Event::ServerLoadReported { server, report });
+            self.pending_events.push_back(Event::ServerLoadReported { server, report });
         }
     }
 
-    pub(super) fn refuse(&mut self, id: u64, retry_after_ns: Option<Nanos>, effects: &mut Vec<Effect>) {
+    /// Answers a call that the controller rejects.
+    pub(super) fn reject_call(&mut self, id: u64, retry_after_ns: Option<Nanos>, effects: &mut Vec<Effect>) {
         let Some(call) = self.remove_call(id) else { return };
-        self.counters.calls_refused += 1;
-        call.span.in_scope(|| tracing::debug!(retry_after_ns, "refused"));
-        // Rounded up: a caller that comes back a moment early would be refused again.
-        let come_back_ms = retry_after_ns.map(|ns| ns.div_ceil(1_000_000));
-        let answer = ToCaller::Final { call: call.name, answer: Answer::Refused, come_back_ms, cause: None };
+        self.counters.calls_rejected += 1;
+        // Rounded up: a caller that comes back a moment early would be rejected again.
+        let retry_after_ms = retry_after_ns.map(|ns| ns.div_ceil(NS_PER_MS));
+        call.span.in_scope(|| tracing::debug!(retry_after_ms, "call rejected"));
+        let answer = ToCaller::Final {
+            call: call.name,
+            answer: Answer::Refused,
+            come_back_ms: retry_after_ms,
+            cause: None,
+        };
         effects.push(Effect::ToCaller(call.caller, answer.encode()));
     }
 
-    pub(super) fn fail(&mut self, id: u64, cause: &str, effects: &mut Vec<Effect>) {
+    /// Answers a call that was accepted and could not be set up.
+    pub(super) fn fail_call(&mut self, id: u64, cause: &str, effects: &mut Vec<Effect>) {
         let Some(call) = self.remove_call(id) else { return };
         self.counters.calls_failed += 1;
-        call.span.in_scope(|| tracing::debug!(cause, "failed"));
+        call.span.in_scope(|| tracing::debug!(cause, "call failed"));
         let cause = Some(cause.to_string());
         let answer = ToCaller::Final { call: call.name, answer: Answer::Failed, come_back_ms: None, cause };
         effects.push(Effect::ToCaller(call.caller, answer.encode()));
     }
 
-    /// Takes a call out of the tables: whoever has it in hand owes its one answer, nobody else can.
-    pub(super) fn remove_call(&mut self, id: u64) -> Option<Call> {
+    /// Removes a call from the tables: whoever gets it owes its one answer, and nobody else can give it.
+    fn remove_call(&mut self, id: u64) -> Option<Call> {
         let call = self.calls.remove(&id)?;
         self.timers.clear(Timer::Locate(id));
-        self.row_ended(id, &call);
-        if let Some(own) = self.callers.get_mut(&call.caller) {
-            own.remove(&call.name);
+        self.remove_active_call(id, &call);
+        if let Some(own_calls) = self.callers.get_mut(&call.caller) {
+            own_calls.remove(&call.name);
         }
         Some(call)
     }
 
-    pub(super) fn on_release(&mut self, caller: CallerId, name: String, effects: &mut Vec<Effect>) {
-        let Some(id) = self.callers.get(&caller).and_then(|own| own.get(&name)).copied() else {
-            return self.error(caller, "no such call".into(), Some(name), effects);
+    /// A caller releases a call that is established, or gives up one that is not.
+    pub(super) fn release_call(&mut self, caller: CallerId, name: String, effects: &mut Vec<Effect>) {
+        let Some(id) = self.callers.get(&caller).and_then(|own_calls| own_calls.get(&name)).copied() else {
+            return self.send_error(caller, "no such call".into(), Some(name), effects);
         };
-        if self.calls.get(&id).is_some_and(|call| call.stands) {
+        if self.is_established(id) {
             self.close_call(id, effects);
         } else {
-            self.abandon(id, effects);
-            self.fail(id, "released by the caller", effects);
+            self.abandon_call(id, effects);
+            self.fail_call(id, "released by the caller", effects);
         }
     }
 
-    /// A caller's connection has ended: nothing more is owed to it, and nothing of its calls stays at servers.
-    pub(super) fn on_caller_closed(&mut self, caller: CallerId, effects: &mut Vec<Effect>) {
-        let Some(own) = self.callers.remove(&caller) else { return };
-        self.row_left(caller);
-        for id in own.into_values() {
-            if self.calls.get(&id).is_some_and(|call| call.stands) {
+    /// A caller has disconnected: nothing more is owed to it, and nothing of its calls stays at servers.
+    pub(super) fn handle_caller_closed(&mut self, caller: CallerId, effects: &mut Vec<Effect>) {
+        let Some(own_calls) = self.callers.remove(&caller) else { return };
+        self.remove_binding(caller);
+        for id in own_calls.into_values() {
+            if self.is_established(id) {
                 self.close_call(id, effects);
             } else {
-                self.counters.calls_left += 1;
-                self.abandon(id, effects);
+                self.counters.calls_abandoned += 1;
+                self.abandon_call(id, effects);
                 self.remove_call(id);
             }
         }
     }
 
-    /// Ends a call that stands, from this side.
+    fn is_established(&self, id: u64) -> bool {
+        self.calls.get(&id).is_some_and(|call| call.is_established)
+    }
+
+    /// Ends an established call from this side.
     pub(super) fn close_call(&mut self, id: u64, effects: &mut Vec<Effect>) {
         let Some(attempt) = self.remove_call(id).and_then(|call| call.attempt) else { return };
-        let Some(ended) = self.attempts.remove(&attempt) else { return };
-        self.forget_attempt(attempt, ended.server);
-        self.transmit(ended.server, &ToServer::Release { attempt }, None, effects);
-        self.settled(id, ended.hop, ended.server, Outcome::Completed, true, LoadReport::default());
-        self.let_go(ended.server, effects);
+        self.release_attempt(attempt, effects);
+    }
+
+    /// An established call has ended at its server.
+    pub(super) fn end_call(&mut self, id: AttemptId, cause: ReleaseCause, effects: &mut Vec<Effect>) {
+        let Some(attempt) = self.attempts.remove(&id) else { return };
+        self.servers.remove_attempt(attempt.server, id);
+        let Some(call) = self.remove_call(attempt.call) else { return };
+        let (outcome, cause_name) = match cause {
+            ReleaseCause::Ended => (Outcome::Completed, "ended"),
+            ReleaseCause::Cut => (Outcome::Cut, "cut"),
+        };
+        self.counters.calls_cut += u64::from(cause == ReleaseCause::Cut);
+        let text = ToCaller::Released { call: call.name, cause: cause_name.into() }.encode();
+        effects.push(Effect::ToCaller(call.caller, text));
+        self.report_completion(&attempt, outcome, true, LoadReport::default());
     }
 
-    /// Gives up a call without an answer, on the caller's or the operator's word: its attempt is cancelled, and
-    /// the module told that nothing more is owed.
-    pub(super) fn abandon(&mut self, id: u64, effects: &mut Vec<Effect>) {
-        if self.calls.get(&id).is_some_and(|call| call.waits.is_none()) {
-            self.follow.push_back(Event::ClientDisconnected(id));
+    /// Abandons a call at the caller's or the operator's request: its attempt is cancelled, and the controller told
+    /// that no answer is owed. The call stays in the tables.
+    pub(super) fn abandon_call(&mut self, id: u64, effects: &mut Vec<Effect>) {
+        if self.calls.get(&id).is_some_and(|call| call.pending_locate.is_none()) {
+            self.pending_events.push_back(Event::ClientDisconnected(id));
         }
         let Some(attempt) = self.calls.get_mut(&id).and_then(|call| call.attempt.take()) else { return };
-        let Some(ended) = self.attempts.remove(&attempt) else { return };
-        self.forget_attempt(attempt, ended.server);
-        self.counters.attempts_cancelled += 1;
-        if left(ended.state) {
-            self.transmit(ended.server, &ToServer::Cancel { attempt }, None, effects);
-        }
-        self.settled(id, ended.hop, ended.server, Outcome::Cancelled, true, LoadReport::default());
-        self.let_go(ended.server, effects);
+        self.abandon_attempt(attempt, effects);
     }
 }
--- a/crates/lilacpitch-edge/src/core/mod.rs
+++ b/crates/lilacpitch-edge/src/core/mod.rs
@@ -1,65 +1,74 @@
-//! The core of a front, without I/O: inputs in, effects out, time handed in.
+//! The core of the edge, without I/O: an [`Input`] goes in with the time, [`Effect`]s come out.
 //!
-//! One way through it: an [`Input`] becomes an event of the module, the module's actions become [`Effect`]s.
-//! [`Front`] is the sole owner of callers, calls, attempts, links to servers and timers. It decides nothing
-//! about routes, admission or further attempts: that is the module's. What it owes by itself is bookkeeping that
-//! keeps the rules on the wire: one final answer for each call, nothing sent for it after, an attempt's end told
-//! once, circuits at servers not leaked, nothing queued for a server that drains.
+//! An input becomes an event of the controller, and the controller's actions become effects. [`EdgeCore`] is the sole
+//! owner of callers, calls, attempts, upstream connections and timers. It decides nothing about routing, admission or
+//! retries: the controller does. What it owes by itself are the rules on the wire: one final answer to each call and
+//! nothing sent for it afterwards, each attempt's end reported once, no circuit left behind at a server, and nothing
+//! queued for a server that drains.
 
-mod attempt;
+mod attempts;
 mod calls;
 mod counters;
-mod facts;
+mod endpoint_list;
 mod fleet;
-mod links;
-mod pools;
+mod server_reports;
 mod site;
 mod timers;
+mod upstreams;
 
 pub use counters::Counters;
+pub use endpoint_list::ListedServer;
 pub use fleet::RecordEvent;
-pub use pools::ListedServer;
 
-use attempt::{Attempt, AttemptState};
+use attempts::Attempt;
 use calls::Call;
 use lilacpitch::interface::{Action, LoadReport, Nanos, Outcome};
 use lilacpitch::{Controller, Event, Policy, Settings};
 use lilacpitch_config::{Edge, Pools};
 use lilacpitch_net::{StallDetector, Timers};
 use lilacpitch_protocol::message::call::{FromCaller, ToCaller};
-use links::Servers;
 use rand_core::SeedableRng;
 use rand_pcg::Pcg32;
 use site::Site;
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
 use timers::Timer;
+use upstreams::Servers;
 
-/// A caller's connection, by the number the shell gives it. Never given twice.
+/// A caller's connection, by the number the shell gives it. Never reused.
 pub type CallerId = u64;
-/// A connection to a server, by the number the front gives it. Never given twice.
+/// A connection to a server, by the number the core gives it. Never reused.
 pub type UpstreamId = u64;
-/// An attempt, by the number that crosses the wire. Never given twice in a front's life.
+/// An attempt, by the number that crosses the wire. Never reused within an incarnation of the edge.
 pub type AttemptId = u64;
 
-/// What happens to a front.
+/// Mixed into the seed, so that the core's random numbers differ from those of the controller, which gets the seed.
+const RNG_STREAM: u64 = 0x6c69_6c61_6370;
+/// Attempt numbers that the clock sets aside for each millisecond: no edge sends that many in one.
+const ATTEMPTS_PER_MS: AttemptId = 1_000;
+/// Nanoseconds in a millisecond.
+const NS_PER_MS: Nanos = 1_000_000;
+/// Longest text of an error that is sent to a caller, in characters.
+const MAX_REASON_CHARS: usize = 80;
+
+/// What happens to an edge.
 #[derive(Debug)]
 pub enum Input {
-    /// A caller's connection is there.
+    /// A caller has connected.
     CallerOpened(CallerId),
     /// A caller sent a text message.
     CallerText(CallerId, String),
     /// A caller's connection has ended.
     CallerClosed(CallerId),
-    /// A connection that was asked for is ready.
+    /// A connection that [`Effect::Connect`] requested is ready.
     UpstreamConnected(UpstreamId),
     /// A server sent a text message.
     UpstreamText(UpstreamId, String),
-    /// A connection has ended or could not be made. Of the messages given to it, so many may have left.
+    /// A connection has ended or could not be made.
     UpstreamClosed {
         /// The connection.
         upstream: UpstreamId,
-        /// Messages that may have reached the server.
+        /// How many of the messages given to it may have reached the server.
         written: u64,
     },
     /// A set-up given to a connection was not written in time, and never will be.
@@ -69,21 +78,21 @@
         /// Which of its messages, from 0.
         message: u64,
     },
-    /// The pool list was read, and has changed.
+    /// The endpoint list was read, and has changed.
     PoolList(Pools),
-    /// Another front, by its origin, says what it knows of servers.
+    /// Another edge, by its origin, reports what it knows of servers.
     PeerReported(u64, Vec<lilacpitch_gossip::ServerReport>),
-    /// What other fronts, by their origins, have lately met at servers.
+    /// What other edges, by their origins, have lately met at servers.
     RumorsReceived(Vec<(u64, lilacpitch_gossip::ServerReport)>),
-    /// A caller said, as it connected, at which number it is reached.
+    /// A caller stated, as it connected, the number at which it is reached.
     CallerNumber(CallerId, String),
     /// The fleet's answer for a call that waits for it: the pool through which its number is reached, if any.
     Located(u64, Option<String>),
-    /// Whether this front may act on its settings version: without, it takes no new calls and ends those it has.
+    /// Whether this edge may act on its settings version: if not, it accepts no new calls and ends those it has.
     SettingsInForce(bool),
-    /// All rows that this front has are wanted again.
+    /// All location records of this edge are to be published again.
     RecordsRequested,
-    /// The operator asks the front to stop.
+    /// The operator asks the edge to stop.
     Stop,
     /// Time has passed.
     Timeout,
@@ -94,7 +103,7 @@
 pub enum Effect {
     /// Send a caller a text message.
     ToCaller(CallerId, String),
-    /// Make a connection to a server, and answer with `LinkUp` or `LinkDown`.
+    /// Connect to a server, and answer with [`Input::UpstreamConnected`] or [`Input::UpstreamClosed`].
     Connect(UpstreamId, SocketAddr),
     /// Send a server a text message: the connection's messages are numbered from 0 in their order.
     ToServer {
@@ -104,37 +113,37 @@
         message: u64,
         /// The message.
         text: String,
-        /// Not to be written after this moment; answered by `NotWritten` then.
+        /// Not to be written after this moment; answered by [`Input::NotWritten`] then.
         not_after_ns: Option<Nanos>,
     },
-    /// End a connection to a server, once what was given to it is written. No `LinkDown` follows.
+    /// End a connection to a server, once what was given to it is written. No [`Input::UpstreamClosed`] follows.
     Disconnect(UpstreamId),
-    /// Where is this number? Answered by `Located`, or too late.
+    /// Look a number up in the fleet. Answered by [`Input::Located`]; an answer after the time limit is ignored.
     Locate {
         /// The call that waits.
         call: u64,
         /// Its number.
         number: String,
-        /// For so long.
+        /// How long it waits.
         patience_ns: Nanos,
     },
-    /// A row of the fleet's register has changed.
+    /// A location record of this edge has appeared or ended.
     RecordChanged(RecordEvent),
-    /// The front has stopped: nothing is owed any more.
+    /// The edge has stopped: no call is left.
     Stopped,
 }
 
-/// Guards that a test may switch off to see that the judge of the rules notices. Never off in a program.
+/// Safeguards that a test may switch off to see that the checker of the call rules notices. Always on in a program.
 #[doc(hidden)]
 #[derive(Debug, Clone, Copy)]
 pub struct Safeguards {
     /// One attempt of a call at a time.
     pub one_attempt: bool,
-    /// Drains are told to the module.
+    /// Drains are reported to the controller.
     pub drain_deadline: bool,
-    /// A call's end ends what is sent for it, and it is answered once.
+    /// A call gets one final answer.
     pub one_answer: bool,
-    /// A call's rest after a time-out, reset or cancel.
+    /// A call pauses after a time-out, reset or cancel, so that a server can release it.
     pub release: bool,
 }
 
@@ -144,15 +153,16 @@
     }
 }
 
-/// The core of a front. Same settings, seed and inputs give the same effects.
+/// The core of an edge. The same settings, seed and inputs give the same effects.
 pub struct EdgeCore {
     name: String,
     settings: Edge,
     site: Site,
-    guards: Safeguards,
-    brain: Box<dyn Policy>,
+    safeguards: Safeguards,
+    controller: Box<dyn Policy>,
     rng: Pcg32,
     now: Nanos,
+    /// Each caller's calls, by the id that the caller gave them.
     callers: BTreeMap<CallerId, BTreeMap<String, u64>>,
     calls: BTreeMap<u64, Call>,
     attempts: BTreeMap<AttemptId, Attempt>,
@@ -160,47 +170,50 @@
     timers: Timers<Timer>,
     next_call: u64,
     next_attempt: AttemptId,
-    /// Events that the front's own doings cause, for after the actions in hand.
-    follow: VecDeque<Event>,
+    /// Events that wait for the controller until the actions in hand are done.
+    pending_events: VecDeque<Event>,
+    /// Empty between two events; kept for its capacity.
     actions: Vec<Action>,
-    stopping: bool,
-    stopped: bool,
+    is_stopping: bool,
+    has_stopped: bool,
     stall: StallDetector,
     counters: Counters,
     fleet: Option<fleet::Fleet>,
 }
 
 impl EdgeCore {
-    /// A front that knows its settings and nothing else. `now`: nanoseconds since 1970, as all times here.
+    /// An edge without callers, calls and servers. `now`: nanoseconds since 1970, as all times here.
     pub fn new(settings: Edge, now: Nanos, seed: u64) -> Self {
         Self::with_safeguards(settings, now, seed, Safeguards::default())
     }
 
     #[doc(hidden)]
-    pub fn with_safeguards(settings: Edge, now: Nanos, seed: u64, guards: Safeguards) -> Self {
-        Self::with_policy(settings, now, seed, guards, &|told, seed| Box::new(Controller::new(told, seed)))
+    pub fn with_safeguards(settings: Edge, now: Nanos, seed: u64, safeguards: Safeguards) -> Self {
+        Self::with_policy(settings, now, seed, safeguards, &|settings, seed| {
+            Box::new(Controller::new(settings, seed))
+        })
     }
 
-    /// With another policy in the module's place: for the laboratory's baselines.
+    /// With another policy in the controller's place: for the testbed's baselines.
     #[doc(hidden)]
     pub fn with_policy(
         settings: Edge,
         now: Nanos,
         seed: u64,
-        guards: Safeguards,
+        safeguards: Safeguards,
         policy: &dyn Fn(Settings, u64) -> Box<dyn Policy>,
     ) -> Self {
         let site = Site::new(&settings);
-        let mut told = site.module_settings(&settings);
-        if !guards.release {
-            told.release_ns = 0;
+        let mut controller_settings = site.controller_settings(&settings);
+        if !safeguards.release {
+            controller_settings.release_ns = 0;
         }
         EdgeCore {
             name: settings.name.clone(),
-            brain: policy(told, seed),
-            rng: Pcg32::seed_from_u64(seed ^ 0x6c69_6c61_6370),
+            controller: policy(controller_settings, seed),
+            rng: Pcg32::seed_from_u64(seed ^ RNG_STREAM),
             site,
-            guards,
+            safeguards,
             now,
             callers: BTreeMap::new(),
             calls: BTreeMap::new(),
@@ -208,12 +221,12 @@
             servers: Servers::default(),
             timers: Timers::default(),
             next_call: 1,
-            // Above those of a former life, which servers may still have: no front sends a thousand a millisecond.
-            next_attempt: now / 1_000_000 * 1_000,
-            follow: VecDeque::new(),
+            // Above those of a former incarnation, which servers may still have.
+            next_attempt: now / NS_PER_MS * ATTEMPTS_PER_MS,
+            pending_events: VecDeque::new(),
             actions: Vec::new(),
-            stopping: false,
-            stopped: false,
+            is_stopping: false,
+            has_stopped: false,
             stall: StallDetector::default(),
             counters: Counters::default(),
             fleet: settings.fleet.as_ref().map(fleet::Fleet::new),
@@ -221,172 +234,177 @@
         }
     }
 
-    /// Takes one input and appends what is to be done. A clock that runs back stands still.
+    /// Handles one input and appends what is to be done. A clock that runs backwards is taken to have stopped.
     pub fn handle(&mut self, now: Nanos, input: Input, effects: &mut Vec<Effect>) {
         self.now = self.now.max(now);
         self.stall.note(self.now, self.timers.first(), 2 * self.settings.timing.tick_ns);
-        // What is due goes first: an answer that comes with its time-out comes too late.
-        self.fire_due(effects);
+        // Due timers go first: an answer that arrives together with its time-out is late.
+        self.fire_due_timers(effects);
+        self.dispatch(input, effects);
+        self.run_controller(effects);
+        self.emit_record_events(effects);
+        if self.is_stopping && !self.has_stopped && self.calls.is_empty() {
+            self.has_stopped = true;
+            effects.push(Effect::Stopped);
+        }
+    }
+
+    fn dispatch(&mut self, input: Input, effects: &mut Vec<Effect>) {
         match input {
             Input::CallerOpened(caller) => {
                 self.callers.entry(caller).or_default();
             }
-            Input::CallerText(caller, text) => self.on_caller_text(caller, &text, effects),
-            Input::CallerClosed(caller) => self.on_caller_closed(caller, effects),
-            Input::UpstreamConnected(link) => self.on_link_up(link, effects),
-            Input::UpstreamText(link, text) => self.on_link_text(link, &text, effects),
-            Input::UpstreamClosed { upstream: link, written } => self.on_link_down(link, written, effects),
-            Input::NotWritten { upstream: link, message } => self.on_not_written(link, message, effects),
-            Input::PoolList(pools) => self.on_pool_list(&pools, effects),
-            Input::PeerReported(origin, facts) => self.on_told(origin, facts),
-            Input::RumorsReceived(heard) => self.on_heard(heard),
-            Input::CallerNumber(caller, number) => self.on_caller_number(caller, number),
-            Input::Located(call, pool) => self.on_located(call, pool.as_deref()),
-            Input::SettingsInForce(in_force) => self.on_in_force(in_force, effects),
-            Input::RecordsRequested => self.on_rows_wanted(),
-            Input::Stop => self.on_stop(),
+            Input::CallerText(caller, text) => self.handle_caller_text(caller, &text, effects),
+            Input::CallerClosed(caller) => self.handle_caller_closed(caller, effects),
+            Input::UpstreamConnected(upstream) => self.handle_upstream_connected(upstream, effects),
+            Input::UpstreamText(upstream, text) => self.handle_upstream_text(upstream, &text, effects),
+            Input::UpstreamClosed { upstream, written } => {
+                self.handle_upstream_closed(upstream, written, effects);
+            }
+            Input::NotWritten { upstream, message } => self.handle_not_written(upstream, message, effects),
+            Input::PoolList(pools) => self.handle_endpoint_list(&pools, effects),
+            Input::PeerReported(origin, reports) => self.handle_peer_report(origin, reports),
+            Input::RumorsReceived(rumors) => self.handle_rumors(rumors),
+            Input::CallerNumber(caller, number) => self.add_binding(caller, number),
+            Input::Located(call, pool) => self.handle_located(call, pool.as_deref()),
+            Input::SettingsInForce(is_in_force) => self.set_settings_in_force(is_in_force, effects),
+            Input::RecordsRequested => self.publish_all_records(),
+            Input::Stop => self.begin_stop(),
             Input::Timeout => {}
         }
-        self.run_follow(effects);
-        if let Some(fleet) = &mut self.fleet {
-            effects.extend(fleet.rows.drain(..).map(Effect::RecordChanged));
-        }
-        if self.stopping && !self.stopped && self.calls.is_empty() {
-            self.stopped = true;
-            effects.push(Effect::Stopped);
-        }
     }
 
-    /// Lets calls wait for the fleet as long as they like: for tests of the judge.
+    /// Lets calls wait for the fleet for their whole budget: for tests of the fleet's checker.
     #[doc(hidden)]
-    pub fn calls_wait(&mut self) {
+    pub fn disable_locate_limit(&mut self) {
         if let Some(fleet) = &mut self.fleet {
-            fleet.calls_first = false;
+            fleet.limits_locate_time = false;
         }
     }
 
-    /// When [`Input::Timeout`] is wanted next.
+    /// When [`Input::Timeout`] is due next.
     pub fn next_timeout(&self) -> Option<Nanos> {
         self.timers.first()
     }
 
-    /// Counts a pool list that could not be read; the one in hand stays in force.
-    pub fn pool_list_refused(&mut self) {
-        self.counters.pool_list_refused += 1;
+    /// Counts an endpoint list that could not be read; the current one stays in force.
+    pub fn count_rejected_list(&mut self) {
+        self.counters.lists_rejected += 1;
     }
 
-    /// Counts a caller that the shell cut off; [`Input::CallerClosed`] follows.
-    pub fn caller_cut_off(&mut self) {
-        self.counters.callers_cut_off += 1;
+    /// Counts a caller that the shell disconnected; [`Input::CallerClosed`] follows.
+    pub fn count_disconnected_caller(&mut self) {
+        self.counters.callers_disconnected += 1;
     }
 
-    /// What has been counted so far.
+    /// What has been counted since the start.
     pub fn counters(&self) -> &Counters {
         &self.counters
     }
 
-    /// Calls that have no answer yet, and calls that stand.
-    pub fn calls_now(&self) -> (usize, usize) {
-        let standing = self.calls.values().filter(|c| c.stands).count();
-        (self.calls.len() - standing, standing)
+    /// How many calls have no answer yet, and how many are established.
+    pub fn call_counts(&self) -> (usize, usize) {
+        let established = self.calls.values().filter(|call| call.is_established).count();
+        (self.calls.len() - established, established)
     }
 
-    /// Callers connected at present.
-    pub fn callers_now(&self) -> usize {
+    /// How many callers are connected.
+    pub fn caller_count(&self) -> usize {
         self.callers.len()
     }
 
-    fn fire_due(&mut self, effects: &mut Vec<Effect>) {
+    fn fire_due_timers(&mut self, effects: &mut Vec<Effect>) {
         while let Some(timer) = self.timers.pop_due(self.now) {
             match timer {
-                Timer::Module => self.follow.push_back(Event::TimerFired),
-                Timer::TimeOut(attempt) => {
-                    self.end_attempt(attempt, Outcome::TimedOut, LoadReport::default(), effects)
+                Timer::Controller => self.pending_events.push_back(Event::TimerFired),
+                Timer::AttemptTimeout(attempt) => {
+                    self.end_attempt(attempt, Outcome::TimedOut, LoadReport::default(), effects);
                 }
                 Timer::Resend(attempt) => self.resend(attempt, effects),
                 Timer::Reconnect(server) => self.connect(server, effects),
-                Timer::Locate(call) => self.on_located(call, None),
-                Timer::Stop => self.stop_now("the front is stopping", effects),
+                Timer::Locate(call) => self.handle_located(call, None),
+                Timer::Stop => self.end_all_calls("the front is stopping", effects),
             }
-            self.run_follow(effects);
+            self.run_controller(effects);
         }
     }
 
-    /// Feeds the module what is due to it, and does what it says, until nothing is left.
-    fn run_follow(&mut self, effects: &mut Vec<Effect>) {
-        while let Some(event) = self.follow.pop_front() {
+    /// Feeds the controller the events that wait for it, and carries its actions out, until there are none.
+    fn run_controller(&mut self, effects: &mut Vec<Effect>) {
+        while let Some(event) = self.pending_events.pop_front() {
             let mut actions = std::mem::take(&mut self.actions);
-            self.brain.handle(self.now, event, &mut actions);
+            self.controller.handle(self.now, event, &mut actions);
             for action in actions.drain(..) {
-                match action {
-                    Action::ForwardSetup { call, server, timeout_ns } => {
-                        self.send(call, server, timeout_ns, effects)
-                    }
-                    Action::CancelAttempt { call, attempt } => self.cancel(call, attempt, effects),
-                    Action::Reject { call, retry_after_ns } => self.refuse(call, retry_after_ns, effects),
-                    Action::Fail { call } => self.fail(call, "no further attempt is allowed", effects),
-                    Action::SetTimer(at) => self.timers.set_no_later(Timer::Module, at),
-                    // The pool list comes unasked.
-                    Action::Subscribe => {}
-                }
+                self.carry_out(action, effects);
             }
             self.actions = actions;
         }
     }
 
-    fn on_caller_text(&mut self, caller: CallerId, text: &str, effects: &mut Vec<Effect>) {
+    fn carry_out(&mut self, action: Action, effects: &mut Vec<Effect>) {
+        match action {
+            Action::ForwardSetup { call, server, timeout_ns } => {
+                self.forward_setup(call, server, timeout_ns, effects);
+            }
+            Action::CancelAttempt { call, attempt } => self.cancel_attempt(call, attempt, effects),
+            Action::Reject { call, retry_after_ns } => self.reject_call(call, retry_after_ns, effects),
+            Action::Fail { call } => self.fail_call(call, "no further attempt is allowed", effects),
+            Action::SetTimer(at) => self.timers.set_no_later(Timer::Controller, at),
+            // The endpoint list arrives without a subscription.
+            Action::Subscribe => {}
+        }
+    }
+
+    fn handle_caller_text(&mut self, caller: CallerId, text: &str, effects: &mut Vec<Effect>) {
         match FromCaller::decode(text) {
             Ok(FromCaller::Setup { call, class, pool, number, budget_ms }) => {
-                let asked = calls::Asked { call, class, pool, number, budget_ms };
-                if self.is_out_of_force() {
-                    return self.turn_away(caller, asked, effects);
-                }
-                if let Err((reason, call)) = self.take_call(caller, asked, effects) {
-                    self.error(caller, reason.into(), Some(call), effects);
-                }
+                let setup = calls::SetupRequest { call, class, pool, number, budget_ms };
+                self.handle_setup(caller, setup, effects);
             }
-            Ok(FromCaller::Release { call }) => self.on_release(caller, call, effects),
+            Ok(FromCaller::Release { call }) => self.release_call(caller, call, effects),
             Err(error) => {
-                let reason = error.to_string().chars().take(80).collect();
-                self.error(caller, reason, FromCaller::call_named(text), effects);
+                let reason = error.to_string().chars().take(MAX_REASON_CHARS).collect();
+                self.send_error(caller, reason, FromCaller::call_named(text), effects);
             }
         }
     }
 
-    fn error(&mut self, caller: CallerId, reason: String, call: Option<String>, effects: &mut Vec<Effect>) {
+    /// Answers a message that cannot be acted on.
+    fn send_error(
+        &mut self,
+        caller: CallerId,
+        reason: String,
+        call: Option<String>,
+        effects: &mut Vec<Effect>,
+    ) {
         self.counters.caller_errors += 1;
-        tracing::debug!(caller, reason, call, "message refused");
+        tracing::debug!(caller, reason, call, "caller message rejected");
         effects.push(Effect::ToCaller(caller, ToCaller::Error { reason, call }.encode()));
     }
 
-    fn on_stop(&mut self) {
-        if self.stopping {
+    fn begin_stop(&mut self) {
+        if self.is_stopping {
             return;
         }
-        tracing::info!(calls = self.calls.len(), "stopping: no new calls");
-        self.stopping = true;
+        tracing::info!(calls = self.calls.len(), "stopping, no new calls accepted");
+        self.is_stopping = true;
         self.timers.set(Timer::Stop, self.now + self.settings.timing.stop_ns);
     }
 
-    /// Nothing goes on: what is owed is answered, what stands is released.
-    fn stop_now(&mut self, cause: &str, effects: &mut Vec<Effect>) {
+    /// Fails calls that have no answer yet, and releases established ones.
+    fn end_all_calls(&mut self, cause: &str, effects: &mut Vec<Effect>) {
         let ids: Vec<u64> = self.calls.keys().copied().collect();
         for id in ids {
             let Some(call) = self.calls.get(&id) else { continue };
-            let (caller, name, stands) = (call.caller, call.name.clone(), call.stands);
-            if stands {
-                self.close_call(id, effects);
-                let text = ToCaller::Released { call: name, cause: cause.into() }.encode();
-                effects.push(Effect::ToCaller(caller, text));
-            } else {
-                self.abandon(id, effects);
-                self.fail(id, cause, effects);
+            if !call.is_established {
+                self.abandon_call(id, effects);
+                self.fail_call(id, cause, effects);
+                continue;
             }
+            let (caller, name) = (call.caller, call.name.clone());
+            self.close_call(id, effects);
+            let text = ToCaller::Released { call: name, cause: cause.into() }.encode();
+            effects.push(Effect::ToCaller(caller, text));
         }
     }
 }
-
-/// Whether an attempt's set-up has left, so that its server must be told of its end.
-fn left(state: AttemptState) -> bool {
-    !matches!(state, AttemptState::Queued)
-}
--- a/crates/lilacpitch-edge/src/core/site.rs
+++ b/crates/lilacpitch-edge/src/core/site.rs
@@ -1,13 +1,16 @@
-//! Names to numbers: classes, pools, zones and dialled numbers as the module knows them.
+//! Names and their numbers: classes, pools, zones and dialled numbers as the controller knows them.
+//!
+//! Numbers are given in the order in which names become known, and never given to another name.
 
 use lilacpitch::interface::{Class, Idempotency, Settings};
 use lilacpitch_config::Edge;
 use std::collections::BTreeMap;
 use std::hash::{DefaultHasher, Hash, Hasher};
 
-/// The first choice of a call that names no pool: no server has this number.
+/// The first choice of a call that names no pool: no pool has this number.
 pub(super) const NO_POOL: u32 = u32::MAX;
 
+/// The numbers of names.
 #[derive(Debug, Default)]
 pub(super) struct Site {
     classes: BTreeMap<String, usize>,
@@ -18,15 +21,16 @@
 impl Site {
     pub fn new(settings: &Edge) -> Self {
         let mut site = Site::default();
-        // Found in the laboratory: a front that started while a pool's servers were gone refused its calls.
-        settings.pools.iter().for_each(|pool| {
-            site.pool_listed(pool);
-        });
+        // Pools are known from the start: an edge that starts while a pool's servers are removed must not reject its
+        // calls as being for an unknown pool.
+        for pool in &settings.pools {
+            site.pool_or_insert(pool);
+        }
         for (index, class) in settings.classes.iter().enumerate() {
             site.classes.insert(class.name.clone(), index);
-            class.pools.iter().for_each(|pool| {
-                site.pool_listed(pool);
-            });
+            for pool in &class.pools {
+                site.pool_or_insert(pool);
+            }
         }
         site
     }
@@ -39,9 +43,9 @@
         self.pools.get(name).copied()
     }
 
-    /// The number of a pool; one not heard of before gets the next.
-    pub fn pool_listed(&mut self, name: &str) -> u32 {
-        number(&mut self.pools, name)
+    /// The number of a pool; a new one gets the next.
+    pub fn pool_or_insert(&mut self, name: &str) -> u32 {
+        number_or_insert(&mut self.pools, name)
     }
 
     /// The name of a pool's number.
@@ -49,18 +53,19 @@
         self.pools.iter().find(|(_, known)| **known == number).map(|(name, _)| name.as_str())
     }
 
-    pub fn zone_listed(&mut self, name: &str) -> u32 {
-        number(&mut self.zones, name)
+    /// The number of a zone; a new one gets the next.
+    pub fn zone_or_insert(&mut self, name: &str) -> u32 {
+        number_or_insert(&mut self.zones, name)
     }
 
-    /// What the module is told at its start.
-    pub fn module_settings(&self, edge: &Edge) -> Settings {
+    /// The controller's settings.
+    pub fn controller_settings(&self, edge: &Edge) -> Settings {
         let class = |class: &lilacpitch_config::Class| Class {
             latency_objective_ns: class.aim_ns,
             deadline_ns: class.give_up_ns,
             priority_weight: class.worth,
             late_weight: class.late_worth,
-            // A set-up that ran twice holds a circuit until it is released: safe to send again.
+            // A set-up that ran twice occupies a circuit until it is released: it may be sent again.
             idempotency: Idempotency::Idempotent,
             key_retention_ns: 0,
             pools: class.pools.iter().filter_map(|name| self.pool(name)).collect(),
@@ -82,13 +87,13 @@
     }
 }
 
-fn number(known: &mut BTreeMap<String, u32>, name: &str) -> u32 {
+fn number_or_insert(known: &mut BTreeMap<String, u32>, name: &str) -> u32 {
     let next = known.len() as u32;
     *known.entry(name.to_string()).or_insert(next)
 }
 
-/// A dialled number as the module compares it: equal for equal digits.
-pub(super) fn dialled(number: &str) -> u64 {
+/// A dialled number as the controller compares it: equal digits have equal hashes.
+pub(super) fn hash_dialled_number(number: &str) -> u64 {
     let mut hash = DefaultHasher::new();
     number.hash(&mut hash);
     hash.finish()
--- a/crates/lilacpitch-edge/src/core/timers.rs
+++ b/crates/lilacpitch-edge/src/core/timers.rs
@@ -1,20 +1,21 @@
-//! What the front's timers are for.
+//! What the core's timers are for.
 
 use super::AttemptId;
 use lilacpitch::interface::ServerId;
 
+/// A timer of the core. The order of variants breaks ties between timers due at one moment.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum Timer {
-    /// The module asked to be woken.
-    Module,
+    /// The controller asked to be called.
+    Controller,
     /// An attempt's time is up.
-    TimeOut(AttemptId),
+    AttemptTimeout(AttemptId),
     /// An unanswered set-up is to be sent again.
     Resend(AttemptId),
-    /// A server is to be tried again.
+    /// A connection to a server is to be tried again.
     Reconnect(ServerId),
     /// A call has waited for the fleet long enough.
     Locate(u64),
-    /// The time that a stop grants is up.
+    /// The time granted for an orderly stop is up.
     Stop,
 }
--- /dev/null
+++ b/crates/lilacpitch-edge/src/core/upstreams.rs
@@ -0,0 +1,358 @@
+//! Upstream connections: connecting, reconnecting after growing random delays, and messages on them.
+//!
+//! A connection that is lost ends its attempts: what never left never ran, what left may have run, and what was
+//! established is cut.
+
+use super::attempts::AttemptState;
+use super::{AttemptId, EdgeCore, Effect, Timer, UpstreamId, NS_PER_MS};
+use lilacpitch::interface::{Availability, Endpoint, LoadReport, Nanos, Outcome, ServerId};
+use lilacpitch_protocol::message::signal::{FromServer, ReleaseCause, ToServer};
+use rand_core::RngCore;
+use std::collections::{BTreeMap, BTreeSet};
+use std::net::SocketAddr;
+
+/// Largest exponent of the reconnect delay's doubling; the settings' maximum takes over long before.
+const MAX_RECONNECT_DOUBLINGS: u32 = 16;
+
+/// A server's connection.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+enum UpstreamState {
+    /// Never tried.
+    NeverTried,
+    /// Lost or not made; a timer tries again.
+    Lost,
+    Connecting(UpstreamId),
+    Connected {
+        upstream: UpstreamId,
+        /// How many messages were given to it.
+        messages: u64,
+    },
+}
+
+/// A server of the endpoint list, and its connection.
+#[derive(Debug)]
+pub(super) struct Server {
+    pub name: String,
+    pub address: SocketAddr,
+    pub endpoint: Endpoint,
+    /// When it started, in milliseconds since 1970, as the list has it.
+    pub started_ms: u64,
+    state: UpstreamState,
+    /// Connections lost or not made in succession.
+    failures: u32,
+    /// Attempts there: queued, in flight or established.
+    pub attempts: BTreeSet<AttemptId>,
+}
+
+impl Server {
+    pub fn new(name: String, address: SocketAddr, endpoint: Endpoint, started_ms: u64) -> Self {
+        Server {
+            name,
+            address,
+            endpoint,
+            started_ms,
+            state: UpstreamState::NeverTried,
+            failures: 0,
+            attempts: BTreeSet::new(),
+        }
+    }
+
+    /// Its connection, if that is ready.
+    pub fn connected_upstream(&self) -> Option<UpstreamId> {
+        match self.state {
+            UpstreamState::Connected { upstream, .. } => Some(upstream),
+            _ => None,
+        }
+    }
+
+    /// Its connection, ready or not.
+    fn upstream(&self) -> Option<UpstreamId> {
+        match self.state {
+            UpstreamState::Connecting(upstream) | UpstreamState::Connected { upstream, .. } => Some(upstream),
+            UpstreamState::NeverTried | UpstreamState::Lost => None,
+        }
+    }
+
+    pub fn is_never_tried(&self) -> bool {
+        self.state == UpstreamState::NeverTried
+    }
+}
+
+/// Servers by id, and the ids of names and connections.
+#[derive(Debug, Default)]
+pub(super) struct Servers {
+    pub by_id: BTreeMap<ServerId, Server>,
+    ids: BTreeMap<String, ServerId>,
+    by_upstream: BTreeMap<UpstreamId, ServerId>,
+    last_upstream: UpstreamId,
+}
+
+impl Servers {
+    /// The id of a name; a new name gets the next. Ids are never given to another name.
+    pub fn id_or_insert(&mut self, name: &str) -> ServerId {
+        let next = self.ids.len() as ServerId;
+        *self.ids.entry(name.to_string()).or_insert(next)
+    }
+
+    /// The id of a name that was listed.
+    pub fn id(&self, name: &str) -> Option<ServerId> {
+        self.ids.get(name).copied()
+    }
+
+    pub fn is_in_service(&self, id: ServerId) -> bool {
+        self.by_id.get(&id).is_some_and(|server| server.endpoint.availability == Availability::Ready)
+    }
+
+    pub fn is_connected(&self, id: ServerId) -> bool {
+        self.by_id.get(&id).is_some_and(|server| server.connected_upstream().is_some())
+    }
+
+    pub fn is_connecting(&self, id: ServerId) -> bool {
+        self.by_id.get(&id).is_some_and(|server| matches!(server.state, UpstreamState::Connecting(_)))
+    }
+
+    /// The first connected server but one.
+    pub fn connected_other_than(&self, id: ServerId) -> Option<ServerId> {
+        let mut others = self.by_id.iter().filter(|(other, _)| **other != id);
+        others.find(|(_, server)| server.connected_upstream().is_some()).map(|(other, _)| *other)
+    }
+
+    /// Attempts that wait for a connection to this server.
+    pub fn queued_attempts(&self, id: ServerId) -> Vec<AttemptId> {
+        match self.by_id.get(&id) {
+            Some(server) if server.connected_upstream().is_none() => {
+                server.attempts.iter().copied().collect()
+            }
+            _ => Vec::new(),
+        }
+    }
+
+    /// The server of a connection that is still in use.
+    fn id_of_upstream(&self, upstream: UpstreamId) -> Option<ServerId> {
+        self.by_upstream.get(&upstream).copied()
+    }
+
+    pub fn add_attempt(&mut self, id: ServerId, attempt: AttemptId) {
+        if let Some(server) = self.by_id.get_mut(&id) {
+            server.attempts.insert(attempt);
+        }
+    }
+
+    pub fn remove_attempt(&mut self, id: ServerId, attempt: AttemptId) {
+        if let Some(server) = self.by_id.get_mut(&id) {
+            server.attempts.remove(&attempt);
+        }
+    }
+}
+
+impl EdgeCore {
+    /// Connects to a server that is in service and has no connection.
+    pub(super) fn connect(&mut self, id: ServerId, effects: &mut Vec<Effect>) {
+        let is_in_service = self.servers.is_in_service(id);
+        let Some(server) = self.servers.by_id.get_mut(&id) else { return };
+        if !is_in_service || server.upstream().is_some() {
+            return;
+        }
+        self.servers.last_upstream += 1;
+        let upstream = self.servers.last_upstream;
+        server.state = UpstreamState::Connecting(upstream);
+        self.servers.by_upstream.insert(upstream, id);
+        effects.push(Effect::Connect(upstream, server.address));
+    }
+
+    pub(super) fn handle_upstream_connected(&mut self, upstream: UpstreamId, effects: &mut Vec<Effect>) {
+        let Some(id) = self.servers.id_of_upstream(upstream) else { return };
+        let Some(server) = self.servers.by_id.get_mut(&id) else { return };
+        server.state = UpstreamState::Connected { upstream, messages: 0 };
+        server.failures = 0;
+        self.counters.upstreams_connected += 1;
+        tracing::info!(server = server.name, upstream, "upstream connected");
+        let queued: Vec<AttemptId> = server.attempts.iter().copied().collect();
+        for attempt in queued {
+            self.transmit_setup(attempt, effects);
+        }
+    }
+
+    /// Gives a message to a server's connection, if that is ready; the connection, and the message's number there.
+    pub(super) fn transmit(
+        &mut self,
+        id: ServerId,
+        message: &ToServer,
+        not_after_ns: Option<Nanos>,
+        effects: &mut Vec<Effect>,
+    ) -> Option<(UpstreamId, u64)> {
+        let server = self.servers.by_id.get_mut(&id)?;
+        let UpstreamState::Connected { upstream, messages } = &mut server.state else { return None };
+        let (upstream, number) = (*upstream, *messages);
+        *messages += 1;
+        effects.push(Effect::ToServer { upstream, message: number, text: message.encode(), not_after_ns });
+        Some((upstream, number))
+    }
+
+    /// A connection is lost, or could not be made. `written`: how many of its messages may have left.
+    pub(super) fn handle_upstream_closed(
+        &mut self,
+        upstream: UpstreamId,
+        written: u64,
+        effects: &mut Vec<Effect>,
+    ) {
+        let Some(id) = self.servers.by_upstream.remove(&upstream) else { return };
+        let Some(server) = self.servers.by_id.get_mut(&id) else { return };
+        let was_connected = server.connected_upstream().is_some();
+        server.state = UpstreamState::Lost;
+        self.counters.upstreams_lost += 1;
+        let attempts: Vec<AttemptId> = server.attempts.iter().copied().collect();
+        tracing::info!(
+            server = server.name,
+            upstream,
+            written,
+            attempts = attempts.len(),
+            "upstream connection lost"
+        );
+        let failures = server.failures;
+        server.failures = failures.saturating_add(1);
+        for attempt in attempts {
+            self.end_lost_attempt(attempt, written, effects);
+        }
+        if self.servers.is_in_service(id) {
+            // A server that restarts ends all its connections at once, and the list tells of its start only later:
+            // edges that reconnect before they can have read of it overload it while it warms up.
+            let list_delay_ns = self.settings.rules.drain_grace_ns + self.settings.look_ns;
+            let extra_ns = if was_connected { list_delay_ns } else { 0 };
+            let delay_ns = self.reconnect_delay_ns(failures) + extra_ns;
+            self.timers.set(Timer::Reconnect(id), self.now + delay_ns);
+        }
+        self.disconnect_if_removed(id, effects);
+    }
+
+    /// Ends an attempt whose connection is lost. `written`: how many of its messages may have left.
+    fn end_lost_attempt(&mut self, id: AttemptId, written: u64, effects: &mut Vec<Effect>) {
+        let Some(attempt) = self.attempts.get(&id) else { return };
+        let no_report = LoadReport::default();
+        match attempt.state {
+            AttemptState::Queued => self.end_attempt(id, Outcome::Unreachable, no_report, effects),
+            AttemptState::InFlight { message, .. } if message >= written => {
+                self.counters.setups_not_sent += 1;
+                self.end_attempt(id, Outcome::Unreachable, no_report, effects);
+            }
+            AttemptState::InFlight { .. } => self.end_attempt(id, Outcome::Cut, no_report, effects),
+            AttemptState::Established => self.end_call(id, ReleaseCause::Cut, effects),
+        }
+    }
+
+    /// Doubled with each failure in succession, half of it random: edges must not reconnect in step.
+    fn reconnect_delay_ns(&mut self, failures: u32) -> Nanos {
+        let timing = &self.settings.timing;
+        let doubled_ns = timing.reconnect_first_ns.saturating_mul(1 << failures.min(MAX_RECONNECT_DOUBLINGS));
+        let delay_ns = doubled_ns.min(timing.reconnect_longest_ns);
+        delay_ns / 2 + (delay_ns / 2).saturating_mul(u64::from(self.rng.next_u32())) / u64::from(u32::MAX)
+    }
+
+    /// Ends the connection to a server whose address has changed, and connects anew: its attempts end as with a
+    /// connection lost.
+    pub(super) fn reconnect_now(&mut self, id: ServerId, effects: &mut Vec<Effect>) {
+        let Some(upstream) = self.servers.by_id.get(&id).and_then(Server::upstream) else { return };
+        effects.push(Effect::Disconnect(upstream));
+        self.handle_upstream_closed(upstream, u64::MAX, effects);
+        self.timers.clear(Timer::Reconnect(id));
+        self.connect(id, effects);
+    }
+
+    /// Ends the connection to a removed server once the last attempt there has ended.
+    pub(super) fn disconnect_if_removed(&mut self, id: ServerId, effects: &mut Vec<Effect>) {
+        let Some(server) = self.servers.by_id.get_mut(&id) else { return };
+        if server.endpoint.availability != Availability::Removed || !server.attempts.is_empty() {
+            return;
+        }
+        if let Some(upstream) = server.upstream() {
+            tracing::info!(server = server.name, upstream, "server removed, upstream connection closed");
+            effects.push(Effect::Disconnect(upstream));
+            self.servers.by_upstream.remove(&upstream);
+        }
+        server.state = UpstreamState::NeverTried;
+        self.timers.clear(Timer::Reconnect(id));
+    }
+
+    /// A set-up waited too long for its connection to be written: it never left.
+    pub(super) fn handle_not_written(
+        &mut self,
+        upstream: UpstreamId,
+        message: u64,
+        effects: &mut Vec<Effect>,
+    ) {
+        let Some(server) = self.servers.id_of_upstream(upstream).and_then(|id| self.servers.by_id.get(&id))
+        else {
+            return;
+        };
+        let is_setup = |id: &&AttemptId| {
+            let state = self.attempts.get(id).map(|attempt| attempt.state);
+            matches!(state, Some(AttemptState::InFlight { message: first, .. }) if first == message)
+        };
+        // If it was a resent set-up that was not written, the first one is still in flight.
+        let Some(attempt) = server.attempts.iter().find(is_setup).copied() else { return };
+        self.counters.setups_not_sent += 1;
+        self.end_attempt(attempt, Outcome::NotSent, LoadReport::default(), effects);
+    }
+
+    pub(super) fn handle_upstream_text(
+        &mut self,
+        upstream: UpstreamId,
+        text: &str,
+        effects: &mut Vec<Effect>,
+    ) {
+        let Some(server) = self.servers.id_of_upstream(upstream) else { return };
+        match FromServer::decode(text) {
+            Ok(message) => self.handle_server_message(server, message, effects),
+            Err(error) => self.count_server_error(server, &error.to_string()),
+        }
+    }
+
+    fn handle_server_message(&mut self, server: ServerId, message: FromServer, effects: &mut Vec<Effect>) {
+        let free_capacity = message.load().and_then(|load| load.free).map(|free| free as f64);
+        let report = LoadReport { free_capacity };
+        let id = message.attempt();
+        let state = self.attempts.get(&id).filter(|a| a.server == server).map(|a| a.state);
+        match (message, state) {
+            (FromServer::Answer { .. }, Some(AttemptState::InFlight { .. })) => {
+                self.establish_call(id, report, effects);
+            }
+            // The attempt has ended here: its circuit must not stay occupied there.
+            (FromServer::Answer { .. }, None) => {
+                self.counters.answers_late += 1;
+                self.transmit(server, &ToServer::Release { attempt: id }, None, effects);
+            }
+            (FromServer::Released { cause, .. }, Some(AttemptState::Established)) => {
+                self.end_call(id, cause, effects);
+                self.disconnect_if_removed(server, effects);
+            }
+            (message, Some(AttemptState::InFlight { .. })) => match outcome_of(&message) {
+                Some(outcome) => self.end_attempt(id, outcome, report, effects),
+                None => self.count_server_error(server, "released before its answer"),
+            },
+            // Crossed with this edge's own cancel or release; or a resent set-up's answer, crossed with the first.
+            (_, None) | (FromServer::Answer { .. }, Some(AttemptState::Established)) => {
+                self.counters.answers_crossed += 1;
+            }
+            (_, Some(_)) => self.count_server_error(server, "answer for an attempt that is not out"),
+        }
+    }
+
+    fn count_server_error(&mut self, server: ServerId, error: &str) {
+        self.counters.server_errors += 1;
+        let name = self.servers.by_id.get(&server).map_or("", |server| &server.name);
+        tracing::warn!(server = name, error, "server message rejected");
+    }
+}
+
+/// How an answer other than one that establishes the call ends its attempt.
+fn outcome_of(message: &FromServer) -> Option<Outcome> {
+    Some(match message {
+        FromServer::Full { wait_ms, .. } => {
+            Outcome::Overloaded(wait_ms.filter(|ms| *ms > 0).map(|ms| ms * NS_PER_MS))
+        }
+        FromServer::NoCircuit { .. } => Outcome::NoCircuit,
+        FromServer::LinesBusy { .. } => Outcome::LinesBusy,
+        FromServer::Fault { .. } => Outcome::Fault,
+        FromServer::Answer { .. } | FromServer::Released { .. } => return None,
+    })
+}
--- a/crates/lilacpitch-edge/src/net/driver.rs
+++ b/crates/lilacpitch-edge/src/net/driver.rs
@@ -122,7 +122,7 @@
     };
     let mut front = EdgeCore::with_safeguards(settings.clone(), clock.now(), rng.next_u64(), guards);
     if !promises.calls_first {
-        front.calls_wait();
+        front.disable_locate_limit();
     }
     let mut driver = Driver {
         front,
@@ -214,7 +214,7 @@
             News::PoolList(pools) => self.pool_list(pools),
             News::PoolListRefused(why) => {
                 tracing::error!(why, "pool list refused, the one in hand stays in force");
-                self.front.pool_list_refused();
+                self.front.count_rejected_list();
             }
             News::Keys(keys) => {
                 tracing::info!("keys of peers taken");
@@ -310,7 +310,7 @@
                     tracing::info!(caller, "caller cut off: it does not read");
                     peer.task.abort();
                     self.callers.remove(&caller);
-                    self.front.caller_cut_off();
+                    self.front.count_disconnected_caller();
                     self.tell_later(Input::CallerClosed(caller));
                 }
             }
--- a/crates/lilacpitch-edge/src/net/metrics.rs
+++ b/crates/lilacpitch-edge/src/net/metrics.rs
@@ -71,8 +71,8 @@
 /// The page.
 pub(super) fn page(front: &EdgeCore) -> String {
     let mut out = String::new();
-    front.counters().page(&mut out);
-    let (owed, standing) = front.calls_now();
+    front.counters().append_page(&mut out);
+    let (owed, standing) = front.call_counts();
     // Writing to a String cannot fail.
     let _ = write!(
         out,
@@ -80,10 +80,10 @@
          # TYPE lilacpitch_calls_standing gauge\nlilacpitch_calls_standing {standing}\n\
          # TYPE lilacpitch_callers gauge\nlilacpitch_callers {}\n\
          # TYPE lilacpitch_server_connected gauge\n# TYPE lilacpitch_server_attempts gauge\n",
-        front.callers_now()
+        front.caller_count()
     );
     for server in front.servers() {
-        let (name, up) = (&server.name, u8::from(server.connected));
+        let (name, up) = (&server.name, u8::from(server.is_connected));
         let _ = writeln!(out, "lilacpitch_server_connected{{server=\"{name}\"}} {up}");
         let _ = writeln!(out, "lilacpitch_server_attempts{{server=\"{name}\"}} {}", server.attempts);
     }
