--- a/crates/lilacpitch-edge/examples/standin.rs
+++ b/crates/lilacpitch-edge/examples/standin.rs
@@ -36,9 +36,9 @@
         caller.invite(&id(call), 0, 2_000);
         let set_up = server.next("launch");
         server.answer(&set_up, "c=IN IP4 10.0.0.1\r\n");
-        let answer = caller.next().map(|said| said.start);
-        server.stop(set_up.conn, &id(call), 16, serde_json::json!({}));
-        let release = caller.next().map(|said| said.start);
+        let answer = caller.next().map(|message| message.start);
+        server.stop(set_up.connection, &id(call), 16, serde_json::json!({}));
+        let release = caller.next().map(|message| message.start);
         println!("call {call}: {}, then {}", answer.unwrap_or_default(), release.unwrap_or_default());
     }
     ExitCode::SUCCESS
@@ -52,7 +52,7 @@
         }
         let mut caller = Caller::connect(node);
         caller.request("OPTIONS", &id(0));
-        if caller.within(ms(500)).and_then(|said| said.status()) == Some(200) {
+        if caller.next_within(ms(500)).and_then(|message| message.status()) == Some(200) {
             return;
         }
     }
--- a/crates/lilacpitch-edge/tests/node/standing.rs
+++ b/crates/lilacpitch-edge/tests/node/active_calls.rs
@@ -5,29 +5,29 @@
 use serde_json::json;
 
 /// A call that stands: the node, its caller, and the server's connection.
-fn stands(server: &Server, node: &Node, call: u64) -> (Caller, usize) {
+fn establish(server: &Server, node: &Node, call: u64) -> (Caller, usize) {
     let mut caller = node.caller();
-    let launch = server.stands(&mut caller, call);
-    (caller, launch.conn)
+    let launch = server.establish(&mut caller, call);
+    (caller, launch.connection)
 }
 
 #[test]
-fn releases_go_by_other_connections_when_the_set_ups_own_are_gone() {
+fn sends_releases_on_other_connections_when_the_setups_own_are_closed() {
     let server = Server::start();
     let node = Node::start(&[&server]);
-    let (first, conn) = stands(&server, &node, 1);
-    let (second, _) = stands(&server, &node, 2);
-    let (mut third, _) = stands(&server, &node, 3);
+    let (first, connection) = establish(&server, &node, 1);
+    let (second, _) = establish(&server, &node, 2);
+    let (mut third, _) = establish(&server, &node, 3);
     drop(first.stream.shutdown(std::net::Shutdown::Both));
-    server.reset(conn);
+    server.reset(connection);
     // The server's word, on a new connection, reaches the caller by another.
-    assert_eq!(server.within("stop", ms(300)).map(|l| l.uid()), None, "the calls go on");
+    assert_eq!(server.next_within("stop", ms(300)).map(|l| l.uid()), None, "the calls go on");
     third.invite(&id(4), 0, 3_000);
     let launch = server.next("launch");
     server.answer(&launch, "there");
-    server.stop(launch.conn, &id(1), 16, json!({}));
-    let heard = [third.all_within(ms(500)), second.all_within(ms(100))].concat();
-    assert_eq!(heard.iter().filter(|s| s.is_bye() && s.call() == id(1)).count(), 1, "{heard:?}");
+    server.stop(launch.connection, &id(1), 16, json!({}));
+    let received = [third.all_within(ms(500)), second.all_within(ms(100))].concat();
+    assert_eq!(received.iter().filter(|s| s.is_bye() && s.call() == id(1)).count(), 1, "{received:?}");
     // The caller's word, from another's connection.
     third.request("BYE", &id(2));
     assert_eq!(third.next().unwrap().status(), Some(200));
@@ -38,34 +38,34 @@
 }
 
 #[test]
-fn a_release_that_no_connection_can_take_goes_by_the_next() {
+fn sends_undeliverable_release_on_the_next_connection() {
     let server = Server::start();
     let node = Node::start(&[&server]);
-    let (caller, conn) = stands(&server, &node, 1);
+    let (caller, connection) = establish(&server, &node, 1);
     drop(caller.stream.shutdown(std::net::Shutdown::Both));
     std::thread::sleep(ms(200));
-    server.stop(conn, &id(1), 16, json!({}));
+    server.stop(connection, &id(1), 16, json!({}));
     std::thread::sleep(ms(200));
     let mut next = node.caller();
     next.invite(&id(2), 0, 3_000);
-    let said = next.next().unwrap();
-    assert!(said.is_bye() && said.call() == id(1), "{said:?}");
+    let message = next.next().unwrap();
+    assert!(message.is_bye() && message.call() == id(1), "{message:?}");
 }
 
 #[test]
-fn a_call_that_stands_elsewhere_is_adopted_without_an_answer_also_twice() {
+fn adopts_established_call_without_a_response() {
     let (server, _node, mut caller) = Node::with_one_server();
     for _ in 0..2 {
         caller.send(&invite(&id(9), "dest:0;width:1;via:-1;at:s0", 3_000, BODY));
     }
-    assert_eq!(caller.within(ms(300)), None, "no answer is owed");
+    assert_eq!(caller.next_within(ms(300)), None, "no answer is owed");
     // The node opens a connection, so that the server can tell of its end.
     caller.invite(&id(10), 0, 3_000);
     let launch = server.next("launch");
     assert_eq!(launch.uid(), id(10), "what stands is not set up");
-    server.stop(launch.conn, &id(9), 16, json!({}));
-    let said = caller.next().unwrap();
-    assert!(said.is_bye() && said.call() == id(9), "{said:?}");
+    server.stop(launch.connection, &id(9), 16, json!({}));
+    let message = caller.next().unwrap();
+    assert!(message.is_bye() && message.call() == id(9), "{message:?}");
     // A call in hand, named as one that stands: nothing changes.
     caller.send(&invite(&id(10), "at:s0", 3_000, BODY));
     server.answer(&launch, "there");
@@ -77,25 +77,25 @@
     // One at a server that nobody knows is over.
     caller.send(&invite(&id(12), "at:s-unknown", 3_000, BODY));
     let over = caller.all_within(ms(500));
-    assert!(over.iter().any(|said| said.is_bye() && said.call() == id(12)), "{over:?}");
+    assert!(over.iter().any(|message| message.is_bye() && message.call() == id(12)), "{over:?}");
 }
 
 #[test]
-fn a_server_that_dies_ends_what_stands_there() {
+fn releases_calls_of_a_killed_server() {
     let server = Server::start();
     let node = Node::start(&[&server]);
-    let (caller, _) = stands(&server, &node, 1);
-    server.die();
+    let (caller, _) = establish(&server, &node, 1);
+    server.kill();
     let bye = caller.next().unwrap();
     assert!(bye.is_bye() && bye.call() == id(1), "{bye:?}");
     assert_eq!(bye.fields["reason"], "Q.850;cause=41");
 }
 
 #[test]
-fn a_cancel_that_crosses_the_answer_releases_the_call() {
+fn cancel_that_crosses_the_answer_releases_the_call() {
     let server = Server::start();
     let node = Node::start(&[&server]);
-    let (mut caller, _) = stands(&server, &node, 1);
+    let (mut caller, _) = establish(&server, &node, 1);
     caller.request("CANCEL", &id(1));
     assert_eq!(server.next("stop").uid(), id(1));
 }
--- a/crates/lilacpitch-edge/tests/node/callers.rs
+++ b/crates/lilacpitch-edge/tests/node/callers.rs
@@ -13,7 +13,7 @@
 }
 
 #[test]
-fn figures_and_fields_that_are_none_are_refused_by_name_and_the_connection_goes_on() {
+fn rejects_invalid_fields_and_keeps_the_connection() {
     let (server, _node, mut caller) = Node::with_one_server();
     let bad = [
         (with("Call-ID", "Call-ID: xyz\r\n"), 400),
@@ -33,9 +33,9 @@
     ];
     for (bytes, status) in bad {
         caller.send(&bytes);
-        let said = caller.next();
+        let message = caller.next();
         let text = String::from_utf8_lossy(&bytes);
-        assert_eq!(said.and_then(|said| said.status()), Some(status), "{text}");
+        assert_eq!(message.and_then(|message| message.status()), Some(status), "{text}");
     }
     caller.request("BYE", &id(99));
     assert_eq!(caller.next().unwrap().status(), Some(481));
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn lengths_that_cannot_be_used_are_answered_where_possible_and_end_the_connection() {
+fn answers_an_invalid_length_and_closes() {
     let server = Server::start();
     let node = Node::start(&[&server]);
     let cases = [
@@ -64,7 +64,7 @@
         let from = Instant::now();
         caller.send(&with("Content-Length", line));
         if status.is_some() {
-            assert_eq!(caller.next().and_then(|said| said.status()), status, "{line:?}");
+            assert_eq!(caller.next().and_then(|message| message.status()), status, "{line:?}");
         }
         caller.end();
         assert!(from.elapsed() < ms(3_000), "{line:?}: {:?}", from.elapsed());
@@ -73,7 +73,7 @@
 }
 
 #[test]
-fn noise_endless_heads_halves_and_silence_are_closed_within_3_s() {
+fn closes_noise_partial_messages_and_silence_within_3_s() {
     let server = Server::start();
     let node = Node::start(&[&server]);
     let noise: Vec<u8> = (0..4000u32).map(|n| ((n * 7919) >> 3) as u8).collect();
@@ -98,42 +98,42 @@
 }
 
 #[test]
-fn a_caller_that_has_asked_once_may_stay_silent() {
+fn verified_caller_may_stay_silent() {
     let (server, _node, mut caller) = Node::with_one_server();
     caller.invite(&id(1), 0, 3_000);
     server.answer(&server.next("launch"), "there");
     assert_eq!(caller.next().unwrap().body, "there");
-    assert_eq!(caller.within(ms(3_500)), None);
+    assert_eq!(caller.next_within(ms(3_500)), None);
     caller.invite(&id(2), 0, 3_000);
     server.answer(&server.next("launch"), "again");
     assert_eq!(caller.next().unwrap().body, "again");
 }
 
 #[test]
-fn a_set_up_that_came_during_a_stall_is_taken_though_its_time_to_come_is_over() {
+fn accepts_setup_that_arrived_during_a_stall() {
     let (server, node, mut caller) = Node::with_one_server();
-    server.stands(&mut caller, 1);
+    server.establish(&mut caller, 1);
     // They have said nothing yet, and have 2 s to.
     let mut new: Vec<_> = (0..8).map(|_| node.caller()).collect();
     std::thread::sleep(ms(50));
-    node.stalled(|| {
+    node.while_stopped(|| {
         new.iter_mut().zip(10..).for_each(|(caller, call)| caller.invite(&id(call), 0, 8_000));
         std::thread::sleep(ms(2_200));
     });
     for caller in &new {
         // Refused or not, by the time that it has left.
-        if let Some(launch) = server.within("launch", ms(200)) {
+        if let Some(launch) = server.next_within("launch", ms(200)) {
             server.answer(&launch, "there");
         }
-        assert!(caller.next().is_some_and(|said| said.status().is_some()), "closed without an answer");
+        assert!(caller.next().is_some_and(|message| message.status().is_some()), "closed without an answer");
     }
 }
 
 #[test]
-fn sixty_megabytes_are_refused_from_the_head_and_not_kept() {
+fn rejects_an_oversized_body_from_its_head() {
     let (_server, node, mut caller) = Node::with_one_server();
     caller.send(&with("Content-Length", "Content-Length: 60000000\r\n"));
-    assert_eq!(caller.next().and_then(|said| said.status()), Some(413), "before the body has come");
+    assert_eq!(caller.next().and_then(|message| message.status()), Some(413), "before the body has come");
     let part = vec![b'x'; 1 << 20];
     let mut writer = caller.stream.try_clone().unwrap();
     std::thread::spawn(move || (0..60).all(|_| std::io::Write::write_all(&mut writer, &part).is_ok()));
@@ -142,10 +142,10 @@
 }
 
 #[test]
-fn hundreds_at_once_and_withdrawn_at_once_leave_the_usual_callers_served() {
+fn serves_others_during_a_flood_of_cancelled_setups() {
     let server = Server::start();
     let node = Node::start(&[&server]);
-    let (mut rude, mut usual) = (node.caller(), node.caller());
+    let (mut rude, mut regular) = (node.caller(), node.caller());
     let mut flood = Vec::new();
     for call in 1000..1400 {
         flood.extend(invite(&id(call), "dest:0", 3_000, BODY));
@@ -156,7 +156,7 @@
         flood.extend(cancel.as_bytes());
     }
     rude.send(&flood);
-    usual.invite(&id(1), 0, 3_000);
+    regular.invite(&id(1), 0, 3_000);
     let launched = loop {
         let line = server.next("launch");
         if line.uid() == id(1) {
@@ -164,26 +164,26 @@
         }
     };
     server.answer(&launched, "there");
-    assert_eq!(usual.next().unwrap().body, "there");
+    assert_eq!(regular.next().unwrap().body, "there");
     // What was withdrawn has no final answer of the node's but what said that no call was there.
     let answers = rude.all_within(ms(300));
-    assert!(answers.iter().all(|said| said.status() != Some(200)), "{answers:?}");
+    assert!(answers.iter().all(|message| message.status() != Some(200)), "{answers:?}");
 }
 
 #[test]
-fn a_caller_that_does_not_read_is_cut_off_and_others_do_not_feel_it() {
+fn disconnects_a_caller_that_does_not_read() {
     let server = Server::start();
     let node = Node::start(&[&server]);
     // Its answers are never read: no reader thread here.
-    let mut deaf = std::net::TcpStream::connect(node.address).unwrap();
-    deaf.set_write_timeout(Some(SOON)).unwrap();
+    let mut unresponsive = std::net::TcpStream::connect(node.address).unwrap();
+    unresponsive.set_write_timeout(Some(TIMEOUT)).unwrap();
     let mut flood = Vec::new();
     (0..400).for_each(|call| flood.extend(invite(&id(call), "dest:x", 3_000, BODY)));
-    let cut = (0..400).any(|_| std::io::Write::write_all(&mut deaf, &flood).is_err());
+    let cut = (0..400).any(|_| std::io::Write::write_all(&mut unresponsive, &flood).is_err());
     assert!(cut, "it is not read on for ever");
-    let mut usual = node.caller();
-    usual.invite(&id(1), 0, 3_000);
+    let mut regular = node.caller();
+    regular.invite(&id(1), 0, 3_000);
     server.answer(&server.next("launch"), "there");
-    assert_eq!(usual.next().unwrap().body, "there");
+    assert_eq!(regular.next().unwrap().body, "there");
     assert!(node.memory_mb() < 32, "{} MB", node.memory_mb());
 }
--- a/crates/lilacpitch-edge/tests/node/coordinator.rs
+++ b/crates/lilacpitch-edge/tests/node/coordinator.rs
@@ -12,7 +12,7 @@
     while from.elapsed() < span {
         caller.invite(&id(call), 0, 1_000);
         call += 1;
-        if let Some(launch) = server.within("launch", ms(20)) {
+        if let Some(launch) = server.next_within("launch", ms(20)) {
             server.answer(&launch, "there");
             last = Some(launch.at.saturating_duration_since(from));
         }
@@ -20,44 +20,44 @@
     last
 }
 
-pub fn drains(mood: Mood, at_most: Duration) {
+pub fn check_drain(behaviour: Behaviour, at_most: Duration) {
     let (first, second) = (Server::start(), Server::start());
     let node = Node::start(&[&first, &second]);
-    node.coordinator.mood(mood);
-    if mood != Mood::Well {
+    node.coordinator.set_behaviour(behaviour);
+    if behaviour != Behaviour::Normal {
         // The ask that is out ends, and the next meets the mood.
         std::thread::sleep(ms(2_000));
     }
-    let told = Instant::now();
-    node.coordinator.tell(vec![target("s0", first.address, 0, "terminating", 0)]);
-    if mood == Mood::BreaksOff {
+    let published_at = Instant::now();
+    node.coordinator.publish(vec![target("s0", first.address, 0, "terminating", 0)]);
+    if behaviour == Behaviour::BreaksOff {
         std::thread::sleep(ms(500));
-        assert!(node.coordinator.asks() > 3, "it asks again at once");
+        assert!(node.coordinator.poll_count() > 3, "it asks again at once");
     }
-    node.coordinator.mood(Mood::Well);
-    let last = last_set_up(&node, &first, told, ms(4_000)).unwrap_or_default();
-    assert!(last < at_most, "{mood:?}: a set-up {last:?} after it was told");
-    assert!(second.within("launch", ms(50)).is_some(), "the other takes them");
+    node.coordinator.set_behaviour(Behaviour::Normal);
+    let last = last_set_up(&node, &first, published_at, ms(4_000)).unwrap_or_default();
+    assert!(last < at_most, "{behaviour:?}: a set-up {last:?} after it was told");
+    assert!(second.next_within("launch", ms(50)).is_some(), "the other takes them");
 }
 
 #[test]
-fn a_drain_is_kept_within_the_grace() {
-    drains(Mood::Well, ms(500));
+fn drains_a_server_within_the_grace() {
+    check_drain(Behaviour::Normal, ms(500));
 }
 
 #[test]
-fn a_drain_is_kept_though_the_coordinator_breaks_off_in_the_middle_of_events() {
-    drains(Mood::BreaksOff, ms(1_500));
+fn drains_a_server_when_the_coordinator_breaks_off() {
+    check_drain(Behaviour::BreaksOff, ms(1_500));
 }
 
 #[test]
-fn a_drain_is_kept_though_the_coordinator_fell_silent() {
+fn drains_a_server_when_the_coordinator_falls_silent() {
     // Counts as told 2 s after the end of the wait that was asked for; then the grace.
-    drains(Mood::Silent, ms(4_000));
+    check_drain(Behaviour::Silent, ms(4_000));
 }
 
 #[test]
-fn what_waits_for_a_connection_is_not_sent_to_a_server_that_now_drains() {
+fn does_not_send_queued_setup_to_a_draining_server() {
     let (slow, other) = (silent_server(), Server::start());
     let targets =
         vec![target("s0", slow.0, 0, "in_service", 0), target("s1", other.address, 1, "in_service", 0)];
@@ -66,19 +66,19 @@
     let mut caller = node.caller();
     caller.invite(&id(1), 0, 3_000);
     std::thread::sleep(ms(100));
-    let told = Instant::now();
-    node.coordinator.tell(vec![target("s0", slow.0, 0, "terminating", 0)]);
+    let published_at = Instant::now();
+    node.coordinator.publish(vec![target("s0", slow.0, 0, "terminating", 0)]);
     // Withdrawn by the list, not by the connection's time-out of 500 ms.
     let launch = other.next("launch");
-    assert!(launch.at - told < ms(300), "{:?}", launch.at - told);
+    assert!(launch.at - published_at < ms(300), "{:?}", launch.at - published_at);
     other.answer(&launch, "elsewhere");
     assert_eq!(caller.next().unwrap().body, "elsewhere");
 }
 
 #[test]
-fn a_node_without_a_list_passes_no_test_and_takes_no_call() {
+fn is_not_ready_without_an_endpoint_list() {
     let node = Node::spawn(Coordinator::start(vec![]), 256);
-    let until = Instant::now() + SOON;
+    let until = Instant::now() + TIMEOUT;
     while node.test().is_none() {
         assert!(Instant::now() < until, "the node does not start");
     }
--- a/crates/lilacpitch-edge/tests/node/departures.rs
+++ b/crates/lilacpitch-edge/tests/node/disconnects.rs
@@ -9,37 +9,37 @@
 use std::time::Instant;
 
 #[test]
-fn a_set_up_and_the_close_behind_it_read_together_begin_nothing() {
+fn setup_read_with_its_callers_close_is_not_sent() {
     let (server, node, mut caller) = Node::with_one_server();
-    server.stands(&mut caller, 1);
-    let mut leaves = node.caller();
-    node.stalled(|| {
-        leaves.invite(&id(2), 0, 3_000);
-        leaves.close();
+    server.establish(&mut caller, 1);
+    let mut leaving = node.caller();
+    node.while_stopped(|| {
+        leaving.invite(&id(2), 0, 3_000);
+        leaving.close();
     });
     // The next one shows that the former was read.
-    server.stands(&mut caller, 3);
+    server.establish(&mut caller, 3);
     assert!(server.all_within(ms(300)).iter().all(|line| line.uid() != id(2)), "nothing was sent for it");
 }
 
 #[test]
-fn a_release_and_the_close_behind_it_read_together_release_the_call() {
+fn release_read_with_its_callers_close_ends_the_call() {
     let (server, node, mut caller) = Node::with_one_server();
-    let stands = server.stands(&mut caller, 1);
+    let establish = server.establish(&mut caller, 1);
     let mut other = node.caller();
-    node.stalled(|| {
+    node.while_stopped(|| {
         other.request("BYE", &id(1));
         other.close();
     });
     let released = server.next("stop");
-    assert_eq!((released.uid(), stands.uid()), (id(1), id(1)));
+    assert_eq!((released.uid(), establish.uid()), (id(1), id(1)));
 }
 
 #[test]
-fn a_set_up_and_the_cancel_behind_it_read_together_begin_nothing() {
+fn setup_read_with_its_cancel_is_not_sent() {
     let (server, node, mut caller) = Node::with_one_server();
-    server.stands(&mut caller, 1);
-    node.stalled(|| {
+    server.establish(&mut caller, 1);
+    node.while_stopped(|| {
         caller.invite(&id(2), 0, 3_000);
         caller.invite(&id(3), 0, 3_000);
         caller.request("CANCEL", &id(2));
@@ -47,23 +47,27 @@
     let launch = server.next("launch");
     assert_eq!(launch.uid(), id(3));
     server.answer(&launch, "there");
-    let heard = caller.all_within(ms(300));
+    let received = caller.all_within(ms(300));
     let of = |call| {
-        heard.iter().filter(|said| said.call() == id(call)).filter_map(|s| s.status()).collect::<Vec<_>>()
+        received
+            .iter()
+            .filter(|message| message.call() == id(call))
+            .filter_map(|s| s.status())
+            .collect::<Vec<_>>()
     };
     assert_eq!((of(2), of(3)), (vec![481], vec![200]), "the cancel finds no call");
     assert!(server.all_within(ms(100)).iter().all(|line| line.uid() != id(2)));
 }
 
 #[test]
-fn calls_of_one_connection_that_closes_give_each_other_no_room() {
+fn calls_of_a_closed_connection_do_not_replace_each_other() {
     // One takes all that its server has room for, the others wait for it.
-    let (server, node, mut usual) = Node::with_one_server();
+    let (server, node, mut regular) = Node::with_one_server();
     let mut caller = node.caller();
     caller.invite(&id(1), 0, 3_000);
     let out = server.next("launch");
     (2..40).for_each(|call| caller.invite(&id(call), 0, 3_000));
-    let mut begun: Vec<_> = server.all_within(ms(200)).iter().map(Line::uid).collect();
+    let mut begun: Vec<_> = server.all_within(ms(200)).iter().map(ServerLine::uid).collect();
     begun.push(out.uid());
     caller.close();
     for line in server.all_within(ms(700)) {
@@ -73,14 +77,14 @@
         );
     }
     // The module's count of that server has come back: one call after the other is served there.
-    (100..110).for_each(|call| _ = server.stands(&mut usual, call));
+    (100..110).for_each(|call| _ = server.establish(&mut regular, call));
     assert!(node.log().is_empty(), "{}", node.log());
 }
 
 #[test]
-fn under_a_flood_a_departure_is_acted_on_well_below_a_tenth_of_a_second() {
+fn handles_a_disconnect_within_100_ms_under_a_flood() {
     let (server, node, mut caller) = Node::with_one_server();
-    server.stands(&mut caller, 1);
+    server.establish(&mut caller, 1);
     let stop = Arc::new(AtomicBool::new(false));
     let floods: Vec<_> = (0..40u64)
         .map(|flood| {
@@ -109,18 +113,18 @@
         .collect();
     let mut took: Vec<_> = (0..15u64)
         .map(|round| {
-            let mut leaves = node.caller();
-            leaves.invite(&id(100 + round), 0, 3_000);
+            let mut leaving = node.caller();
+            leaving.invite(&id(100 + round), 0, 3_000);
             let launch = server.next("launch");
             let left = Instant::now();
             if round % 2 == 0 {
-                leaves.close();
+                leaving.close();
             } else {
-                leaves.request("CANCEL", &id(100 + round));
+                leaving.request("CANCEL", &id(100 + round));
             }
-            let given_up = server.next("stop");
-            assert_eq!(given_up.uid(), launch.uid());
-            given_up.at.saturating_duration_since(left)
+            let cancelled = server.next("stop");
+            assert_eq!(cancelled.uid(), launch.uid());
+            cancelled.at.saturating_duration_since(left)
         })
         .collect();
     stop.store(true, Ordering::Relaxed);
--- a/crates/lilacpitch-edge/tests/node/ids.rs
+++ b/crates/lilacpitch-edge/tests/node/ids.rs
@@ -5,7 +5,7 @@
 use serde_json::json;
 
 #[test]
-fn a_set_up_passes_unchanged_and_so_does_the_description_of_its_answer() {
+fn forwards_setup_and_answer_unchanged() {
     let (server, _node, mut caller) = Node::with_one_server();
     caller.invite(&id(1), 0, 3_000);
     let launch = server.next("launch");
@@ -18,32 +18,38 @@
     let left: u64 = value["meta"]["left"].as_str().unwrap().parse().unwrap();
     assert!((1_000..=3_000).contains(&left), "{left}");
     server.answer(&launch, "v=0\r\n\u{e4} \"\\ end");
-    let said = caller.next().unwrap();
-    assert_eq!((said.status(), said.call(), &said.fields["cseq"][..]), (Some(200), &id(1)[..], "1 INVITE"));
-    assert_eq!((&said.body[..], &said.fields["via"][..]), ("v=0\r\n\u{e4} \"\\ end", "SIP/2.0/TCP peer"));
-    server.stop(launch.conn, &id(1), 16, json!({}));
+    let message = caller.next().unwrap();
+    assert_eq!(
+        (message.status(), message.call(), &message.fields["cseq"][..]),
+        (Some(200), &id(1)[..], "1 INVITE")
+    );
+    assert_eq!(
+        (&message.body[..], &message.fields["via"][..]),
+        ("v=0\r\n\u{e4} \"\\ end", "SIP/2.0/TCP peer")
+    );
+    server.stop(launch.connection, &id(1), 16, json!({}));
     let bye = caller.next().unwrap();
     assert!(bye.is_bye() && bye.call() == id(1), "{bye:?}");
     assert_eq!(bye.fields["reason"], "Q.850;cause=16");
 }
 
 #[test]
-fn what_cannot_be_set_up_is_refused_at_once_with_a_time_to_come_back() {
+fn rejects_with_retry_after_when_the_server_is_full() {
     let (server, _node, mut caller) = Node::with_one_server();
     caller.invite(&id(1), 0, 3_000);
     let launch = server.next("launch");
     // Full for longer than the call may be held here.
-    server.stop(launch.conn, &id(1), 34, json!({"note": "ovl", "waited": 5000}));
-    let said = caller.next().unwrap();
-    assert_eq!(said.status(), Some(503));
-    let gap: u64 = said.fields["p-gap-ms"].parse().unwrap();
+    server.stop(launch.connection, &id(1), 34, json!({"note": "ovl", "waited": 5000}));
+    let message = caller.next().unwrap();
+    assert_eq!(message.status(), Some(503));
+    let gap: u64 = message.fields["p-gap-ms"].parse().unwrap();
     assert!((1..=2_000).contains(&gap), "{gap}");
     assert!(launch.at.elapsed() < ms(2_500), "not sat on: {:?}", launch.at.elapsed());
     assert_eq!(caller.all_within(ms(300)), vec![], "one final answer");
 }
 
 #[test]
-fn a_late_answer_to_an_attempt_that_was_given_up_is_released_and_not_shown() {
+fn releases_late_answer_to_a_cancelled_attempt() {
     let (server, _node, mut caller) = Node::with_one_server();
     // A server that answers at once is not silent for one set-up that it loses: that one is tried there again.
     for call in 10..20 {
@@ -57,20 +63,20 @@
     server.answer(&server.next("launch"), "overtakes");
     assert_eq!(caller.next().unwrap().body, "overtakes");
     // Given up, and tried again after the release time on another connection.
-    let given_up = server.next("stop");
-    assert_eq!((given_up.uid(), given_up.conn), (id(1), first.conn));
+    let cancelled = server.next("stop");
+    assert_eq!((cancelled.uid(), cancelled.connection), (id(1), first.connection));
     let second = server.next("launch");
-    assert!(second.at - given_up.at >= ms(290), "the release is awaited: {:?}", second.at - given_up.at);
-    assert_ne!(second.conn, first.conn, "or its answer could not be told from the first one's");
+    assert!(second.at - cancelled.at >= ms(290), "the release is awaited: {:?}", second.at - cancelled.at);
+    assert_ne!(second.connection, first.connection, "or its answer could not be told from the first one's");
     server.answer(&first, "late");
-    assert_eq!(caller.within(ms(300)), None, "the late answer is not this attempt's");
+    assert_eq!(caller.next_within(ms(300)), None, "the late answer is not this attempt's");
     server.answer(&second, "right");
     assert_eq!(caller.next().unwrap().body, "right");
     assert!(!server.all_within(ms(300)).iter().any(|l| l.kind() == "stop"), "what stands is not released");
 }
 
 #[test]
-fn an_answer_after_the_caller_gave_up_is_released_at_its_server() {
+fn releases_answer_that_follows_the_callers_cancel() {
     let (server, _node, mut caller) = Node::with_one_server();
     caller.invite(&id(1), 0, 3_000);
     let launch = server.next("launch");
@@ -79,27 +85,27 @@
     server.answer(&launch, "late");
     let released = server.next("stop");
     assert_eq!((released.uid(), released.value.unwrap()["reason"].clone()), (id(1), json!(16)));
-    assert!(caller.all_within(ms(300)).iter().all(|said| said.status() != Some(200)));
+    assert!(caller.all_within(ms(300)).iter().all(|message| message.status() != Some(200)));
 }
 
 #[test]
-fn second_copies_and_answers_ahead_change_nothing() {
+fn ignores_duplicate_and_early_answers() {
     let (server, _node, mut caller) = Node::with_one_server();
     caller.invite(&id(1), 0, 3_000);
     let launch = server.next("launch");
-    server.say(launch.conn, json!({"kind": "running", "uid": id(77), "meta": {}, "body": "ahead"}));
+    server.say(launch.connection, json!({"kind": "running", "uid": id(77), "meta": {}, "body": "ahead"}));
     server.answer(&launch, "one");
     server.answer(&launch, "two");
     let answers = caller.all_within(ms(400));
-    assert_eq!(answers.iter().map(|said| &said.body[..]).collect::<Vec<_>>(), ["one"]);
+    assert_eq!(answers.iter().map(|message| &message.body[..]).collect::<Vec<_>>(), ["one"]);
     assert_eq!(server.all_within(ms(200)).len(), 0, "neither is released");
-    server.stop(launch.conn, &id(1), 16, json!({}));
-    server.stop(launch.conn, &id(1), 16, json!({}));
-    assert_eq!(caller.all_within(ms(400)).iter().filter(|said| said.is_bye()).count(), 1);
+    server.stop(launch.connection, &id(1), 16, json!({}));
+    server.stop(launch.connection, &id(1), 16, json!({}));
+    assert_eq!(caller.all_within(ms(400)).iter().filter(|message| message.is_bye()).count(), 1);
 }
 
 #[test]
-fn a_second_invite_under_an_open_id_does_not_touch_the_first() {
+fn rejects_second_invite_under_an_open_id() {
     let server = Server::start();
     let node = Node::start(&[&server]);
     let (mut caller, mut other) = (node.caller(), node.caller());
@@ -112,5 +118,5 @@
     assert_eq!(server.all_within(ms(200)).len(), 0);
     server.answer(&launch, "first");
     assert_eq!(caller.next().unwrap().body, "first");
-    assert_eq!(other.within(ms(200)), None);
+    assert_eq!(other.next_within(ms(200)), None);
 }
--- a/crates/lilacpitch-edge/tests/node/limits.rs
+++ b/crates/lilacpitch-edge/tests/node/limits.rs
@@ -4,11 +4,11 @@
 use crate::standin::*;
 
 #[test]
-fn the_silent_by_the_hundred_leave_room_for_usual_callers() {
+fn serves_regular_callers_beside_hundreds_of_silent_ones() {
     let (server, other) = (Server::start(), Server::start());
     let node = Node::with(&[&server, &other], 128);
-    let mut usual = node.caller();
-    usual.invite(&id(1), 0, 4_000);
+    let mut regular = node.caller();
+    regular.invite(&id(1), 0, 4_000);
     let first = server.next("launch");
     // More than the limit, and they say nothing.
     let silent: Vec<_> = (0..300).map(|_| node.caller()).collect();
@@ -18,13 +18,17 @@
     assert_eq!(late.next().unwrap().body, "late");
     assert!(node.descriptors() <= 128, "{}", node.descriptors());
     server.answer(&first, "there");
-    assert_eq!(usual.next().map(|said| said.body), Some("there".into()), "an open set-up's is not closed");
+    assert_eq!(
+        regular.next().map(|message| message.body),
+        Some("there".into()),
+        "an open set-up's is not closed"
+    );
     silent.iter().for_each(|caller| _ = caller.end());
     assert!(node.descriptors() < 64, "{}", node.descriptors());
 }
 
 #[test]
-fn at_the_limit_the_newest_connection_is_not_the_one_to_go() {
+fn never_evicts_the_newest_connection() {
     let server = Server::start();
     let node = Node::with(&[&server], 96);
     // Kept open after their calls: more than the limit.
@@ -41,7 +45,7 @@
 }
 
 #[test]
-fn where_each_connection_has_a_set_up_open_accepting_pauses_until_one_has_not() {
+fn pauses_accepting_while_every_caller_has_an_open_setup() {
     let (silent, other) = (Server::start(), Server::start());
     let node = Node::with(&[&silent, &other], 96);
     // All that there is room for, each with a set-up that is held or out, and none closes by itself.
@@ -55,7 +59,7 @@
 }
 
 #[test]
-fn connections_that_come_and_go_leave_nothing_behind() {
+fn releases_descriptors_of_closed_connections() {
     let server = Server::start();
     let node = Node::start(&[&server]);
     let before = node.descriptors();
@@ -65,7 +69,7 @@
         let launch = server.next("launch");
         server.answer(&launch, "there");
         assert_eq!(caller.next().unwrap().body, "there");
-        server.stop(launch.conn, &id(call), 16, serde_json::json!({}));
+        server.stop(launch.connection, &id(call), 16, serde_json::json!({}));
         assert!(caller.next().unwrap().is_bye());
         caller.close();
     }
--- a/crates/lilacpitch-edge/tests/node/main.rs
+++ b/crates/lilacpitch-edge/tests/node/main.rs
@@ -1,19 +1,19 @@
 //! The front node's hard cases: a real process on loopback between scripted callers, signalling servers and a
 //! coordinator, judged by what crosses the sockets.
 
+mod active_calls;
 mod callers;
 mod coordinator;
-mod departures;
+mod coordinator_faults;
+mod disconnects;
 mod evictions;
-mod exits;
 mod ids;
 mod limits;
+mod overload;
 mod process;
-mod repeats;
+mod reused_ids;
 mod servers;
+mod settings;
+mod shutdown;
 mod signals;
 mod standin;
-mod standing;
-mod terms;
-mod unlike;
-mod watch;
--- a/crates/lilacpitch-edge/tests/node/terms.rs
+++ b/crates/lilacpitch-edge/tests/node/overload.rs
@@ -9,7 +9,7 @@
 use std::time::Instant;
 
 #[test]
-fn with_idle_callers_at_every_descriptor_the_coordinator_is_reached_again_and_calls_are_served() {
+fn reconnects_to_the_coordinator_with_idle_callers_at_every_descriptor() {
     let (first, second) = (Server::start(), Server::start());
     let listed = Coordinator::listing(&[&first, &second]);
     let known = listed.known();
@@ -24,8 +24,8 @@
     });
     node.wait_ready();
     // Some have asked once and stay, the others say nothing.
-    let mut usual = node.caller();
-    first.stands(&mut usual, 999);
+    let mut regular = node.caller();
+    first.establish(&mut regular, 999);
     let mut idle = Vec::new();
     for n in 0..120u64 {
         let mut caller = node.caller();
@@ -35,14 +35,14 @@
         idle.push(caller);
     }
     // Its idle connection may have been closed for others: it asks on a new one, as the protocol has it.
-    let mut usual = node.caller();
-    first.stands(&mut usual, 1_000);
+    let mut regular = node.caller();
+    first.establish(&mut regular, 1_000);
     assert!(node.descriptors() <= 96, "{}", node.descriptors());
     // It is back, and tells that the first server drains.
     let back = Coordinator::on(TcpListener::bind(at).unwrap(), events);
-    back.tell(vec![target("s0", first.address, 0, "terminating", 0)]);
-    let until = Instant::now() + SOON;
-    while back.asks() < 2 {
+    back.publish(vec![target("s0", first.address, 0, "terminating", 0)]);
+    let until = Instant::now() + TIMEOUT;
+    while back.poll_count() < 2 {
         assert!(Instant::now() < until, "the coordinator is not reached again");
         std::thread::sleep(ms(10));
     }
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn a_process_that_starts_with_calls_to_adopt_and_a_flood_at_its_door_is_ready_soon() {
+fn starts_under_a_flood_of_adoptions_and_invalid_setups() {
     let server = Server::start();
     let coordinator = Coordinator::listing(&[&server]);
     let stop = Arc::new(AtomicBool::new(false));
@@ -90,10 +90,10 @@
     caller.invite(&id(1), 0, 8_000);
     let launch = server.next("launch");
     server.answer(&launch, "there");
-    let said = caller.next().unwrap();
+    let message = caller.next().unwrap();
     stop.store(true, Ordering::Relaxed);
     floods.into_iter().for_each(|flood| flood.join().unwrap());
-    assert_eq!(said.body, "there");
+    assert_eq!(message.body, "there");
     assert!(took < ms(5_000), "ready after {took:?}");
     assert!(node.memory_mb() < 48, "{} MB", node.memory_mb());
 }
--- a/crates/lilacpitch-edge/tests/node/process.rs
+++ b/crates/lilacpitch-edge/tests/node/process.rs
@@ -1,6 +1,6 @@
 //! The node's process.
 
-use crate::standin::{config_text, id, ms, Caller, Coordinator, Server, SOON};
+use crate::standin::{config_text, id, ms, Caller, Coordinator, Server, TIMEOUT};
 use nix::sys::signal::Signal;
 use std::net::{SocketAddr, TcpStream};
 use std::path::PathBuf;
@@ -45,7 +45,7 @@
 
     /// The last record of a call.
     pub fn last_attempt_record(&self, call: &str) -> String {
-        let until = Instant::now() + SOON;
+        let until = Instant::now() + TIMEOUT;
         loop {
             let text = self.log();
             let record = text.lines().rev().find(|l| l.contains("controller state") && l.contains(call));
@@ -84,10 +84,10 @@
     }
 
     /// The process stands still while `what` happens.
-    pub fn stalled<T>(&self, what: impl FnOnce() -> T) -> T {
+    pub fn while_stopped<T>(&self, what: impl FnOnce() -> T) -> T {
         self.signal(Signal::SIGSTOP);
         let stat = format!("/proc/{}/stat", self.child.id());
-        let until = Instant::now() + SOON;
+        let until = Instant::now() + TIMEOUT;
         while !std::fs::read_to_string(&stat).unwrap().contains(") T ") {
             assert!(Instant::now() < until, "the process does not stand still");
             std::thread::sleep(ms(1));
@@ -129,7 +129,7 @@
 
     /// Waits until a test is passed.
     pub fn wait_ready(&self) {
-        let until = Instant::now() + SOON;
+        let until = Instant::now() + TIMEOUT;
         while self.test() != Some(200) {
             assert!(Instant::now() < until, "the node does not become ready");
             std::thread::sleep(ms(10));
@@ -141,7 +141,7 @@
         TcpStream::connect(self.address).ok()?;
         let mut caller = self.caller();
         caller.request("OPTIONS", &id(0xfeed));
-        caller.within(ms(500)).and_then(|said| said.status())
+        caller.next_within(ms(500)).and_then(|message| message.status())
     }
 
     pub fn signal(&self, signal: nix::sys::signal::Signal) {
@@ -149,7 +149,7 @@
     }
 
     /// Replaces the configuration file: the coordinator is elsewhere.
-    pub fn move_to(&self, coordinator: &Coordinator) {
+    pub fn move_coordinator(&self, coordinator: &Coordinator) {
         let text = config_text(self.address, coordinator.address, &coordinator.known(), self.sockets);
         self.replace_config(&text);
     }
@@ -161,8 +161,8 @@
     }
 
     /// Waits for the process's end.
-    pub fn exit_code(&mut self, within: Duration) -> Option<i32> {
-        let until = Instant::now() + within;
+    pub fn exit_code(&mut self, next_within: Duration) -> Option<i32> {
+        let until = Instant::now() + next_within;
         while Instant::now() < until {
             if let Some(status) = self.child.try_wait().unwrap() {
                 return status.code();
@@ -172,7 +172,7 @@
         None
     }
 
-    pub fn runs(&mut self) -> bool {
+    pub fn is_running(&mut self) -> bool {
         self.child.try_wait().unwrap().is_none()
     }
 }
--- a/crates/lilacpitch-edge/tests/node/servers.rs
+++ b/crates/lilacpitch-edge/tests/node/servers.rs
@@ -23,101 +23,101 @@
 }
 
 #[test]
-fn malformed_answers_cost_their_connection_alone() {
+fn malformed_line_closes_only_its_connection() {
     for (what, bytes) in malformed() {
         let server = Server::start();
         let node = Node::start(&[&server]);
         let mut caller = node.caller();
         caller.invite(&id(7), 0, 3_000);
-        let stands = server.next("launch");
-        server.answer(&stands, "there");
+        let establish = server.next("launch");
+        server.answer(&establish, "there");
         assert_eq!(caller.next().unwrap().body, "there");
         caller.invite(&id(1), 0, 3_000);
         let launch = server.next("launch");
-        server.write(launch.conn, &bytes);
+        server.write(launch.connection, &bytes);
         let again = server.next("launch");
         assert!(
-            again.conn != launch.conn && again.at - launch.at >= ms(290),
+            again.connection != launch.connection && again.at - launch.at >= ms(290),
             "{what}: waits for the release"
         );
         server.answer(&again, "right");
         assert_eq!(caller.next().unwrap().body, "right", "{what}");
-        assert_eq!(caller.within(ms(100)), None, "{what}: what stands goes on");
+        assert_eq!(caller.next_within(ms(100)), None, "{what}: what stands goes on");
         // Logged once by kind.
-        server.write(again.conn, &bytes);
+        server.write(again.connection, &bytes);
         std::thread::sleep(ms(100));
         assert_eq!(node.log().matches("malformed message").count(), 1, "{what}: {}", node.log());
     }
 }
 
 #[test]
-fn an_answer_that_stops_short_ends_with_its_connection() {
+fn partial_answer_is_dropped_with_its_connection() {
     let (server, _node, mut caller) = Node::with_one_server();
     caller.invite(&id(1), 0, 3_000);
     let launch = server.next("launch");
-    server.write(launch.conn, format!("{{\"kind\":\"running\",\"uid\":\"{}\",\"bo", id(1)).as_bytes());
-    server.reset(launch.conn);
+    server.write(launch.connection, format!("{{\"kind\":\"running\",\"uid\":\"{}\",\"bo", id(1)).as_bytes());
+    server.reset(launch.connection);
     let again = server.next("launch");
     server.answer(&again, "right");
     assert_eq!(caller.next().unwrap().body, "right");
 }
 
 #[test]
-fn a_call_whose_end_overtakes_its_answer_is_over_and_not_set_up_again() {
+fn call_ended_before_its_answer_fails_without_a_retry() {
     let (server, _node, mut caller) = Node::with_one_server();
     caller.invite(&id(1), 0, 3_000);
     let launch = server.next("launch");
     // It stood there and has ended; its answer is late.
-    server.stop(launch.conn, &id(1), 16, json!({}));
-    let told = caller.next().unwrap();
-    assert!(told.status() >= Some(500) && launch.at.elapsed() < ms(1_000), "{told:?}");
+    server.stop(launch.connection, &id(1), 16, json!({}));
+    let response = caller.next().unwrap();
+    assert!(response.status() >= Some(500) && launch.at.elapsed() < ms(1_000), "{response:?}");
     server.answer(&launch, "late");
     assert_eq!(caller.all_within(ms(700)), vec![], "one final answer");
     assert!(server.all_within(ms(10)).iter().all(|line| line.kind() != "launch"), "not set up again");
-    server.stands(&mut caller, 2);
+    server.establish(&mut caller, 2);
 }
 
 #[test]
-fn one_servers_trouble_does_not_delay_anothers_messages() {
+fn fault_of_one_server_does_not_delay_another() {
     let (bad, good) = (Server::start(), Server::start());
     let node = Node::start(&[&bad, &good]);
     let mut caller = node.caller();
     caller.invite(&id(1), 0, 3_000);
     let stuck = bad.next("launch");
     // Half a line, and nothing more.
-    bad.write(stuck.conn, b"{\"kind\":\"runn");
+    bad.write(stuck.connection, b"{\"kind\":\"runn");
     for call in 2..12 {
         caller.invite(&id(call), 1, 3_000);
         let launch = good.next("launch");
         good.answer(&launch, "quick");
-        let said = caller.next().unwrap();
-        assert_eq!((said.call(), &said.body[..]), (&id(call)[..], "quick"));
+        let message = caller.next().unwrap();
+        assert_eq!((message.call(), &message.body[..]), (&id(call)[..], "quick"));
     }
 }
 
 #[test]
-fn nobody_listening_is_no_attempt_that_ran() {
+fn retries_at_once_where_nobody_listens() {
     let (gone, there) = (Server::start(), Server::start());
-    gone.die();
+    gone.kill();
     let node = Node::start(&[&gone, &there]);
     let mut caller = node.caller();
-    there.stands(&mut caller, 1);
+    there.establish(&mut caller, 1);
 }
 
 #[test]
-fn an_address_that_passes_to_another_server_ends_the_formers_calls_alone() {
+fn reused_address_ends_only_the_former_servers_calls() {
     let (server, node, mut caller) = Node::with_one_server();
-    server.stands(&mut caller, 1);
-    server.die();
+    server.establish(&mut caller, 1);
+    server.kill();
     let next = Server::on(TcpListener::bind(server.address).unwrap());
-    let asked = node.coordinator.asks();
-    node.coordinator.tell(vec![
+    let polled_before = node.coordinator.poll_count();
+    node.coordinator.publish(vec![
         target("s0", server.address, 0, "terminated", 0),
         target("s9", next.address, 0, "in_service", unix_ms()),
     ]);
     // It has the news once it asks for what comes after them: a call made before would go to the former one.
-    let until = std::time::Instant::now() + SOON;
-    while node.coordinator.asks() == asked {
+    let until = std::time::Instant::now() + TIMEOUT;
+    while node.coordinator.poll_count() == polled_before {
         assert!(std::time::Instant::now() < until, "the news were not taken");
         std::thread::sleep(ms(5));
     }
@@ -126,25 +126,25 @@
     // The new one is cold: its share adds up, so several calls are tried.
     for call in 2..40 {
         caller.invite(&id(call), 0, 1_500);
-        if let Some(launch) = next.within("launch", ms(300)) {
+        if let Some(launch) = next.next_within("launch", ms(300)) {
             next.answer(&launch, "new");
             break;
         }
     }
-    let heard = caller.all_within(ms(500));
-    assert!(heard.iter().any(|said| said.body == "new"), "{heard:?}");
-    assert!(!heard.iter().any(|said| said.is_bye()), "{heard:?}");
+    let received = caller.all_within(ms(500));
+    assert!(received.iter().any(|message| message.body == "new"), "{received:?}");
+    assert!(!received.iter().any(|message| message.is_bye()), "{received:?}");
 }
 
 #[test]
-fn a_server_that_goes_silent_is_noticed_and_what_stands_there_released_within_8_s() {
+fn releases_calls_of_an_unreachable_server_within_8_s() {
     let (quiet, other) = (Server::start(), Server::start());
     let node = Node::start(&[&quiet, &other]);
     let mut caller = node.caller();
-    quiet.stands(&mut caller, 1);
+    quiet.establish(&mut caller, 1);
     // Gone without a sign: connections stay open and silent, and a full backlog lets no new one come up.
     let dead = silent_server();
-    node.coordinator.tell(vec![target("s0", dead.0, 0, "in_service", 0)]);
+    node.coordinator.publish(vec![target("s0", dead.0, 0, "in_service", 0)]);
     // Moved by the list: the former process is no more.
     assert!(caller.next().unwrap().is_bye());
     caller.invite(&id(2), 0, 3_000);
@@ -160,7 +160,7 @@
 }
 
 #[test]
-fn at_most_four_connections_are_made_to_a_server() {
+fn opens_at_most_four_connections_to_a_server() {
     let (server, _node, mut caller) = Node::with_one_server();
     for call in 1..=30 {
         caller.invite(&id(call), 0, 3_000);
@@ -169,9 +169,13 @@
     }
     // Several at once, and they stay out.
     (31..=50).for_each(|call| caller.invite(&id(call), 0, 1_000));
-    let conns: std::collections::BTreeSet<_> =
-        server.all_within(ms(300)).iter().filter(|l| l.kind() == "launch").map(|l| l.conn).collect();
-    assert!(!conns.is_empty() && server.conns() <= 4, "{} connections, used {conns:?}", server.conns());
+    let connections: std::collections::BTreeSet<_> =
+        server.all_within(ms(300)).iter().filter(|l| l.kind() == "launch").map(|l| l.connection).collect();
+    assert!(
+        !connections.is_empty() && server.connection_count() <= 4,
+        "{} connections, used {connections:?}",
+        server.connection_count()
+    );
 }
 
 #[test]
@@ -190,7 +194,7 @@
             out.push(launch);
         }
     }
-    server.stop(out[0].conn, &id(1), 16, json!({}));
+    server.stop(out[0].connection, &id(1), 16, json!({}));
     assert!(caller.next().unwrap().is_bye());
     let record = node.last_attempt_record(&out[2].uid());
     // 9 answers less one that ended stand; of 3 without an answer none had the time to be given up.
@@ -204,41 +208,51 @@
     let slow = server.next("launch");
     std::thread::sleep(ms(250));
     server.answer(&slow, "there");
-    let (took, record) = (slow.at.elapsed(), node.last_attempt_record(&format!("step=established call=13 wire_id={}", id(50))));
+    let (took, record) = (
+        slow.at.elapsed(),
+        node.last_attempt_record(&format!("step=established call=13 wire_id={}", id(50))),
+    );
     let wait = record.split("wait_ms=").nth(1).and_then(|rest| rest.split(' ').next()).unwrap();
     let wait = ms(wait.parse().unwrap());
     assert!(wait >= ms(150) && wait <= took + ms(100), "{wait:?} of {took:?}: {record}");
 }
 
-/// Makes calls, two at a time; the server answers on every connection but this one. What it was sent.
-fn calls(server: &Server, caller: &mut Caller, from: u64, count: u64, deaf: Option<usize>) -> Vec<Line> {
-    let mut seen = Vec::new();
+/// Makes calls, two at a time; the server answers on all connections but `unresponsive`. The lines it was sent.
+fn make_calls(
+    server: &Server,
+    caller: &mut Caller,
+    from: u64,
+    count: u64,
+    unresponsive: Option<usize>,
+) -> Vec<ServerLine> {
+    let mut sent = Vec::new();
     for call in from..from + count {
         caller.invite(&id(call), 0, 3_000);
         if call % 2 == 0 {
             let lines = server.all_within(ms(30));
-            let heard = lines.iter().filter(|line| line.kind() == "launch" && deaf != Some(line.conn));
-            heard.for_each(|launch| server.answer(launch, "there"));
-            seen.extend(lines);
+            let is_answered =
+                |line: &&ServerLine| line.kind() == "launch" && unresponsive != Some(line.connection);
+            lines.iter().filter(is_answered).for_each(|launch| server.answer(launch, "there"));
+            sent.extend(lines);
         }
     }
-    seen
+    sent
 }
 
 #[test]
-fn a_connection_that_brings_no_answers_is_left_and_replaced() {
+fn replaces_an_unresponsive_connection() {
     // Incident r72caf7: two of four connections were cut off without a sign, and 155 set-ups lost on them.
     let (server, _node, mut caller) = Node::with_one_server();
-    let deaf = calls(&server, &mut caller, 1, 40, None).last().map(|line| line.conn);
-    assert!(server.conns() > 1, "another is there");
-    let seen = calls(&server, &mut caller, 100, 120, deaf);
-    let by_it = |line: &&Line| line.kind() == "launch" && Some(line.conn) == deaf;
-    let launches: Vec<_> = seen.iter().filter(|line| line.kind() == "launch").collect();
+    let unresponsive = make_calls(&server, &mut caller, 1, 40, None).last().map(|line| line.connection);
+    assert!(server.connection_count() > 1, "another is there");
+    let sent = make_calls(&server, &mut caller, 100, 120, unresponsive);
+    let uses_it = |line: &&ServerLine| line.kind() == "launch" && Some(line.connection) == unresponsive;
+    let launches: Vec<_> = sent.iter().filter(|line| line.kind() == "launch").collect();
     let (early, late) = launches.split_at(launches.len() / 2);
-    let lost = early.iter().copied().filter(by_it).count();
+    let lost = early.iter().copied().filter(uses_it).count();
     assert!(lost > 0, "it was used");
-    let late = late.iter().copied().filter(by_it).count();
+    let late = late.iter().copied().filter(uses_it).count();
     assert!(late == 0, "{lost} and, long after, {late} set-ups went by it");
-    let closed = |line: &Line| line.value.is_none() && Some(line.conn) == deaf;
-    assert!(seen.iter().any(closed), "closed once nothing is out on it");
+    let is_closed = |line: &ServerLine| line.value.is_none() && Some(line.connection) == unresponsive;
+    assert!(sent.iter().any(is_closed), "closed once nothing is out on it");
 }
--- a/crates/lilacpitch-edge/tests/node/unlike.rs
+++ b/crates/lilacpitch-edge/tests/node/settings.rs
@@ -12,8 +12,8 @@
     attempts: u32,
     connect_ms: u64,
     max_open: u64,
-    longest_gap_ms: u64,
-    aim_ms: u64,
+    max_retry_after_ms: u64,
+    objective_ms: u64,
     resend_ms: u64,
 }
 
@@ -23,8 +23,8 @@
     attempts: 2,
     connect_ms: 200,
     max_open: 3,
-    longest_gap_ms: 150,
-    aim_ms: 1_500,
+    max_retry_after_ms: 150,
+    objective_ms: 1_500,
     resend_ms: 400,
 };
 const DESK: Customer = Customer {
@@ -33,8 +33,8 @@
     attempts: 4,
     connect_ms: 900,
     max_open: 5,
-    longest_gap_ms: 3_000,
-    aim_ms: 4_000,
+    max_retry_after_ms: 3_000,
+    objective_ms: 4_000,
     resend_ms: 1_000,
 };
 
@@ -44,7 +44,7 @@
             let mut config: Value = serde_json::from_str(&text).unwrap();
             let settings = &mut config["settings"];
             let class = |name: &&str| {
-                json!({"name": name, "aim_ns": self.aim_ms * 1_000_000, "deadline_ns": 8_000_000_000u64, "worth": 1,
+                json!({"name": name, "aim_ns": self.objective_ms * 1_000_000, "deadline_ns": 8_000_000_000u64, "worth": 1,
                     "late_worth": 0.2, "repeat": "read_like"})
             };
             settings["classes"] = self.classes.iter().map(class).collect();
@@ -53,7 +53,7 @@
             settings["permissions"]["max_attempts"] = json!(self.attempts);
             settings["permissions"]["max_open"] = json!(self.max_open);
             settings["permissions"]["connect_timeout_ns"] = json!(self.connect_ms * 1_000_000);
-            settings["permissions"]["max_retry_after_ns"] = json!(self.longest_gap_ms * 1_000_000);
+            settings["permissions"]["max_retry_after_ns"] = json!(self.max_retry_after_ms * 1_000_000);
             config.to_string()
         };
         let node = Node::configured(coordinator, 256, change);
@@ -62,12 +62,12 @@
     }
 
     fn invite(&self, call: u64, class: &str) -> Vec<u8> {
-        let usual = String::from_utf8(invite(&id(call), "dest:0;width:1;via:-1", 7_000, BODY)).unwrap();
-        usual.replace("P-Kind: plain", &format!("P-Kind: {class}")).into_bytes()
+        let regular = String::from_utf8(invite(&id(call), "dest:0;width:1;via:-1", 7_000, BODY)).unwrap();
+        regular.replace("P-Kind: plain", &format!("P-Kind: {class}")).into_bytes()
     }
 
     /// Plays the same moments at this customer's node, and finds its own figures in each.
-    fn plays(&self, others: &Customer) {
+    fn check_own_settings(&self, others: &Customer) {
         let server = Server::start();
         let node = self.node(Coordinator::listing(&[&server]));
         let mut caller = node.caller();
@@ -95,31 +95,31 @@
                 assert!(rest < ms(self.release_ms + 400), "attempt {attempt} after {rest:?}");
             }
             last = Some(Instant::now());
-            server.stop(launch.conn, &id(20), 41, json!({}));
+            server.stop(launch.connection, &id(20), 41, json!({}));
         }
-        let refused = caller.next().unwrap();
-        assert!(refused.status() >= Some(480), "{refused:?}");
-        if let Some(gap) = refused.fields.get("p-gap-ms") {
-            assert!(gap.parse::<u64>().unwrap() <= self.longest_gap_ms, "{gap}");
+        let rejected = caller.next().unwrap();
+        assert!(rejected.status() >= Some(480), "{rejected:?}");
+        if let Some(gap) = rejected.fields.get("p-gap-ms") {
+            assert!(gap.parse::<u64>().unwrap() <= self.max_retry_after_ms, "{gap}");
         }
-        assert!(server.within("launch", ms(self.release_ms + 200)).is_none(), "no further attempt");
+        assert!(server.next_within("launch", ms(self.release_ms + 200)).is_none(), "no further attempt");
         // Calls that may be open at once.
         let mut many = node.caller();
         (0..self.max_open + 2).for_each(|n| many.send(&self.invite(30 + n, self.classes[0])));
-        let heard = many.all_within(ms(150));
-        let beyond = |said: &&Said| said.start.contains("Too Many Calls");
-        assert_eq!(heard.iter().filter(beyond).count(), 2, "{heard:?}");
+        let received = many.all_within(ms(150));
+        let beyond = |message: &&SipMessage| message.start.contains("Too Many Calls");
+        assert_eq!(received.iter().filter(beyond).count(), 2, "{received:?}");
     }
 }
 
 #[test]
-fn each_node_goes_by_its_own_settings_and_by_nothing_of_the_other() {
-    HARBOUR.plays(&DESK);
-    DESK.plays(&HARBOUR);
+fn each_node_follows_its_own_settings() {
+    HARBOUR.check_own_settings(&DESK);
+    DESK.check_own_settings(&HARBOUR);
 }
 
 #[test]
-fn a_connection_is_given_up_after_the_time_in_the_settings() {
+fn abandons_a_connection_after_the_configured_timeout() {
     let mut took = Vec::new();
     for customer in [HARBOUR, DESK] {
         let (silent, other) = (silent_server(), Server::start());
--- a/crates/lilacpitch-edge/tests/node/exits.rs
+++ b/crates/lilacpitch-edge/tests/node/shutdown.rs
@@ -6,7 +6,7 @@
 use std::time::Instant;
 
 #[test]
-fn all_that_arrived_before_the_node_left_has_its_answer() {
+fn answers_all_that_arrived_before_the_exit() {
     for sockets in [256, 64] {
         let server = Server::start();
         let mut node = Node::with(&[&server], sockets);
@@ -14,7 +14,7 @@
         let mut open: Vec<_> = (0..19u64)
             .map(|n| {
                 let mut caller = node.caller();
-                server.stands(&mut caller, 1 + n);
+                server.establish(&mut caller, 1 + n);
                 caller
             })
             .collect();
@@ -22,7 +22,7 @@
         node.signal(Signal::SIGTERM);
         std::thread::sleep(ms(500));
         // It stands still over the moment in which it would leave: all this lies in its buffers and its backlog.
-        let mut new = node.stalled(|| {
+        let mut new = node.while_stopped(|| {
             open.iter_mut().zip(100u64..).for_each(|(caller, call)| caller.invite(&id(call), 0, 3_000));
             let mut new: Vec<_> = (0..12).map(|_| node.caller()).collect();
             new.iter_mut().zip(200u64..).for_each(|(caller, call)| caller.invite(&id(call), 0, 3_000));
@@ -34,9 +34,9 @@
         let mut answered = 0;
         for caller in open.iter().chain(&new) {
             // Those that its server was given before the end are answered too.
-            let said = caller.next();
-            answered += usize::from(said.as_ref().and_then(Said::status).is_some());
-            assert!(said.is_some(), "{sockets} descriptors: closed without an answer after {answered}");
+            let message = caller.next();
+            answered += usize::from(message.as_ref().and_then(SipMessage::status).is_some());
+            assert!(message.is_some(), "{sockets} descriptors: closed without an answer after {answered}");
         }
         new.clear();
         open.clear();
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn what_is_open_near_the_kill_is_answered_before_it() {
+fn answers_open_calls_before_the_kill() {
     let server = Server::start();
     // Classes whose calls may be open for far longer than the process runs.
     let long = |text: String| text.replace("4000000000", "9000000000").replace("1000000000", "8000000000");
@@ -57,10 +57,10 @@
     let launch = server.next("launch");
     let term = Instant::now();
     node.signal(Signal::SIGTERM);
-    let heard = caller.next().unwrap();
+    let received = caller.next().unwrap();
     assert!(
-        heard.status() >= Some(300) && term.elapsed() < ms(3_700),
-        "{heard:?} after {:?}",
+        received.status() >= Some(300) && term.elapsed() < ms(3_700),
+        "{received:?} after {:?}",
         term.elapsed()
     );
     assert_eq!(node.exit_code(ms(2_000)), Some(0));
@@ -71,12 +71,12 @@
 }
 
 #[test]
-fn hup_and_term_together_move_and_leave() {
+fn handles_hup_and_term_together() {
     let (server, mut node, mut caller) = Node::with_one_server();
-    server.stands(&mut caller, 1);
+    server.establish(&mut caller, 1);
     let moved = Coordinator::start(node.coordinator.known()["updates"].as_array().unwrap().clone());
-    node.move_to(&moved);
-    node.stalled(|| {
+    node.move_coordinator(&moved);
+    node.while_stopped(|| {
         node.signal(Signal::SIGHUP);
         node.signal(Signal::SIGTERM);
         caller.invite(&id(2), 0, 3_000);
@@ -84,13 +84,13 @@
     server.answer(&server.next("launch"), "late");
     assert_eq!(caller.next().unwrap().body, "late");
     assert_eq!(node.exit_code(ms(4_000)), Some(0));
-    assert!(moved.asks() > 0, "it asked where the file says");
+    assert!(moved.poll_count() > 0, "it asked where the file says");
 }
 
 #[test]
-fn a_reader_who_is_slow_at_the_end_gets_all_that_was_said() {
-    let (server, mut node, mut usual) = Node::with_one_server();
-    server.stands(&mut usual, 1);
+fn slow_reader_gets_all_output_before_the_exit() {
+    let (server, mut node, mut regular) = Node::with_one_server();
+    server.establish(&mut regular, 1);
     let mut slow = std::net::TcpStream::connect(node.address).unwrap();
     std::io::Write::write_all(&mut slow, &invite(&id(2), "dest:0", 3_000, BODY)).unwrap();
     let launch = server.next("launch");
@@ -99,8 +99,8 @@
     // More from it lies unread when its connection is closed.
     std::io::Write::write_all(&mut slow, b"\r\n\r\nOPTI").unwrap();
     assert_eq!(node.exit_code(ms(4_000)), Some(0));
-    let mut said = Vec::new();
-    std::io::Read::read_to_end(&mut slow, &mut said).expect("not reset");
-    let text = String::from_utf8(said).unwrap();
+    let mut message = Vec::new();
+    std::io::Read::read_to_end(&mut slow, &mut message).expect("not reset");
+    let text = String::from_utf8(message).unwrap();
     assert!(text.starts_with("SIP/2.0 200") && text.matches('x').count() >= 14_000, "{} bytes", text.len());
 }
--- a/crates/lilacpitch-edge/tests/node/signals.rs
+++ b/crates/lilacpitch-edge/tests/node/signals.rs
@@ -8,13 +8,13 @@
 use std::time::Instant;
 
 #[test]
-fn hup_moves_to_another_coordinator_and_keeps_every_call() {
+fn hup_changes_the_coordinator_and_keeps_calls() {
     let (first, second) = (Server::start(), Server::start());
     let mut node = Node::start(&[&first, &second]);
     let mut caller = node.caller();
     caller.invite(&id(1), 0, 3_000);
-    let stands = first.next("launch");
-    first.answer(&stands, "there");
+    let establish = first.next("launch");
+    first.answer(&establish, "there");
     assert_eq!(caller.next().unwrap().body, "there");
     caller.invite(&id(2), 0, 3_000);
     let out = first.next("launch");
@@ -22,33 +22,33 @@
     node.replace_config("{\"name\": ");
     node.signal(Signal::SIGHUP);
     std::thread::sleep(ms(200));
-    assert!(node.runs());
+    assert!(node.is_running());
     let known = node.coordinator.known();
     let events = known["updates"].as_array().unwrap().clone();
     let moved = Coordinator::start(events);
-    node.move_to(&moved);
+    node.move_coordinator(&moved);
     node.signal(Signal::SIGHUP);
     std::thread::sleep(ms(300));
-    assert!(moved.asks() > 0, "it asks where the file says");
-    moved.tell(vec![target("s0", first.address, 0, "terminating", 0)]);
+    assert!(moved.poll_count() > 0, "it asks where the file says");
+    moved.publish(vec![target("s0", first.address, 0, "terminating", 0)]);
     first.answer(&out, "still");
     assert_eq!(caller.next().unwrap().body, "still");
     std::thread::sleep(ms(500));
     caller.invite(&id(3), 0, 3_000);
     second.answer(&second.next("launch"), "elsewhere");
     assert_eq!(caller.next().unwrap().body, "elsewhere");
-    first.stop(stands.conn, &id(1), 16, json!({}));
+    first.stop(establish.connection, &id(1), 16, json!({}));
     assert!(caller.next().unwrap().is_bye(), "what stood before goes on");
 }
 
 #[test]
-fn term_serves_late_arrivals_answers_what_is_open_and_leaves_before_the_kill() {
+fn term_serves_late_arrivals_and_exits_before_the_kill() {
     let (server, other) = (Server::start(), Server::start());
     let mut node = Node::start(&[&server, &other]);
     let mut caller = node.caller();
     caller.invite(&id(1), 0, 3_000);
-    let stands = server.next("launch");
-    server.answer(&stands, "there");
+    let establish = server.next("launch");
+    server.answer(&establish, "there");
     assert_eq!(caller.next().unwrap().body, "there");
     caller.invite(&id(2), 0, 2_000);
     let open = server.next("launch");
@@ -71,7 +71,7 @@
 }
 
 #[test]
-fn term_leaves_in_time_though_a_server_never_answers() {
+fn term_exits_in_time_when_a_server_never_answers() {
     let server = Server::start();
     let mut node = Node::start(&[&server]);
     let mut caller = node.caller();
@@ -79,13 +79,17 @@
     server.next("launch");
     node.signal(Signal::SIGTERM);
     let final_answer = caller.all_within(ms(4_500));
-    assert_eq!(final_answer.iter().filter(|said| said.status() >= Some(300)).count(), 1, "{final_answer:?}");
+    assert_eq!(
+        final_answer.iter().filter(|message| message.status() >= Some(300)).count(),
+        1,
+        "{final_answer:?}"
+    );
     // The longest deadline and 0.7 s: then comes the kill.
     assert_eq!(node.exit_code(ms(4_700)), Some(0));
 }
 
 #[test]
-fn after_a_stall_what_was_due_is_judged_before_what_was_read() {
+fn handles_due_timers_before_input_after_a_stall() {
     let (server, node, mut caller) = Node::with_one_server();
     caller.invite(&id(1), 0, 500);
     let launch = server.next("launch");
@@ -94,15 +98,15 @@
     server.answer(&launch, "in time for nobody");
     std::thread::sleep(ms(1_500));
     node.signal(Signal::SIGCONT);
-    let heard = caller.all_within(ms(1_000));
-    let finals: Vec<_> = heard.iter().filter_map(|said| said.status()).collect();
-    assert!(finals.len() == 1 && finals[0] >= 300, "{heard:?}");
+    let received = caller.all_within(ms(1_000));
+    let finals: Vec<_> = received.iter().filter_map(|message| message.status()).collect();
+    assert!(finals.len() == 1 && finals[0] >= 300, "{received:?}");
     // What the server took for standing is released there: once by giving up, once for its answer.
     assert!(server.next("stop").uid() == id(1) && server.next("stop").uid() == id(1));
 }
 
 #[test]
-fn a_configuration_that_is_wrong_is_one_clear_line_and_exit_code_2() {
+fn invalid_configuration_is_one_line_and_exit_code_2() {
     let run = |text: Option<&str>| {
         let folder = tempfile::tempdir().unwrap();
         let path = folder.path().join("config.json");
--- a/crates/lilacpitch-edge/tests/node/standin.rs
+++ b/crates/lilacpitch-edge/tests/node/standin.rs
@@ -1,4 +1,4 @@
-//! Scripted callers, signalling servers and a coordinator on blocking sockets.
+//! Scripted callers, signalling servers and a coordinator on blocking sockets, as stand-ins for a platform.
 #![allow(dead_code)]
 
 use serde_json::{json, Value};
@@ -9,8 +9,8 @@
 use std::sync::{Arc, Condvar, Mutex};
 use std::time::{Duration, Instant};
 
-/// Within this something that must happen at once has happened on any machine.
-pub const SOON: Duration = Duration::from_secs(8);
+/// What must happen at once has happened within this time on any machine.
+pub const TIMEOUT: Duration = Duration::from_secs(8);
 pub const BODY: &str = "c=IN IP4 10.4.7.9\r\nm=audio 31000 RTP/AVP 0\r\n";
 
 pub fn ms(ms: u64) -> Duration {
@@ -28,16 +28,16 @@
 
 // ---- Signalling servers ----
 
-/// A line that a server was sent, or the end of a connection.
+/// A line that a server received, or the end of a connection.
 #[derive(Debug, Clone)]
-pub struct Line {
+pub struct ServerLine {
     pub at: Instant,
-    pub conn: usize,
+    pub connection: usize,
     /// `None`: the connection has ended.
     pub value: Option<Value>,
 }
 
-impl Line {
+impl ServerLine {
     pub fn kind(&self) -> &str {
         self.value.as_ref().and_then(|v| v["kind"].as_str()).unwrap_or("")
     }
@@ -49,9 +49,9 @@
 
 pub struct Server {
     pub address: SocketAddr,
-    conns: Arc<Mutex<Vec<Option<TcpStream>>>>,
-    seen: Receiver<Line>,
-    listens: Arc<Mutex<bool>>,
+    connections: Arc<Mutex<Vec<Option<TcpStream>>>>,
+    lines: Receiver<ServerLine>,
+    is_listening: Arc<Mutex<bool>>,
 }
 
 impl Server {
@@ -62,70 +62,70 @@
 
     pub fn on(listener: TcpListener) -> Server {
         let address = listener.local_addr().unwrap();
-        let (conns, (say, seen)) = (Arc::new(Mutex::new(Vec::new())), channel());
-        let listens = Arc::new(Mutex::new(true));
-        let (all, on) = (conns.clone(), listens.clone());
+        let (connections, (say, lines)) = (Arc::new(Mutex::new(Vec::new())), channel());
+        let is_listening = Arc::new(Mutex::new(true));
+        let (all, on) = (connections.clone(), is_listening.clone());
         std::thread::spawn(move || {
             for stream in listener.incoming() {
                 let Ok(stream) = stream else { return };
                 if !*on.lock().unwrap() {
                     return;
                 }
-                let conn = {
+                let connection = {
                     let mut all = all.lock().unwrap();
                     all.push(Some(stream.try_clone().unwrap()));
                     all.len() - 1
                 };
                 let say = say.clone();
-                std::thread::spawn(move || read_lines(stream, conn, &say));
+                std::thread::spawn(move || read_lines(stream, connection, &say));
             }
         });
-        Server { address, conns, seen, listens }
+        Server { address, connections, lines, is_listening }
     }
 
-    /// The next line of this kind; the ends of connections are passed over.
-    pub fn next(&self, kind: &str) -> Line {
-        self.within(kind, SOON).unwrap_or_else(|| panic!("no {kind}"))
+    /// The next line of this kind; others and the ends of connections are skipped.
+    pub fn next(&self, kind: &str) -> ServerLine {
+        self.next_within(kind, TIMEOUT).unwrap_or_else(|| panic!("no {kind}"))
     }
 
-    pub fn within(&self, kind: &str, span: Duration) -> Option<Line> {
+    pub fn next_within(&self, kind: &str, span: Duration) -> Option<ServerLine> {
         let until = Instant::now() + span;
         loop {
             let left = until.checked_duration_since(Instant::now())?;
-            let line = self.seen.recv_timeout(left).ok()?;
+            let line = self.lines.recv_timeout(left).ok()?;
             if line.kind() == kind {
                 return Some(line);
             }
         }
     }
 
-    /// All that comes within a span.
-    pub fn all_within(&self, span: Duration) -> Vec<Line> {
+    /// All lines within a time.
+    pub fn all_within(&self, span: Duration) -> Vec<ServerLine> {
         let until = Instant::now() + span;
         let mut all = Vec::new();
         while let Some(left) = until.checked_duration_since(Instant::now()) {
-            all.extend(self.seen.recv_timeout(left).ok());
+            all.extend(self.lines.recv_timeout(left).ok());
         }
         all
     }
 
-    pub fn write(&self, conn: usize, bytes: &[u8]) {
-        if let Some(Some(stream)) = self.conns.lock().unwrap().get_mut(conn) {
+    pub fn write(&self, connection: usize, bytes: &[u8]) {
+        if let Some(Some(stream)) = self.connections.lock().unwrap().get_mut(connection) {
             // The node may have closed it: that is what some tests are about.
             let _ = stream.write_all(bytes);
         }
     }
 
-    pub fn say(&self, conn: usize, value: Value) {
-        self.write(conn, format!("{value}\n").as_bytes());
+    pub fn say(&self, connection: usize, value: Value) {
+        self.write(connection, format!("{value}\n").as_bytes());
     }
 
-    pub fn answer(&self, to: &Line, body: &str) {
-        self.say(to.conn, json!({"kind": "running", "uid": to.uid(), "meta": {}, "body": body}));
+    pub fn answer(&self, to: &ServerLine, body: &str) {
+        self.say(to.connection, json!({"kind": "running", "uid": to.uid(), "meta": {}, "body": body}));
     }
 
-    /// A call that this caller makes, and that stands here: its set-up.
-    pub fn stands(&self, caller: &mut Caller, call: u64) -> Line {
+    /// Establishes a call of this caller; its set-up.
+    pub fn establish(&self, caller: &mut Caller, call: u64) -> ServerLine {
         caller.invite(&id(call), 0, 3_000);
         let launch = self.next("launch");
         self.answer(&launch, "there");
@@ -133,31 +133,31 @@
         launch
     }
 
-    pub fn stop(&self, conn: usize, uid: &str, cause: u16, meta: Value) {
-        self.say(conn, json!({"kind": "stop", "uid": uid, "meta": meta, "reason": cause}));
+    pub fn stop(&self, connection: usize, uid: &str, cause: u16, meta: Value) {
+        self.say(connection, json!({"kind": "stop", "uid": uid, "meta": meta, "reason": cause}));
     }
 
     /// Resets a connection.
-    pub fn reset(&self, conn: usize) {
-        if let Some(stream) = self.conns.lock().unwrap().get_mut(conn).and_then(Option::take) {
+    pub fn reset(&self, connection: usize) {
+        if let Some(stream) = self.connections.lock().unwrap().get_mut(connection).and_then(Option::take) {
             reset(stream);
         }
     }
 
     /// Connections that were made so far.
-    pub fn conns(&self) -> usize {
-        self.conns.lock().unwrap().len()
+    pub fn connection_count(&self) -> usize {
+        self.connections.lock().unwrap().len()
     }
 
-    /// The process dies: nobody listens any more, all connections are reset.
-    pub fn die(&self) {
-        *self.listens.lock().unwrap() = false;
+    /// The process is killed: nobody listens any more, and all connections are reset.
+    pub fn kill(&self) {
+        *self.is_listening.lock().unwrap() = false;
         // Its own connection ends the accepting thread, and the listener with it.
         let _ = TcpStream::connect(self.address);
         while TcpStream::connect(self.address).is_ok() {
             std::thread::sleep(ms(5));
         }
-        self.conns.lock().unwrap().iter_mut().filter_map(Option::take).for_each(reset);
+        self.connections.lock().unwrap().iter_mut().filter_map(Option::take).for_each(reset);
     }
 }
 
@@ -171,7 +171,7 @@
     let _ = stream.shutdown(std::net::Shutdown::Both);
 }
 
-fn read_lines(stream: TcpStream, conn: usize, say: &Sender<Line>) {
+fn read_lines(stream: TcpStream, connection: usize, say: &Sender<ServerLine>) {
     let mut lines = BufReader::new(stream);
     loop {
         let mut text = String::new();
@@ -180,7 +180,7 @@
             _ => None,
         };
         let ended = value.is_none();
-        if say.send(Line { at: Instant::now(), conn, value }).is_err() || ended {
+        if say.send(ServerLine { at: Instant::now(), connection, value }).is_err() || ended {
             return;
         }
     }
@@ -205,30 +205,30 @@
 // ---- The coordinator ----
 
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub enum Mood {
-    Well,
-    /// Ends in the middle of each answer.
+pub enum Behaviour {
+    Normal,
+    /// Closes in the middle of each response.
     BreaksOff,
-    /// Takes each ask and says nothing.
+    /// Accepts each poll and sends nothing.
     Silent,
-    /// Says so much of each answer, in bytes, and nothing more.
+    /// Sends so many bytes of each response, and nothing more.
     StopsAt(usize),
-    /// Says each answer in chunks, and stops in the second.
+    /// Sends each response in chunks, and stops in the second.
     StopsInChunk,
-    /// Says each answer a byte at a time, slower than anybody waits.
+    /// Sends each response a byte at a time, slower than the node waits.
     Trickles,
-    /// Answers each ask at once, without events.
+    /// Responds to each poll at once, without events.
     Empty,
-    /// Leaves out the next event, where it is not asked for all.
-    Jumps,
-    /// Says that its numbers are lower than what was told, where it is not asked for all.
-    GoesBack,
+    /// Skips the next event, unless polled for the full list.
+    SkipsEvent,
+    /// Reports a lower index than before, unless polled for the full list.
+    LowersIndex,
 }
 
 struct Events {
     all: Vec<Value>,
-    mood: Mood,
-    asks: usize,
+    behaviour: Behaviour,
+    polls: usize,
 }
 
 pub struct Coordinator {
@@ -243,13 +243,16 @@
 
     pub fn on(listener: TcpListener, events: Vec<Value>) -> Coordinator {
         let address = listener.local_addr().unwrap();
-        let state = Arc::new((Mutex::new(Events { all: events, mood: Mood::Well, asks: 0 }), Condvar::new()));
+        let state = Arc::new((
+            Mutex::new(Events { all: events, behaviour: Behaviour::Normal, polls: 0 }),
+            Condvar::new(),
+        ));
         let shared = state.clone();
         std::thread::spawn(move || {
             for stream in listener.incoming().flatten() {
                 stream.set_nodelay(true).unwrap();
                 let shared = shared.clone();
-                std::thread::spawn(move || tell(stream, &shared));
+                std::thread::spawn(move || serve_polls(stream, &shared));
             }
         });
         Coordinator { address, state }
@@ -263,19 +266,19 @@
     }
 
     /// One more event: changes of these servers.
-    pub fn tell(&self, targets: Vec<Value>) {
+    pub fn publish(&self, targets: Vec<Value>) {
         let mut events = self.state.0.lock().unwrap();
         let index = events.all.len() as u64 + 1;
         events.all.push(event(index, false, targets));
         self.state.1.notify_all();
     }
 
-    pub fn mood(&self, mood: Mood) {
-        self.state.0.lock().unwrap().mood = mood;
+    pub fn set_behaviour(&self, behaviour: Behaviour) {
+        self.state.0.lock().unwrap().behaviour = behaviour;
     }
 
-    pub fn asks(&self) -> usize {
-        self.state.0.lock().unwrap().asks
+    pub fn poll_count(&self) -> usize {
+        self.state.0.lock().unwrap().polls
     }
 
     pub fn known(&self) -> Value {
@@ -284,81 +287,109 @@
     }
 }
 
-fn tell(stream: TcpStream, shared: &(Mutex<Events>, Condvar)) {
+/// Answers polls on one connection, by the coordinator's behaviour.
+fn serve_polls(stream: TcpStream, shared: &(Mutex<Events>, Condvar)) {
     let mut lines = BufReader::new(stream.try_clone().unwrap());
     let mut stream = stream;
-    loop {
-        let (mut request, mut line) = (String::new(), String::new());
-        if lines.read_line(&mut request).unwrap_or(0) == 0 {
+    while let Some(poll) = read_poll(&mut lines) {
+        let Some((behaviour, body)) = wait_for_events(&poll, shared) else {
+            std::thread::sleep(TIMEOUT);
             return;
-        }
-        while lines.read_line(&mut line).unwrap_or(0) > 2 {
-            line.clear();
-        }
-        let figure = |name: &str| {
-            let at = request.find(name).unwrap() + name.len();
-            request[at..].split(|c: char| !c.is_ascii_digit()).next().unwrap().parse::<u64>().unwrap()
         };
-        let (after, wait) = (figure("follow="), ms(figure("wait_ms=")));
-        let mut events = shared.0.lock().unwrap();
-        events.asks += 1;
-        if events.mood == Mood::Silent {
-            drop(events);
-            std::thread::sleep(SOON);
-            return;
-        }
-        let wait = if events.mood == Mood::Empty { Duration::ZERO } else { wait };
-        let news = |events: &mut Events| events.all.len() as u64 <= after && events.mood != Mood::Empty;
-        let (events, _) = shared.1.wait_timeout_while(events, wait, news).unwrap();
-        let mood = events.mood;
-        let hidden = match mood {
-            Mood::Empty => u64::MAX,
-            Mood::Jumps if after > 0 => after + 1,
-            Mood::GoesBack if after > 0 => u64::MAX,
-            _ => after,
-        };
-        let updates: Vec<_> = events.all.iter().filter(|e| e["index"].as_u64() > Some(hidden)).collect();
-        let index = match mood {
-            Mood::Empty => after as usize,
-            Mood::GoesBack if after > 0 => 0,
-            _ => events.all.len(),
-        };
-        let body = json!({"index": index, "updates": updates}).to_string();
         let head = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", body.len());
-        let breaks = mood == Mood::BreaksOff;
-        drop(events);
-        let stopping = match mood {
-            Mood::StopsAt(bytes) => Some(format!("{head}{body}")[..bytes].to_string()),
-            Mood::StopsInChunk => {
-                let (first, second) = body.split_at(body.len() / 2);
-                let half = &second[..second.len() / 2];
-                let head = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
-                Some(format!("{head}{:x}\r\n{first}\r\n{:x}\r\n{half}", first.len(), second.len()))
+        let whole = format!("{head}{body}");
+        let is_open = match behaviour {
+            Behaviour::StopsAt(bytes) => write_and_stop(&mut stream, &mut lines, &whole[..bytes]),
+            Behaviour::StopsInChunk => write_and_stop(&mut stream, &mut lines, &partial_chunks(&body)),
+            Behaviour::Trickles => trickle(&mut stream, &whole),
+            Behaviour::BreaksOff => {
+                let _ = stream.write_all(&whole.as_bytes()[..head.len() + body.len() / 2]);
+                false
             }
-            _ => None,
+            _ => stream.write_all(whole.as_bytes()).is_ok(),
         };
-        if let Some(part) = stopping {
-            // Until its connection is closed.
-            let _ = stream.write_all(part.as_bytes());
-            let _ = lines.read_to_end(&mut Vec::new());
+        if !is_open {
             return;
         }
-        if mood == Mood::Trickles {
-            for byte in format!("{head}{body}").bytes() {
-                if stream.write_all(&[byte]).is_err() {
-                    return;
-                }
-                std::thread::sleep(ms(40));
-            }
-            continue;
-        }
-        let body = if breaks { &body[..body.len() / 2] } else { &body[..] };
-        if stream.write_all(head.as_bytes()).and_then(|()| stream.write_all(body.as_bytes())).is_err()
-            || breaks
-        {
-            return;
+    }
+}
+
+/// A poll: the last event in hand, and how long the response may be held back.
+struct Poll {
+    after: u64,
+    hold: Duration,
+}
+
+/// Reads the head of a request; `None` at the connection's end.
+fn read_poll(lines: &mut BufReader<TcpStream>) -> Option<Poll> {
+    let (mut request, mut line) = (String::new(), String::new());
+    if lines.read_line(&mut request).unwrap_or(0) == 0 {
+        return None;
+    }
+    while lines.read_line(&mut line).unwrap_or(0) > 2 {
+        line.clear();
+    }
+    let parameter = |name: &str| {
+        let start = request.find(name).unwrap() + name.len();
+        request[start..].split(|c: char| !c.is_ascii_digit()).next().unwrap().parse::<u64>().unwrap()
+    };
+    Some(Poll { after: parameter("follow="), hold: ms(parameter("wait_ms=")) })
+}
+
+/// Holds the response back until there are events; its body, or `None` where nothing is to be said.
+fn wait_for_events(poll: &Poll, shared: &(Mutex<Events>, Condvar)) -> Option<(Behaviour, String)> {
+    let mut events = shared.0.lock().unwrap();
+    events.polls += 1;
+    if events.behaviour == Behaviour::Silent {
+        return None;
+    }
+    let hold = if events.behaviour == Behaviour::Empty { Duration::ZERO } else { poll.hold };
+    let has_none =
+        |events: &mut Events| events.all.len() as u64 <= poll.after && events.behaviour != Behaviour::Empty;
+    let (events, _) = shared.1.wait_timeout_while(events, hold, has_none).unwrap();
+    Some((events.behaviour, response_body(&events, poll.after)))
+}
+
+fn response_body(events: &Events, after: u64) -> String {
+    let hidden = match events.behaviour {
+        Behaviour::Empty => u64::MAX,
+        Behaviour::SkipsEvent if after > 0 => after + 1,
+        Behaviour::LowersIndex if after > 0 => u64::MAX,
+        _ => after,
+    };
+    let updates: Vec<_> = events.all.iter().filter(|e| e["index"].as_u64() > Some(hidden)).collect();
+    let index = match events.behaviour {
+        Behaviour::Empty => after as usize,
+        Behaviour::LowersIndex if after > 0 => 0,
+        _ => events.all.len(),
+    };
+    json!({"index": index, "updates": updates}).to_string()
+}
+
+/// A chunked response that stops within its second chunk.
+fn partial_chunks(body: &str) -> String {
+    let (first, second) = body.split_at(body.len() / 2);
+    let half = &second[..second.len() / 2];
+    let head = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
+    format!("{head}{:x}\r\n{first}\r\n{:x}\r\n{half}", first.len(), second.len())
+}
+
+/// Writes a part of a response and nothing more, until the other end closes; the connection is of no further use.
+fn write_and_stop(stream: &mut TcpStream, lines: &mut BufReader<TcpStream>, part: &str) -> bool {
+    let _ = stream.write_all(part.as_bytes());
+    let _ = lines.read_to_end(&mut Vec::new());
+    false
+}
+
+/// Writes a byte at a time; whether the connection is still open.
+fn trickle(stream: &mut TcpStream, text: &str) -> bool {
+    for byte in text.bytes() {
+        if stream.write_all(&[byte]).is_err() {
+            return false;
         }
+        std::thread::sleep(ms(40));
     }
+    true
 }
 
 pub fn event(index: u64, all: bool, targets: Vec<Value>) -> Value {
@@ -373,16 +404,16 @@
 
 // ---- Callers ----
 
-/// A message that a caller was sent.
+/// A message that a caller received.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Said {
+pub struct SipMessage {
     /// `SIP/2.0 200 OK`, or the first line of a request.
     pub start: String,
     pub fields: BTreeMap<String, String>,
     pub body: String,
 }
 
-impl Said {
+impl SipMessage {
     pub fn status(&self) -> Option<u16> {
         self.start.strip_prefix("SIP/2.0 ").and_then(|rest| rest[..3].parse().ok())
     }
@@ -398,7 +429,7 @@
 
 pub struct Caller {
     pub stream: TcpStream,
-    heard: Receiver<Option<Said>>,
+    received: Receiver<Option<SipMessage>>,
 }
 
 impl Caller {
@@ -406,10 +437,10 @@
         let stream = TcpStream::connect(address).unwrap();
         // What is written is there, and does not wait for what was written before to be seen.
         stream.set_nodelay(true).unwrap();
-        let (say, heard) = channel();
+        let (say, received) = channel();
         let reader = stream.try_clone().unwrap();
         std::thread::spawn(move || read_sip(reader, &say));
-        Caller { stream, heard }
+        Caller { stream, received }
     }
 
     pub fn send(&mut self, bytes: &[u8]) {
@@ -429,17 +460,17 @@
     }
 
     /// The next message; `None`: the connection has ended.
-    pub fn next(&self) -> Option<Said> {
-        self.heard.recv_timeout(SOON).expect("a message or an end")
+    pub fn next(&self) -> Option<SipMessage> {
+        self.received.recv_timeout(TIMEOUT).expect("a message or an end")
     }
 
-    pub fn within(&self, span: Duration) -> Option<Said> {
-        self.heard.recv_timeout(span).ok().flatten()
+    pub fn next_within(&self, span: Duration) -> Option<SipMessage> {
+        self.received.recv_timeout(span).ok().flatten()
     }
 
-    /// Whether its connection has ended, and nothing was said before.
-    pub fn has_ended(&self) -> bool {
-        matches!(self.heard.recv_timeout(ms(5)), Ok(None))
+    /// Whether its connection has ended with no message before.
+    pub fn is_closed(&self) -> bool {
+        matches!(self.received.recv_timeout(ms(5)), Ok(None))
     }
 
     /// Waits for the connection's end; how long that took.
@@ -453,13 +484,13 @@
         let _ = self.stream.shutdown(std::net::Shutdown::Both);
     }
 
-    /// All messages within a span.
-    pub fn all_within(&self, span: Duration) -> Vec<Said> {
+    /// All messages within a time.
+    pub fn all_within(&self, span: Duration) -> Vec<SipMessage> {
         let until = Instant::now() + span;
         let mut all = Vec::new();
         while let Some(left) = until.checked_duration_since(Instant::now()) {
-            match self.heard.recv_timeout(left) {
-                Ok(Some(said)) => all.push(said),
+            match self.received.recv_timeout(left) {
+                Ok(Some(message)) => all.push(message),
                 _ => return all,
             }
         }
@@ -476,7 +507,7 @@
     .into_bytes()
 }
 
-fn read_sip(stream: TcpStream, say: &Sender<Option<Said>>) {
+fn read_sip(stream: TcpStream, say: &Sender<Option<SipMessage>>) {
     let mut lines = BufReader::new(stream);
     loop {
         let mut start = String::new();
@@ -497,8 +528,9 @@
             let _ = say.send(None);
             return;
         }
-        let said = Said { start: start.trim_end().into(), fields, body: String::from_utf8(body).unwrap() };
-        if say.send(Some(said)).is_err() {
+        let message =
+            SipMessage { start: start.trim_end().into(), fields, body: String::from_utf8(body).unwrap() };
+        if say.send(Some(message)).is_err() {
             return;
         }
     }
--- a/crates/lilacpitch-net/src/clock.rs
+++ b/crates/lilacpitch-net/src/clock.rs
@@ -1,9 +1,10 @@
-//! The front's clock: time since 1970 at the start, and what has passed since, which no clock step changes.
+//! The front's clock: Unix time at the start plus the monotonic time since, which no step of the machine's clock
+//! changes.
 
 use lilacpitch::interface::Nanos;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// Reads nanoseconds since 1970; only ever advances.
+/// Reads nanoseconds since 1970; never goes back.
 #[derive(Debug, Clone, Copy)]
 pub struct Clock {
     unix_ns: Nanos,
@@ -11,23 +12,24 @@
 }
 
 impl Clock {
-    /// A clock set by the machine's.
+    /// Starts a clock at the machine's time.
     pub fn start() -> Self {
         let since = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         Clock { unix_ns: nanos(since), start: Instant::now() }
     }
 
-    /// Now.
+    /// Nanoseconds since 1970.
     pub fn now(&self) -> Nanos {
         self.unix_ns + nanos(self.start.elapsed())
     }
 
-    /// The moment as the runtime's timers know it.
+    /// Converts a moment for the runtime's timers.
     pub fn instant(&self, at: Nanos) -> tokio::time::Instant {
         (self.start + Duration::from_nanos(at.saturating_sub(self.unix_ns))).into()
     }
 }
 
-fn nanos(span: Duration) -> Nanos {
-    span.as_nanos().try_into().unwrap_or(Nanos::MAX)
+/// Saturates after some 584 years.
+fn nanos(duration: Duration) -> Nanos {
+    duration.as_nanos().try_into().unwrap_or(Nanos::MAX)
 }
--- a/crates/lilacpitch-net/src/timers.rs
+++ b/crates/lilacpitch-net/src/timers.rs
@@ -1,9 +1,9 @@
-//! Timers: one entry each, in the order in which they fall due.
+//! A timer queue: one entry for each key, in the order in which they are due.
 
 use lilacpitch::interface::Nanos;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Timers by what they are for.
+/// Timers by key, which says what each is for. Ties are ordered by key.
 #[derive(Debug)]
 pub struct Timers<K> {
     due: BTreeSet<(Nanos, K)>,
@@ -17,19 +17,19 @@
 }
 
 impl<K: Ord + Copy> Timers<K> {
-    /// Sets a timer; one that was set is moved.
+    /// Sets a timer, in place of an earlier setting.
     pub fn set(&mut self, timer: K, at: Nanos) {
         self.clear(timer);
         self.set.insert(timer, at);
         self.due.insert((at, timer));
     }
 
-    /// Sets a timer; one that was set sooner stays as it was.
+    /// Sets a timer, unless it is due sooner already.
     pub fn set_no_later(&mut self, timer: K, at: Nanos) {
         self.set(timer, self.at(timer).map_or(at, |before| before.min(at)));
     }
 
-    /// Takes a timer back.
+    /// Cancels a timer.
     pub fn clear(&mut self, timer: K) {
         if let Some(at) = self.set.remove(&timer) {
             self.due.remove(&(at, timer));
@@ -46,7 +46,7 @@
         self.due.first().map(|(at, _)| *at)
     }
 
-    /// Takes the first timer that is due by now.
+    /// Removes and returns the first timer that is due by now.
     pub fn pop_due(&mut self, now: Nanos) -> Option<K> {
         let (at, timer) = self.due.first().copied().filter(|(at, _)| *at <= now)?;
         self.due.remove(&(at, timer));
@@ -54,7 +54,7 @@
         Some(timer)
     }
 
-    /// How many are set.
+    /// Number of timers that are set.
     pub fn len(&self) -> usize {
         self.set.len()
     }
--- a/crates/lilacpitch-net/tests/addresses.rs
+++ b/crates/lilacpitch-net/tests/addresses.rs
@@ -4,7 +4,7 @@
 use std::net::{SocketAddr, TcpListener, UdpSocket};
 
 #[test]
-fn none_is_given_twice_nor_one_that_is_in_use() {
+fn gives_no_address_twice_and_none_in_use() {
     let first = free_addresses(3).unwrap();
     let next = |more| SocketAddr::from(([127, 0, 0, 1], first[2].port() + more));
     let held = (TcpListener::bind(next(1)), UdpSocket::bind(next(2)));
--- a/crates/lilacpitch-node/src/signalling.rs
+++ b/crates/lilacpitch-node/src/signalling.rs
@@ -144,7 +144,7 @@
         let raw: RawMessage = serde_json::from_slice(line).map_err(LineError::Json)?;
         let uid = || {
             let uid = raw.uid.as_deref().and_then(parse_call_id);
-            uid.ok_or_else(|| LineError::Field("uid: not 16 hex digits"))
+            uid.ok_or(LineError::Field("uid: not 16 hex digits"))
         };
         let load = || Load(raw.meta_text("load").unwrap_or_default());
         Ok(match raw.kind.as_str() {
--- a/crates/lilacpitch-sip/tests/streams.rs
+++ b/crates/lilacpitch-sip/tests/streams.rs
@@ -1,9 +1,9 @@
-//! Any bytes, in any pieces: the same messages, no panic, and never more kept than the limits say.
+//! Random bytes in pieces of any size: the same messages, no panic, and never more retained than the limits allow.
 
 use lilacpitch_sip::{Decoder, Message, SipError, MAX_MESSAGE_BYTES};
 use proptest::prelude::*;
 
-/// What comes of a stream that arrives in pieces of this size.
+/// The messages of a stream that arrives in pieces of this size, and the error that ended it.
 fn read(bytes: &[u8], piece: usize) -> (Vec<Message>, Option<SipError>) {
     let (mut decoder, mut messages) = (Decoder::default(), Vec::new());
     for part in bytes.chunks(piece) {
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn messages_end_where_their_length_says() {
+fn splits_messages_by_their_length() {
     let two = invite("Content-Length: 5\r\n", "hello") + "\r\n\r\n" + &invite("l: 0\r\n", "");
     let (messages, error) = read(two.as_bytes(), 1);
     assert_eq!(error, None);
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn a_length_is_judged_from_the_head() {
+fn rejects_an_invalid_length_from_the_head() {
     for (length, answer) in [
         ("Content-Length: -1\r\n", Some(400)),
         ("Content-Length: +1\r\n", Some(400)),
@@ -51,7 +51,7 @@
         ("no colon\r\n", None),
     ] {
         let (messages, error) = read(invite(length, "").as_bytes(), 4096);
-        let error = error.unwrap_or_else(|| panic!("{length:?} was taken"));
+        let error = error.unwrap_or_else(|| panic!("{length:?} was accepted"));
         assert_eq!(
             (messages.len(), error.final_response().map(|(status, ..)| status)),
             (0, answer),
@@ -61,7 +61,7 @@
 }
 
 #[test]
-fn an_answer_copies_what_it_must_and_no_broken_id() {
+fn response_copies_the_required_fields_but_no_invalid_id() {
     let text = "OPTIONS sip:ping@net SIP/2.0\r\nVia: one\r\nVia: two\r\nCall-ID: a b\r\nCSeq: 9 OPTIONS\r\n\
                 Content-Length: 0\r\n\r\n";
     let (messages, _) = read(text.as_bytes(), 7);
@@ -74,7 +74,7 @@
 
 proptest! {
     #[test]
-    fn any_bytes_in_any_pieces_are_the_same_messages(
+    fn pieces_of_any_size_give_the_same_messages(
         noise in proptest::collection::vec(any::<u8>(), 0..300),
         body in "[a-z\r\n]{0,40}",
         at in 0usize..200,
@@ -88,9 +88,9 @@
     }
 
     #[test]
-    fn an_endless_head_ends_within_the_limit(byte in any::<u8>()) {
+    fn endless_head_is_rejected_within_the_limit(byte in any::<u8>()) {
         let (_, error) = read(&vec![byte; 3 * MAX_MESSAGE_BYTES], 1024);
-        // Line ends alone are no head, and are not kept.
+        // Line ends alone are no head, and are discarded.
         prop_assert_eq!(error.is_none(), matches!(byte, b'\r' | b'\n'));
     }
 }
