--- a/crates/lilacpitch-edge/src/net/driver.rs
+++ b/crates/lilacpitch-edge/src/net/driver.rs
@@ -122,7 +122,7 @@
     };
     let mut front = EdgeCore::with_safeguards(settings.clone(), clock.now(), rng.next_u64(), guards);
     if !promises.calls_first {
-        front.calls_wait();
+        front.disable_locate_limit();
     }
     let mut driver = Driver {
         front,
@@ -206,7 +206,7 @@
             News::Input(input) => {
                 match &input {
                     Input::CallerClosed(caller) => drop(self.callers.remove(caller)),
-                    Input::UpstreamClosed { link, .. } => drop(self.links.remove(link)),
+                    Input::UpstreamClosed { upstream: link, .. } => drop(self.links.remove(link)),
                     _ => {}
                 }
                 self.feed(input);
@@ -214,7 +214,7 @@
             News::PoolList(pools) => self.pool_list(pools),
             News::PoolListRefused(why) => {
                 tracing::error!(why, "pool list refused, the one in hand stays in force");
-                self.front.pool_list_refused();
+                self.front.count_rejected_list();
             }
             News::Keys(keys) => {
                 tracing::info!("keys of peers taken");
@@ -277,17 +277,19 @@
                     let facts = self.front.server_reports();
                     self.talk(|talk, now, out| talk.peers.answer_request(now, asker, facts, out));
                 }
-                Said::News => {
+                Said::ReportsWanted => {
                     let facts = self.front.server_reports();
                     self.talk(|talk, now, out| talk.peers.publish_reports(now, &facts, out));
                 }
-                Said::Heard(heard) => self.feed(Input::RumorsReceived(heard)),
+                Said::RumorsReceived(heard) => self.feed(Input::RumorsReceived(heard)),
                 // By its origin, of which its address is part: two fronts that were given one name by mistake are two voices all the same.
                 Said::ReportsReceived(peer, facts) => self.feed(Input::PeerReported(peer.origin(), facts)),
-                Said::Joined(peer) => {
+                Said::MemberJoined(peer) => {
                     tracing::info!(peer = peer.name, address = %peer.address, "peer is there")
                 }
-                Said::Left(peer) => tracing::info!(peer = peer.name, address = %peer.address, "peer is gone"),
+                Said::MemberLeft(peer) => {
+                    tracing::info!(peer = peer.name, address = %peer.address, "peer is gone")
+                }
             }
         }
     }
@@ -310,11 +312,11 @@
                     tracing::info!(caller, "caller cut off: it does not read");
                     peer.task.abort();
                     self.callers.remove(&caller);
-                    self.front.caller_cut_off();
+                    self.front.count_disconnected_caller();
                     self.tell_later(Input::CallerClosed(caller));
                 }
             }
-            Effect::ToServer { link, message, text, not_after_ns } => {
+            Effect::ToServer { upstream: link, message, text, not_after_ns } => {
                 let full = match self.links.get(&link) {
                     Some(peer) => {
                         peer.out.try_send(Outgoing { number: message, text, not_after_ns }).is_err()
@@ -322,7 +324,7 @@
                     None => false,
                 };
                 if full {
-                    self.tell_later(Input::NotWritten { link, message });
+                    self.tell_later(Input::NotWritten { upstream: link, message });
                 }
             }
             Effect::Connect(link, address) => self.connect(link, address),
@@ -420,7 +422,7 @@
                     let heard = async |heard| {
                         let input = match heard {
                             Heard::Text(text) => Input::UpstreamText(link, text),
-                            Heard::NotWritten(message) => Input::NotWritten { link, message },
+                            Heard::NotWritten(message) => Input::NotWritten { upstream: link, message },
                         };
                         news.send(News::Input(input)).await.is_ok()
                     };
@@ -431,7 +433,7 @@
                 Ok(Err(why)) => tracing::debug!(link, %address, why, "no connection"),
                 Err(_) => tracing::debug!(link, %address, "no connection in time"),
             }
-            let _ = news.send(News::Input(Input::UpstreamClosed { link, written })).await;
+            let _ = news.send(News::Input(Input::UpstreamClosed { upstream: link, written })).await;
         });
         self.links.insert(link, Peer { out, task: task.abort_handle() });
     }
--- a/crates/lilacpitch-node/src/core/attempt_trace.rs
+++ b/crates/lilacpitch-node/src/core/attempt_trace.rs
@@ -26,7 +26,7 @@
 
     fn trace_server(&self, step: &str, call: CallId, server: ServerId) {
         let Some(record) = self.servers.get(&server) else { return };
-        let reports = self.controller.facts();
+        let reports = self.controller.server_reports();
         let Some(report) = reports.into_iter().find(|report| report.server == server) else { return };
         let wire_id = self.calls.get(&call).map_or(0, |call| call.wire_id);
         let calls = self.call_counts();
