--- a/crates/lilacpitch/benches/event_cost.rs
+++ b/crates/lilacpitch/benches/event_cost.rs
@@ -37,39 +37,39 @@
 
 /// A front in a steady state: each call is answered 20 ms after its set-up and ends when as many stand as wanted.
 struct Steady {
-    brain: Controller,
+    controller: Controller,
     now: Nanos,
-    gap_ns: Nanos,
+    interval_ns: Nanos,
     next: CallId,
-    wake_ns: Nanos,
-    out: VecDeque<(Nanos, CallId, ServerId)>,
-    standing: VecDeque<(CallId, ServerId)>,
-    hold: usize,
+    timer_ns: Nanos,
+    in_flight: VecDeque<(Nanos, CallId, ServerId)>,
+    established: VecDeque<(CallId, ServerId)>,
+    target: usize,
     actions: Vec<Action>,
 }
 
 impl Steady {
-    fn new(per_s: u64, hold: usize) -> Self {
+    fn new(per_s: u64, target: usize) -> Self {
         let mut steady = Steady {
-            brain: Controller::new(settings(), 5),
+            controller: Controller::new(settings(), 5),
             now: 100 * S,
-            gap_ns: S / per_s,
+            interval_ns: S / per_s,
             next: 1,
-            wake_ns: Nanos::MAX,
-            out: VecDeque::new(),
-            standing: VecDeque::new(),
-            hold,
+            timer_ns: Nanos::MAX,
+            in_flight: VecDeque::new(),
+            established: VecDeque::new(),
+            target,
             actions: Vec::new(),
         };
-        let entry = |server: u64| Endpoint {
+        let endpoint = |server: u64| Endpoint {
             server,
             number: server as u32,
             zone: 0,
             availability: Availability::Ready,
             up_since_ns: 0,
         };
-        steady.event(Event::EndpointsUpdated(EndpointUpdate::Full((0..SERVERS).map(entry).collect())));
-        while steady.standing.len() < hold {
+        steady.event(Event::EndpointsUpdated(EndpointUpdate::Full((0..SERVERS).map(endpoint).collect())));
+        while steady.established.len() < target {
             steady.call();
         }
         steady
@@ -77,13 +77,13 @@
 
     fn event(&mut self, event: Event) {
         let mut actions = std::mem::take(&mut self.actions);
-        self.brain.handle(self.now, event, &mut actions);
+        self.controller.handle(self.now, event, &mut actions);
         for action in actions.drain(..) {
             match action {
                 Action::ForwardSetup { call, server, .. } => {
-                    self.out.push_back((self.now + ANSWER_NS, call, server))
+                    self.in_flight.push_back((self.now + ANSWER_NS, call, server))
                 }
-                Action::SetTimer(at) => self.wake_ns = at,
+                Action::SetTimer(at) => self.timer_ns = at,
                 other => panic!("a steady front has no cause for {other:?}"),
             }
         }
@@ -92,19 +92,19 @@
 
     /// One call in, and what falls due until the next one: an answer, an end, a wake now and then.
     fn call(&mut self) {
-        self.now += self.gap_ns;
-        if self.wake_ns <= self.now {
-            self.wake_ns = Nanos::MAX;
+        self.now += self.interval_ns;
+        if self.timer_ns <= self.now {
+            self.timer_ns = Nanos::MAX;
             self.event(Event::TimerFired);
         }
-        while let Some((at, call, server)) = self.out.front().copied().filter(|o| o.0 <= self.now) {
+        while let Some((at, call, server)) = self.in_flight.front().copied().filter(|o| o.0 <= self.now) {
             debug_assert!(at <= self.now);
-            self.out.pop_front();
+            self.in_flight.pop_front();
             self.event(Event::CallEstablished { call, attempt: 0 });
-            self.standing.push_back((call, server));
+            self.established.push_back((call, server));
         }
-        while self.standing.len() > self.hold {
-            let Some((call, server)) = self.standing.pop_front() else { break };
+        while self.established.len() > self.target {
+            let Some((call, server)) = self.established.pop_front() else { break };
             let (outcome, report) = (Outcome::Completed, LoadReport::default());
             self.event(Event::AttemptCompleted { call, attempt: 0, server, outcome, is_final: true, report });
         }
@@ -126,10 +126,10 @@
 fn curve(c: &mut Criterion) {
     let mut group = c.benchmark_group("one_call_at_10000_per_s");
     group.sample_size(20);
-    for standing in [40, 400, 4_000, 40_000, 100_000] {
-        let mut steady = Steady::new(10_000, standing);
+    for established in [40, 400, 4_000, 40_000, 100_000] {
+        let mut steady = Steady::new(10_000, established);
         group.throughput(Throughput::Elements(1));
-        group.bench_function(BenchmarkId::from_parameter(standing), |b| b.iter(|| steady.call()));
+        group.bench_function(BenchmarkId::from_parameter(established), |b| b.iter(|| steady.call()));
     }
     group.finish();
 }
@@ -143,30 +143,30 @@
         // Held for 0.4 of this: for the whole of the measurement.
         settings.classes[0].latency_objective_ns = 1_000_000 * S;
         settings.classes[0].deadline_ns = 1_000_000 * S;
-        let mut brain = Controller::new(settings, 5);
+        let mut controller = Controller::new(settings, 5);
         let mut actions = Vec::new();
-        let entry = |server: u64| Endpoint {
+        let endpoint = |server: u64| Endpoint {
             server,
             number: server as u32,
             availability: Availability::Ready,
             ..Endpoint::default()
         };
-        brain.handle(
+        controller.handle(
             100 * S,
-            Event::EndpointsUpdated(EndpointUpdate::Full((0..SERVERS).map(entry).collect())),
+            Event::EndpointsUpdated(EndpointUpdate::Full((0..SERVERS).map(endpoint).collect())),
             &mut actions,
         );
         let call = |id: u64| {
             let (first_choice, budget_ns) = ((id % SERVERS) as u32, 900_000 * S);
-            let (dialled, width, again, in_transit) = (None, 1.0, false, false);
+            let (dialled, circuits, retry_after_cut, in_transit) = (None, 1.0, false, false);
             Event::CallArrived(Call {
                 id,
                 class: 0,
                 first_choice,
                 budget_ns,
                 dialled,
-                circuits: width,
-                retry_after_cut: again,
+                circuits,
+                retry_after_cut,
                 in_transit,
             })
         };
@@ -176,15 +176,15 @@
         while next < waiting {
             next += 1;
             now += 1_000;
-            brain.handle(now, call(next), &mut actions);
+            controller.handle(now, call(next), &mut actions);
         }
         group.bench_function(BenchmarkId::from_parameter(waiting), |b| {
             b.iter(|| {
                 // One comes and its caller leaves, so that as many stay held.
                 next += 1;
                 now += 10;
-                brain.handle(now, call(next), &mut actions);
-                brain.handle(now, Event::ClientDisconnected(next), &mut actions);
+                controller.handle(now, call(next), &mut actions);
+                controller.handle(now, Event::ClientDisconnected(next), &mut actions);
                 actions.clear();
             });
         });
--- a/crates/lilacpitch/tests/lost.rs
+++ b/crates/lilacpitch/tests/lost.rs
@@ -7,7 +7,7 @@
 use lilacpitch::Action;
 
 /// How long one that was overtaken is waited for, at a server whose set-ups stand after one of these in turn.
-fn given_up_after(delays: [Nanos; 2]) -> Nanos {
+fn cancelled_after(delays: [Nanos; 2]) -> Nanos {
     let mut front = Front::new(settings(), &[endpoint(11, 1), endpoint(12, 2)]);
     let mut succeeded = 0;
     while succeeded < 200 {
@@ -39,16 +39,16 @@
 }
 
 #[test]
-fn where_all_stands_alike_a_lost_set_up_is_sent_again_before_its_call_is_late() {
+fn lost_setup_is_cancelled_early_when_delays_are_similar() {
     // Incident r72caf7 and the day rate+silent+leave: of 339 set-ups called off a gap past their way, 334 were lost;
     // the release after it made their calls late.
-    let alike = given_up_after([40 * MS, 42 * MS]);
-    assert!((50 * MS..140 * MS).contains(&alike), "after {} ms, of a gap of 400", alike / MS);
+    let similar = cancelled_after([40 * MS, 42 * MS]);
+    assert!((50 * MS..140 * MS).contains(&similar), "after {} ms, of a gap of 400", similar / MS);
 }
 
 #[test]
-fn where_delays_are_far_apart_one_that_was_overtaken_has_its_gap() {
+fn overtaken_setup_has_its_resend_interval_when_delays_vary() {
     // The reload day: one in six that stood had been overtaken, by up to a gap.
-    let apart = given_up_after([40 * MS, 240 * MS]);
-    assert!((400 * MS..500 * MS).contains(&apart), "after {} ms, of a gap of 400", apart / MS);
+    let varied = cancelled_after([40 * MS, 240 * MS]);
+    assert!((400 * MS..500 * MS).contains(&varied), "after {} ms, of a gap of 400", varied / MS);
 }
--- a/crates/lilacpitch/tests/wire.rs
+++ b/crates/lilacpitch/tests/wire.rs
@@ -6,7 +6,7 @@
 
 const INFO: &str = r#"{"balancers":2,"classes":[{"aim_ns":1500000000,"worth":1.0},{"aim_ns":1500000000,"worth":3.0}],"family_info":{"release_ns":200000000,"retransmit_ns":300000000,"home_no":-1},"permissions":{"cancel":true,"max_attempts":4,"retry_after":true,"max_retry_after_ns":2000000000},"report":{"fields":["free","size"]},"rules":{"cold_from":0.4,"cold_ns":9000000000,"fall_ns":1000000000},"tick_ns":5000000,"novelty":[1]}"#;
 
-fn play(lines: &[String]) -> Result<String, String> {
+fn replies_to(lines: &[String]) -> Result<String, String> {
     let (mut host, mut reply) = (Host::new(), String::new());
     for line in lines {
         host.line(line, &mut reply).map_err(|e| e.to_string())?;
@@ -37,36 +37,36 @@
 }
 
 #[test]
-fn an_empty_batch_is_done() {
-    assert_eq!(play(&batch(8, vec![])), Ok("DONE\n".to_string()));
+fn empty_batch_is_answered_with_done() {
+    assert_eq!(replies_to(&batch(8, vec![])), Ok("DONE\n".to_string()));
 }
 
 #[test]
-fn a_call_is_sent_to_its_first_choice_and_the_reply_ends_with_done() {
+fn forwards_call_to_first_choice_and_ends_reply_with_done() {
     let mut lines = start(3);
     lines.push(ask(3, 900));
-    let reply = play(&batch(50_000_000_000, lines)).unwrap();
+    let reply = replies_to(&batch(50_000_000_000, lines)).unwrap();
     assert!(reply.contains("SEND\tfront=3\thandle=900\tserver=51\ttimeout_ns="), "{reply}");
     assert!(reply.ends_with("DONE\n"));
 }
 
 /// The names of a reply's fields are the wire's own, whatever the module calls what it decides.
 #[test]
-fn a_refusal_tells_its_wait_under_the_wires_own_name() {
+fn rejection_carries_retry_after_under_wire_name() {
     let mut lines: Vec<_> =
         start(3).iter().map(|line| line.replace("availability=1", "availability=2")).collect();
     lines.push(ask(3, 900));
     let mut all = batch(50_000_000_000, lines);
     // Nobody takes it: once it was held for a while, it is turned away.
     all.extend(batch(53_000_000_000, vec![ask(3, 901)]));
-    let reply = play(&all).unwrap();
+    let reply = replies_to(&all).unwrap();
     let declined = reply.lines().find(|line| line.starts_with("DECLINE")).unwrap_or_default();
     let wait = declined.strip_prefix("DECLINE\tfront=3\thandle=900\tcome_back_ns=");
     assert!(wait.is_some_and(|ns| ns.parse::<u64>().is_ok_and(|ns| ns <= 2_000_000_000)), "{reply}");
 }
 
 #[test]
-fn every_event_and_outcome_is_taken() {
+fn accepts_every_event_and_outcome() {
     let mut lines = batch(50_000_000_000, start(3));
     let results = ["pass", "fault", "no_room", "too_slow", "no_route", "cut", "undone", "stale_send"];
     for (i, result) in results.iter().enumerate() {
@@ -83,7 +83,7 @@
         ]));
     }
     lines.extend(batch(90_000_000_000, vec!["DETACH\tfront=3".into(), "FIRED\tfront=3\tkey_back=1".into()]));
-    let reply = play(&lines).unwrap();
+    let reply = replies_to(&lines).unwrap();
     assert_eq!(reply.matches("DONE\n").count(), results.len() + 2);
 }
 
@@ -95,14 +95,14 @@
         lines
     };
     let together: Vec<String> = one(1).into_iter().chain(one(2)).collect();
-    let together = play(&batch(50_000_000_000, together)).unwrap();
-    let apart: String =
-        [1, 2].map(|f| play(&batch(50_000_000_000, one(f))).unwrap().replace("DONE\n", "")).concat();
-    assert_eq!(together.replace("DONE\n", ""), apart);
+    let together = replies_to(&batch(50_000_000_000, together)).unwrap();
+    let separate: String =
+        [1, 2].map(|f| replies_to(&batch(50_000_000_000, one(f))).unwrap().replace("DONE\n", "")).concat();
+    assert_eq!(together.replace("DONE\n", ""), separate);
 }
 
 #[test]
-fn malformed_lines_name_line_and_field() {
+fn malformed_line_is_rejected_with_line_and_field() {
     let cases: Vec<(Vec<String>, &str)> = vec![
         (vec!["TURN\tnow_ns=soon".into()], "line 1: field now_ns"),
         (vec!["TURN".into()], "line 1: field now_ns: missing"),
@@ -131,7 +131,7 @@
         (vec!["TURN\tnow_ns=1".into()], "input ended within a batch"),
     ];
     for (lines, expected) in cases {
-        let message = play(&lines).unwrap_err();
+        let message = replies_to(&lines).unwrap_err();
         assert!(message.contains(expected), "{message} against {expected}");
         assert!(message.starts_with("line "), "{message}");
     }
@@ -145,13 +145,13 @@
         .spawn()
         .unwrap();
     child.stdin.take().unwrap().write_all(input).unwrap();
-    let done = child.wait_with_output().unwrap();
+    let output = child.wait_with_output().unwrap();
     let text = |bytes| String::from_utf8(bytes).unwrap();
-    (done.status.code().unwrap_or(-1), text(done.stdout), text(done.stderr))
+    (output.status.code().unwrap_or(-1), text(output.stdout), text(output.stderr))
 }
 
 #[test]
-fn the_adapter_ends_well_or_with_one_plain_line() {
+fn adapter_exits_cleanly_or_with_one_error_line() {
     assert_eq!(adapter(b""), (0, String::new(), String::new()));
     assert_eq!(adapter(b"TURN\tnow_ns=1\nYOUR_TURN\n").1, "DONE\n");
     for bad in [&b"TURN\tnow_ns=x\n"[..], b"TURN\tnow_ns=1\n\xff\xfe\n"] {
