--- a/crates/lilacpitch/src/controller/calls.rs
+++ b/crates/lilacpitch/src/controller/calls.rs
@@ -3,11 +3,12 @@
 use super::*;
 
 impl Controller {
+    /// Admits a call; an id given twice and an unknown class are ignored.
     pub(super) fn handle_call_arrived(&mut self, call: Call, actions: &mut Vec<Action>) {
         if self.calls.contains_key(&call.id) || call.class >= self.settings.classes.len() {
             return;
         }
-        // A number that was given up on lately comes again.
+        // A number that was rejected lately is dialled again.
         let first_try_ns = call.dialled.and_then(|number| self.unserved_numbers.remove(&number));
         let patience_ns = self.settings.classes[call.class].deadline_ns;
         let mut record = CallState::new(call, self.now, self.now + self.safe_budget_ns(call.budget_ns));
@@ -87,7 +88,7 @@
         }
     }
 
-    /// Whether nothing more can come of a call: then it gets its answer at once.
+    /// Whether a call cannot be served any more: then it is answered at once.
     fn is_hopeless(&self, record: &CallState) -> bool {
         let is_non_idempotent = self.class(record).idempotency == Idempotency::NonIdempotent;
         matches!(record.phase, CallPhase::Queued | CallPhase::Releasing)
@@ -96,18 +97,18 @@
                 || (is_non_idempotent && record.may_have_run.is_some()))
     }
 
-    /// Whether the wanted time has passed since its caller's first try: served late it displaces fresh calls.
+    /// Whether its objective has passed since the client's first try: served late it displaces fresh calls.
     pub(super) fn is_late(&self, record: &CallState) -> bool {
         self.now.saturating_sub(record.first_try_ns) > self.class(record).latency_objective_ns
     }
 
-    /// What a call would still be worth.
+    /// The weight that a call has now.
     pub(super) fn priority(&self, record: &CallState) -> f64 {
         let class = self.class(record);
         class.priority_weight * if self.is_late(record) { class.late_weight } else { 1.0 }
     }
 
-    /// Until when a call that finds no server may be held here.
+    /// Until when a call that finds no server may be queued.
     pub(super) fn patience_ns(&self, record: &CallState) -> Nanos {
         let objective_ns = self.class(record).latency_objective_ns;
         let until = record.arrived_ns
@@ -125,7 +126,7 @@
         if let Some(until_ns) = record.call.dialled.and_then(|n| self.busy_numbers.get_mut(&n)) {
             *until_ns = now + BUSY_REST_NS;
         }
-        // Where attempts cannot be called off, only their time-out frees a call from a silent server.
+        // Where attempts cannot be cancelled, only a time-out frees a call from an unresponsive server.
         let timeout_ns = if may_cancel { left } else { left.min(scaled(resend_ns, UNRESPONSIVE_INTERVALS)) };
         if let Some(server) = self.servers.get_mut(&server) {
             server.sent.add(self.period);
@@ -143,10 +144,10 @@
         actions.push(Action::ForwardSetup { call: id, server, timeout_ns });
     }
 
-    /// The final answer, at once. Refused where the rules allow it, else failed.
+    /// Gives the final answer: rejected if the call's idempotency allows it, else failed.
     fn reject_or_fail(&mut self, id: CallId, actions: &mut Vec<Action>) {
         let Some(record) = self.remove_call(id) else { return };
-        // Many callers dial a number that is busy: the next one is hardly this one again.
+        // Many clients dial a busy number: the next one is hardly the same.
         let number = record.call.dialled.filter(|number| !self.busy_numbers.contains_key(number));
         self.unserved_numbers.extend(number.map(|number| (number, record.first_try_ns)));
         let refusable = match self.class(&record).idempotency {
@@ -157,7 +158,7 @@
             actions.push(Action::Fail { call: id });
             return;
         }
-        // Drawn, so that refused callers don't come back in step.
+        // Random, so that rejected clients do not return in step.
         let wait = scaled(self.resend_ns, 1.0 + self.random_fraction());
         let retry_after_ns = Some(wait.min(self.settings.max_retry_after_ns)).filter(|w| *w > 0);
         actions.push(Action::Reject { call: id, retry_after_ns });
@@ -168,10 +169,10 @@
         self.update_server(record.server, |s| s.in_flight.retain(|o| o.call != id));
     }
 
-    /// Held and released calls are tried again whenever anything happens: dearest first, then oldest.
+    /// Tries queued and released calls again, at every event: highest priority first, then oldest.
     pub(super) fn retry_pending_calls(&mut self, actions: &mut Vec<Action>) {
         debug_assert!(self.is_pending_in_step());
-        // Those due, and the first of each line: where it finds none nor do others, a send only takes room.
+        // Those due, and the oldest of each group: if it finds no server, the rest of its group finds none.
         let mut ready: BTreeSet<_> =
             self.pending.due(self.now).filter_map(|id| self.turn_order(id)).collect();
         self.pending.groups().into_iter().for_each(|key| self.enqueue_first(key, &mut ready));
@@ -185,7 +186,7 @@
         }
     }
 
-    /// Gives the first of a line its turn, and before it those that have become late and go to another line.
+    /// Makes the oldest call of a group ready, and before it those that became late and change their group.
     fn enqueue_first(&mut self, key: EquivalenceKey, ready: &mut BTreeSet<(i64, Nanos, CallId)>) {
         while let Some(id) = self.pending.oldest(key) {
             ready.extend(self.turn_order(id));
@@ -196,17 +197,17 @@
         }
     }
 
-    /// When a waiting call has its turn: dearest first, then oldest.
+    /// Order of pending calls: highest priority first, then oldest.
     fn turn_order(&self, id: CallId) -> Option<(i64, Nanos, CallId)> {
         self.calls.get(&id).map(|record| (-(self.priority(record) * 1000.0) as i64, record.arrived_ns, id))
     }
 
-    /// What may be used of a caller's time: as much is kept back as this front's timers were late of late.
+    /// The part of a client's time budget that may be used: a margin for recent stalls of this front is kept.
     fn safe_budget_ns(&self, budget_ns: Nanos) -> Nanos {
         budget_ns - scaled(self.stall_ns, STALL_MARGIN).max(2 * self.settings.tick_ns).min(budget_ns / 2)
     }
 
-    /// Each set-up for a number whose lines are all busy is work for nothing: it rests, but for live calls.
+    /// Pauses a number whose lines are all busy: set-ups there are wasted work, except for single probes.
     fn note_number_busy(&mut self, id: CallId) {
         let number = self.calls.get(&id).and_then(|record| record.call.dialled);
         self.busy_numbers.extend(number.map(|number| (number, self.now + BUSY_REST_NS)));
--- a/crates/lilacpitch/src/controller/endpoint_list.rs
+++ b/crates/lilacpitch/src/controller/endpoint_list.rs
@@ -3,10 +3,11 @@
 use super::*;
 
 impl Controller {
+    /// Applies an update. A restarted server keeps its set-ups in flight and its number's normal rate.
     pub(super) fn handle_endpoints_updated(&mut self, update: EndpointUpdate) {
         let endpoints = match update {
             EndpointUpdate::Failed => {
-                // Asking again at once, all fronts together, is what makes discovery fail.
+                // Immediate retries of all fronts together would make discovery fail.
                 let wait = PERIOD_NS * 5 + scaled(PERIOD_NS * 10, self.random_fraction());
                 self.subscribe_ns = Some(self.now + wait).filter(|_| self.settings.must_subscribe);
                 return;
@@ -21,24 +22,24 @@
         };
         for endpoint in endpoints {
             let id = endpoint.server;
-            // The same process as before: only its listing changed.
+            // The same process as before: only its entry changed.
             let same = |s: &&mut Server| s.endpoint.up_since_ns == endpoint.up_since_ns;
             if let Some(known) = self.servers.get_mut(&id).filter(same) {
                 known.endpoint = endpoint;
                 continue;
             }
-            // Unknown, or started again: nothing learned holds but what went to its number before.
+            // Unknown or restarted: only the normal rate of its number still holds.
             let before =
                 self.servers.values().filter(|s| s.endpoint.number == endpoint.number).map(|s| s.normal_rate);
             let normal_rate = before.fold((0.0, 0.0), |a, b| if a.1 > b.1 { a } else { b });
             let in_flight = self.servers.remove(&id).map_or(Vec::new(), |known| known.in_flight);
             let delays = LatencyDeviation::unknown(scaled(self.resend_ns, LATE_INTERVALS / LOST_DEVIATIONS));
-            // A drawn phase: many fronts hear of one start at once.
+            // A random phase: many fronts learn of one start at once.
             let credit = self.random_fraction();
             let server = Server { normal_rate, in_flight, delays, credit, ..Server::new(endpoint, self.now) };
             self.servers.insert(id, server);
         }
-        // What is gone leaves once another has its number, and its rate with it.
+        // A removed server is dropped once another has its number and with it its rate.
         let used = self.servers.values().filter(|s| s.is_in_service()).map(|s| s.endpoint.number);
         let used: BTreeSet<u32> = used.collect();
         let is_removed =
--- a/crates/lilacpitch/src/controller/gossip.rs
+++ b/crates/lilacpitch/src/controller/gossip.rs
@@ -3,10 +3,10 @@
 use super::*;
 
 impl Controller {
-    /// What this front knows of servers from its own set-ups; hearsay is not passed on.
+    /// What this front knows of servers from its own set-ups; reports of peers are not passed on.
     pub fn server_reports(&self) -> Vec<ServerReport> {
         let report = |server: &Server| {
-            // What goes on waiting is told anew twice a gap: others forget it else.
+            // A continuing wait is reported anew twice per resend interval: peers would drop it otherwise.
             let age_ns = server.oldest_since_ns().map(|oldest| self.now.saturating_sub(oldest));
             let waits = age_ns.filter(|age| *age > scaled(self.resend_ns, LATE_INTERVALS));
             let last_ns = server.last_sent_ns.max(server.last_response_ns).max(server.last_symptom_ns);
@@ -25,7 +25,7 @@
         self.servers.values().filter_map(report).collect()
     }
 
-    /// Facts of others stand in for own counts where there are few.
+    /// Peer reports replace own counts where those are few.
     pub(super) fn handle_peer_reports(&mut self, peer: u64, reports: Vec<ServerReport>) {
         let now = self.now;
         for report in reports {
@@ -51,8 +51,8 @@
         }
     }
 
-    /// What others tell of a server now: the wait there, where own set-ups are few; how many are in line
-    /// (those of who takes it to be silent are lost) and stood. Who tells of most counts as the next does.
+    /// What peers report of a server now: the wait, where own set-ups are few; how many set-ups are in flight
+    /// (not those of peers that ejected it: they are lost) and succeeded. The next count bounds the largest.
     pub(super) fn update_from_peers(&mut self, id: ServerId) {
         let long = |c: &Self| c.servers.get(&id).is_some_and(|s| c.wait_intervals(s) > LATE_INTERVALS);
         let was_long = self.servers.get(&id).is_some_and(|s| s.peer_success_per_s.is_some()) && long(self);
@@ -61,7 +61,7 @@
         let in_flight = self.peer_reports.sum_bounded(id, since(WAIT_HALF_LIFE_NS), MIN_SAMPLES, waiting);
         let succeeded =
             self.peer_reports.sum_bounded(id, since(WINDOW_NS), MIN_SAMPLES, |report| report.succeeded);
-        // Where more tell than are kept, what is kept tells of less than the window.
+        // With more peers than reports are kept, the kept ones cover less than the window.
         let seen_ns =
             self.peer_reports.complete_since(id).map_or(WINDOW_NS, |oldest| self.now - oldest.min(self.now));
         let duration_s = (seen_ns.max(PERIOD_NS) as f64 / 1e9).min(self.window_s());
@@ -74,7 +74,7 @@
             .map(|s| (succeeded + s.succeeded.recent(self.period)) as f64 / duration_s);
         let reported = (in_flight, wait.map(|wait| wait as Nanos), rate);
         self.update_server(id, |s| (s.peer_in_flight, s.peer_wait_ns, s.peer_success_per_s) = reported);
-        // All hear at once that it is short: the fronts of many held calls would all join it now.
+        // All fronts learn at once that the queue is short: with many queued calls all would join it.
         if let Some(server) =
             self.servers.get(&id).filter(|s| was_long && s.join_at_ns <= self.now && !long(self))
         {
--- a/crates/lilacpitch/src/controller/outlier_detection.rs
+++ b/crates/lilacpitch/src/controller/outlier_detection.rs
@@ -3,10 +3,10 @@
 use super::*;
 
 impl Controller {
-    /// A silent server also shows few unanswered once its attempts have ended: it gets single live calls.
+    /// Ejects an unresponsive server: it gets single probes only, as few in flight would make it attractive.
     pub(super) fn eject(&mut self, id: ServerId, by_peers_only: bool) {
         let drawn = 0.5 + self.random_fraction();
-        // What is only told rests by present counts; its draw stays: of many the shortest would count.
+        // An ejection by peers alone is renewed with the same draw: else the shortest of many would count.
         let open = |s: &&Server| s.ejection.is_none_or(|s| s.is_by_peers_only && s.probes == 0);
         let Some(server) = self.servers.get(&id).filter(open) else { return };
         let rest_fraction = server.ejection.map_or(drawn, |s| s.rest_fraction);
@@ -17,17 +17,17 @@
         self.update_server(id, |s| s.ejection = Some(ejection));
     }
 
-    /// How far apart this front's set-ups there normally are: all fronts at that pace are its normal load.
+    /// The normal interval between this front's set-ups there.
     pub(super) fn normal_interval_ns(&self, server: &Server) -> Nanos {
         ((1e9 / self.due_per_s(server)) as Nanos).min(WINDOW_NS * MAX_CLEAN_WINDOWS)
     }
 
-    /// Whether the last set-up stood at once.
+    /// Whether the last response was quick.
     pub(super) fn responded_quickly(&self, server: &Server) -> bool {
         server.last_delay_ns > 0 && server.last_delay_ns < scaled(self.resend_ns, QUICK_INTERVALS)
     }
 
-    /// Late set-ups press a server before their time-out; a silent one is suspected and left.
+    /// Lowers ceilings for late set-ups, ejects unresponsive servers and cancels lost attempts.
     pub(super) fn detect_unresponsive(&mut self, actions: &mut Vec<Action>) {
         let (now, resend_ns) = (self.now, self.resend_ns);
         let [late_ns, silent_ns, soon_ns] =
@@ -44,7 +44,7 @@
             let last_response_ns =
                 server.last_response_ns.max(self.peer_reports.last_success_ns(id)).max(oldest);
             let silent = now.saturating_sub(last_response_ns) > silent_ns;
-            // One set-up lost where others stood at once is no jam; the live call after it tells.
+            // One set-up lost among quick responses is no overload; the next probe shows.
             let jam = !self.responded_quickly(server) || server.ejection.is_some_and(|s| s.probes > 0);
             if now.saturating_sub(oldest) > late_ns {
                 self.update_server(id, |s| s.last_late_ns = now);
--- a/crates/lilacpitch/src/controller/overload.rs
+++ b/crates/lilacpitch/src/controller/overload.rs
@@ -3,9 +3,9 @@
 use super::*;
 
 impl Controller {
-    /// What an attempt's end tells of its server.
+    /// Records what an attempt's outcome says about its server.
     pub(super) fn record_outcome(&mut self, server: ServerId, id: CallId, outcome: Outcome) {
-        // A set-up turned away did not wait in line: it tells nothing of those that do, but the wait itself.
+        // A rejected set-up did not wait: it says nothing about those in flight, except by its retry-after.
         let is_response = matches!(outcome, Outcome::Completed | Outcome::Fault | Outcome::LinesBusy);
         self.record_answer(server, id, is_response, outcome == Outcome::Completed);
         use Outcome::{Cancelled, NoCircuit, Overloaded, TimedOut};
@@ -20,10 +20,10 @@
                     return;
                 }
                 self.lower_ceiling(server, true);
-                // Where much is sent, waits fade by half of the time passed: this one is gone at its end.
+                // With many set-ups, the delay fades by half of the time passed: it is 0 when this wait ends.
                 self.update_server(server, |s| (s.last_response_ns, s.last_delay_ns) = (now, wait_ns / 2));
             }
-            // No line free is a ceiling just as well: what stands there is the rate at which lines come free.
+            // No free line is a ceiling as well: the success rate is the rate at which lines become free.
             Outcome::NoCircuit => {
                 let wait = scaled(self.resend_ns, 0.5 + self.random_fraction());
                 self.back_off(server, wait);
@@ -40,7 +40,7 @@
         }
     }
 
-    /// Whether a symptom is one of few among set-ups that stood, and no wait bears it out.
+    /// Whether a symptom is one of few among successes, and no wait confirms it.
     fn is_isolated_symptom(&self, id: ServerId) -> bool {
         let Some(server) = self.servers.get(&id) else { return true };
         let borne_out =
@@ -48,6 +48,7 @@
         !server.offered.is_sparse(self.period) && server.symptom_ratio < ISOLATED_BELOW && !borne_out
     }
 
+    /// Sends nothing to a server for a while; for an isolated symptom, a proportional share of it.
     fn back_off(&mut self, id: ServerId, wait_ns: Nanos) {
         let Some(server) = self.servers.get(&id) else { return };
         let share = if self.is_isolated_symptom(id) { server.symptom_ratio / ISOLATED_BELOW } else { 1.0 };
@@ -55,7 +56,7 @@
         self.update_server(id, |s| s.backoff_until_ns = s.backoff_until_ns.max(until_ns));
     }
 
-    /// A set-up is no longer unanswered; `is_response` says that the server itself answered it.
+    /// Records the end of a set-up's flight; `is_response` says that the server itself answered it.
     pub(super) fn record_answer(&mut self, id: ServerId, call: CallId, is_response: bool, succeeded: bool) {
         let (now, late_ns) = (self.now, scaled(self.resend_ns, LATE_INTERVALS));
         let known = |s: &&Server| {
@@ -72,7 +73,7 @@
         (server.last_response_ns, server.last_delay_ns) = (now, delay_ns);
         for attempt in server.in_flight.iter_mut().filter(|o| o.sent_ns < sent_ns && !o.is_overtaken) {
             attempt.is_overtaken = true;
-            // Late for being lost, not for waiting: the ceiling that its lateness set is taken back.
+            // It was late because it was lost, not because it waited: the ceiling set for that is restored.
             if now.saturating_sub(attempt.waiting_since_ns) > late_ns
                 && delay_ns < scaled(late_ns, QUICK_INTERVALS)
             {
@@ -83,7 +84,7 @@
             server.succeeded.add(self.period);
             server.delays.record(delay_ns, 1.0 / RATIO_SAMPLES);
             server.success_ratio += (1.0 - server.success_ratio) / RATIO_SAMPLES;
-            // What takes no longer than the shortest that ever stood there is on its way, and does not wait.
+            // The shortest delay of a success is network delay, not waiting time.
             server.shortest_ns =
                 server.shortest_ns.filter(|least| now - sent_ns >= *least).or(Some(now - sent_ns));
             if due > 0.0 {
@@ -91,7 +92,7 @@
             }
             server.normal_rate.0 += f64::from(u8::from(warm));
             server.symptom_ratio -= server.symptom_ratio / RATIO_SAMPLES;
-            // Far below the normal rate it comes back as fast as what stands at once shows that it may.
+            // Far below the normal rate, quick successes raise the ceiling.
             let normal_rate = server.success_per_s().max(offered);
             let clean = now.saturating_sub(server.last_symptom_ns) >= CLEAN_PERIODS * PERIOD_NS;
             let far = server.ceiling_per_s.as_mut().filter(|ceiling| **ceiling < normal_rate * GROWTH_BELOW);
@@ -104,7 +105,7 @@
         }
         if let Some(ejection) = server.ejection.take() {
             if ejection.probes >= RESTART_PROBES {
-                // It may have started anew while it was silent: climb again from the cold share.
+                // It may have been restarted while it was unresponsive: slow start.
                 server.warming_up_since_ns = Some(now);
             } else if delay_ns < scaled(late_ns, QUICK_INTERVALS) {
                 server.ceiling_per_s = server.ceiling_before;
@@ -149,7 +150,7 @@
         }
     }
 
-    /// The span that the window covers by now, in seconds: less than N periods just after a start.
+    /// The time that the window covers by now, in seconds: shorter just after the front's start.
     pub(super) fn window_s(&self) -> f64 {
         let age = (self.now - self.started_ns.unwrap_or(self.now)).max(WINDOW_NS / 3);
         age.min(WINDOW_NS) as f64 / 1e9
@@ -167,16 +168,16 @@
         self.ceiling(server).map_or(0, past).max(waiting)
     }
 
-    /// The wait expected at a server, in resend gaps.
+    /// The wait expected at a server, in resend intervals.
     pub(super) fn wait_intervals(&self, server: &Server) -> f64 {
         self.expected_wait_ns(server) as f64 / self.resend_ns as f64
     }
 
-    /// What a set-up sent now would surely wait: as long as the oldest unanswered has, as long as the server
-    /// takes this front's unanswered at the rate at which they stood, or what is left of the last delay.
+    /// The least wait of a set-up sent now: the longest of the age of the oldest in flight, the time that
+    /// those in flight take at the server's success rate, and the rest of the last delay.
     pub(super) fn expected_wait_ns(&self, server: &Server) -> Nanos {
         let waiting = server.in_flight.iter().filter(|o| !o.is_overtaken).count();
-        // Where own set-ups are few, those of all fronts are in line, and all that stands there counts.
+        // Where own set-ups are few, those of all fronts and all successes count.
         let own = (waiting, self.per_s(&server.succeeded, 0.0));
         let (waiting, success_per_s) =
             server.peer_success_per_s.map_or(own, |all| (waiting + server.peer_in_flight, all));
@@ -185,7 +186,7 @@
         self.seen_wait_ns(server, server.peer_wait_ns).max(backlog_ns)
     }
 
-    /// What was seen to be waited there; many fresh delays that others tell know more than an old one.
+    /// The wait seen there; fresh delays reported by peers are preferred to an old one of this front.
     pub(super) fn seen_wait_ns(&self, server: &Server, reported_ns: Option<Nanos>) -> Nanos {
         let fades = if server.sent.is_sparse(self.period) { FADE_SPARSE } else { FADE };
         let faded = scaled(self.now - server.last_response_ns.min(self.now), fades);
@@ -194,15 +195,15 @@
         age_ns.map_or(delay_ns, |age_ns| delay_ns.max(age_ns))
     }
 
-    /// The ceiling in force: the one that a symptom set, or that of a cold server where it is lower.
+    /// The ceiling in force: the lower of that set by symptoms and that of slow start.
     fn ceiling(&self, server: &Server) -> Option<f64> {
         let floor = self.due_per_s(server) * CEILING_FLOOR;
         let set = server.ceiling_per_s.map(|ceiling| ceiling.max(floor));
         [set, self.slow_start_ceiling(server)].into_iter().flatten().reduce(f64::min)
     }
 
-    /// 'Processor full', a time-out, or a set-up late enough to become one: the ceiling goes to this front's
-    /// recent rate there, that is to what the server answered of what was sent.
+    /// Lowers the ceiling to this front's recent success rate there, after 'processor full', a time-out, or a
+    /// late set-up. `hard` allows the larger cut.
     pub(super) fn lower_ceiling(&mut self, id: ServerId, hard: bool) {
         let (now, resend_ns) = (self.now, self.resend_ns);
         let Some(server) = self.servers.get(&id) else { return };
@@ -217,7 +218,7 @@
             return;
         }
         server.cut = cut;
-        // What was sent before this moment goes on giving symptoms for as long as it waits.
+        // Set-ups sent before now go on causing symptoms for as long as they wait.
         server.ignore_until_ns = now + 2 * resend_ns.max(server.last_delay_ns);
         if !is_ignored {
             server.ceiling_before = server.ceiling_per_s;
@@ -226,7 +227,7 @@
         server.ceiling_per_s = Some(succeeded.max(least).max(floor));
     }
 
-    /// A ceiling lapses in steps once no symptom has been seen for a while: all at once, it would swing.
+    /// Relaxes ceilings in steps after a time without symptoms: removed at once, they would oscillate.
     fn relax_ceilings(&mut self, periods: u64) {
         for id in self.servers.keys().copied().collect::<Vec<_>>() {
             let server = &self.servers[&id];
@@ -237,7 +238,7 @@
                 self.responded_quickly(server) && server.last_response_ns > server.last_symptom_ns;
             let rise = if is_quick_again { RELAX_SEEN } else { RELAX_UNSEEN }
                 / self.normal_interval_ns(server) as f64;
-            // Others see it answer at once now: no step in the dark.
+            // Peers report quick responses now: no small steps are needed.
             let told = server.peer_wait_ns.is_some_and(|wait| wait < scaled(self.resend_ns, QUICK_INTERVALS));
             let rise = if told { f64::MAX / PERIOD_NS as f64 } else { rise };
             let raised = ceiling * RELAX_STEP.min(1.0 + rise * PERIOD_NS as f64).powi(periods as i32);
@@ -254,8 +255,8 @@
             + self.per_s(&server.sent, more) * (ACCEPT_COST - REJECT_COST)
     }
 
-    /// This front's normal rate at a server, before whatever goes on there now; its sum over all fronts is
-    /// the server's normal load. Where none is known, its first choices, at most what others get.
+    /// This front's normal rate at a server, apart from current events; all fronts together make the server's
+    /// normal load. If unknown: its first choices, at most the mean of other servers.
     pub(super) fn normal_per_s(&self, server: &Server) -> f64 {
         if server.normal_rate.1 > 0.0 {
             return server.success_per_s().max(UNPROVEN_SETUPS / server.normal_rate.1.max(UNPROVEN_MIN_S));
@@ -264,8 +265,8 @@
         self.per_s(&server.offered, 0.0).min(others / self.servers.len().max(2) as f64)
     }
 
-    /// The normal rate where nothing stood yet: what callers offer, where that is more than a few, at most
-    /// what other servers get. This front's own refusals can't pull that down.
+    /// The normal rate, or if nothing succeeded yet what clients offer, at most the mean of other servers.
+    /// This front's own rejections cannot lower it.
     pub(super) fn due_per_s(&self, server: &Server) -> f64 {
         let normal_rate = self.normal_per_s(server);
         if server.normal_rate.0 > 0.0 || server.offered.is_sparse(self.period) {
--- a/crates/lilacpitch/src/controller/server_selection.rs
+++ b/crates/lilacpitch/src/controller/server_selection.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 impl Controller {
-    /// Tier refusal: whether this server holds this call back at present.
+    /// Load shedding by priority: whether this call is held back from this server at present.
     fn is_held_back(&self, server: &Server, record: &CallState) -> bool {
         let call = &record.call;
         let rests = |s: Ejection| !server.in_flight.is_empty() || self.now < s.next_probe_ns;
@@ -13,7 +13,7 @@
         {
             return true;
         }
-        // A trial that is due: the wait that others tell is of the same word, and does not hold it.
+        // A probe is due: the reported wait comes from the same peers, and does not hold it back.
         if self.may_probe(server) || server.ejection.is_some_and(|s| s.is_by_peers_only) {
             return false;
         }
@@ -25,13 +25,13 @@
         match self.overload_state(server) {
             0 => false,
             1 => cheapest && !urgent,
-            // Calls that were cut come again all at once: urgent ones too wait where they would be late.
+            // Cut calls are retried all at once: urgent calls wait as well if they would be late.
             _ => !urgent || self.expected_wait_ns(server) > self.class(record).latency_objective_ns,
         }
     }
 
-    /// The pool pick among the servers that the rules and the tiers leave: the first choice, else the one of
-    /// two drawn with fewer set-ups unanswered; the two of the first choice's number, where several have it.
+    /// Picks among the open servers: the first choice, else the one of two drawn with fewer in flight;
+    /// where several servers share the first choice's number, among those.
     pub(super) fn select_server(&mut self, id: CallId) -> Option<ServerId> {
         let record = self.calls.get(&id)?;
         let mut open = Vec::new();
@@ -39,11 +39,11 @@
             if !self.may_send(record, server) || self.is_held_back(server, record) {
                 continue;
             }
-            // Where others wait too, a first choice is one of those drawn: else many would wait there.
+            // If other fronts wait there too, the first choice is drawn like the rest: else many would queue.
             let waits = |wait| wait > scaled(self.resend_ns, LONG_PEER_WAIT);
             let long = server.peer_in_flight > 1 && server.peer_wait_ns.is_some_and(waits);
             let is_first_choice = server.endpoint.number == record.call.first_choice && !long;
-            // Where the call has just failed it may do so again: there only if no other is open.
+            // The server of a failed attempt is used again only if no other is open.
             let failed = record.attempts > 0 && record.server == server.endpoint.server;
             let rank = u8::from(!is_first_choice) + 2 * u8::from(failed);
             let unanswered = server.in_flight.len() + server.peer_in_flight;
@@ -56,7 +56,7 @@
         Some(open[one].min(open[other]).3)
     }
 
-    /// The rules, in one place: whether this call may be sent to this server now.
+    /// The rules, in one place: whether this call may be forwarded to this server now.
     fn may_send(&self, record: &CallState, server: &Server) -> bool {
         let (class, endpoint) = (self.class(record), &server.endpoint);
         // One attempt at a time, released, in time, within the attempts allowed, to a server in service.
@@ -75,7 +75,7 @@
         {
             return false;
         }
-        // Own circuits are told whenever they change; lines of a shared pool are not, and figures age.
+        // Own circuits are reported at each change; lines of a shared pool are not, and reports age.
         let holds = self.settings.home.is_some() || self.now - server.free_as_of_ns < WINDOW_NS;
         if holds && server.free_capacity.is_some_and(|free| free < record.call.circuits) {
             return false;
@@ -94,7 +94,7 @@
         }
     }
 
-    /// Whether one more set-up may find out if what stays out is lost or the server silent: one, a gap apart.
+    /// Whether a set-up may probe if those in flight are lost or the server unresponsive: one per interval.
     fn may_probe(&self, server: &Server) -> bool {
         let last_ns = server.in_flight.last().map_or(self.now, |o| o.sent_ns);
         self.responded_quickly(server)
--- a/crates/lilacpitch/src/controller/slow_start.rs
+++ b/crates/lilacpitch/src/controller/slow_start.rs
@@ -3,8 +3,8 @@
 use super::*;
 
 impl Controller {
-    /// A just-started server would draw everything: it gets this front's normal rate there times what it can
-    /// do at its age. Where enough stands, the rate may grow from that, far below what topples the server.
+    /// The ceiling in slow start: this front's normal rate times the capacity at the server's age, or a
+    /// multiple of what succeeds there, far below the multiple that overloads it.
     pub(super) fn slow_start_ceiling(&self, server: &Server) -> Option<f64> {
         let can_do = server.slow_start_fraction(self.now, &self.settings)?;
         let known = self.normal_per_s(server) * can_do * (SLOW_START_BASE + SLOW_START_GAIN * can_do);
@@ -14,7 +14,7 @@
         Some(proven.map_or(known, |rate| known.max(rate * growth)))
     }
 
-    /// A cold server's share adds up bit by bit: by the time since the last send many were due at once.
+    /// Whether a set-up is due in slow start. Credit accrues in small steps, so that no burst falls due.
     pub(super) fn has_credit(&self, server: &Server) -> bool {
         self.slow_start_ceiling(server).is_none() || server.credit >= 1.0
     }
@@ -29,7 +29,7 @@
 }
 
 impl Server {
-    /// The share of its capacity that it surely has at its age; `None` once it is warm.
+    /// The share of its capacity that a server has at its age; `None` after slow start.
     pub(super) fn slow_start_fraction(&self, now: Nanos, settings: &Settings) -> Option<f64> {
         let warmth =
             now.saturating_sub(self.warming_up_since_ns?) as f64 / settings.slow_start_ns.max(1) as f64;
--- a/crates/lilacpitch/src/interface.rs
+++ b/crates/lilacpitch/src/interface.rs
@@ -1,26 +1,26 @@
 //! The plain types between a front and its [`Controller`](crate::Controller): settings, events, actions.
 //!
-//! Times are nanoseconds on the front's own clock, which begins anywhere and only advances.
+//! Times are nanoseconds on the front's own clock, which has an arbitrary origin and never runs back.
 
-/// A moment or a span, in nanoseconds.
+/// A point in time or a duration, in nanoseconds.
 pub type Nanos = u64;
 /// A call, by the number its front gave it. Never given twice to one controller.
 pub type CallId = u64;
-/// A core server, by the number the list gives it.
+/// A core server, by its id in the endpoint list.
 pub type ServerId = u64;
 
 /// How often a call of a class may take effect.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Idempotency {
-    /// May be sent and refused freely.
+    /// May be sent and rejected freely.
     Idempotent,
-    /// Repeats are recognised among the servers of one scope, for a while.
+    /// Repetitions are recognised among the servers of one scope, for `key_retention_ns`.
     IdempotencyKey(Scope),
     /// Must not be sent again once an attempt may have run.
     NonIdempotent,
 }
 
-/// The servers among which a keyed call's repeats are recognised.
+/// The servers among which repetitions of a call with an idempotency key are recognised.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Scope {
     /// All of them.
@@ -34,64 +34,64 @@
 /// A class of calls.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Class {
-    /// Wanted set-up time.
+    /// Wanted time until the call is established.
     pub latency_objective_ns: Nanos,
-    /// How long a caller goes on trying, from the first try.
+    /// How long a client goes on trying, from its first try.
     pub deadline_ns: Nanos,
-    /// What a call that stands in time is worth.
+    /// Weight of a call that is established in time; higher goes first.
     pub priority_weight: f64,
-    /// The share of it that is left when it stands later.
+    /// Share of that weight for a call that is established later.
     pub late_weight: f64,
-    /// Effect of repeated set-ups.
+    /// Whether set-ups may be repeated.
     pub idempotency: Idempotency,
-    /// How long a keyed call's repeats are recognised.
+    /// How long repetitions with an idempotency key are recognised.
     pub key_retention_ns: Nanos,
     /// Numbers of the servers that can take it; empty: any.
     pub pools: Vec<u32>,
 }
 
-/// What a controller is told once, at its start.
+/// The settings of a controller, fixed at its start.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Settings {
     /// Classes of calls; never empty.
     pub classes: Vec<Class>,
-    /// The number of the exchange this front stands in, where there is one; nothing is sent there.
+    /// The number of this front's own exchange, if it has one; no set-up is sent there.
     pub home: Option<u32>,
-    /// Set-ups that wait are sent again by the network after this span; 0: never.
+    /// Interval after which the network resends unanswered set-ups; 0: never.
     pub resend_interval_ns: Nanos,
-    /// Rest of a call after an attempt that timed out, was cut or was called off.
+    /// Release time of a call after an attempt that timed out, was cut or was cancelled.
     pub release_ns: Nanos,
     /// Attempts allowed for one call.
     pub max_attempts: u32,
-    /// Whether attempts may be called off.
+    /// Whether attempts may be cancelled.
     pub may_cancel: bool,
-    /// Whether callers are told when to come back, and the longest wait they heed; 0: not told.
+    /// Longest `retry_after_ns` that clients respect; 0: none is given.
     pub max_retry_after_ns: Nanos,
-    /// Whether the list of servers must be asked for.
+    /// Whether the endpoint list must be subscribed to.
     pub must_subscribe: bool,
-    /// A server starts with at least this share of its capacity,
+    /// Share of its capacity that a server has at its start, at least.
     pub slow_start_floor: f64,
-    /// and is warm after this span.
+    /// Duration of slow start: afterwards a server has its full capacity.
     pub slow_start_ns: Nanos,
-    /// A cold server falls over when sent so many times what it can do at its age.
+    /// A server in slow start fails when sent this multiple of its current capacity.
     pub overload_multiple: f64,
-    /// Shortest span between two rounds of events.
+    /// Shortest interval between two rounds of events.
     pub tick_ns: Nanos,
 }
 
-/// Whether a listed server may be used.
+/// Whether a server may be sent set-ups.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub enum Availability {
-    /// Takes set-ups.
+    /// Accepts set-ups.
     Ready,
-    /// Finishes what it has.
+    /// Finishes its calls and accepts no further ones.
     Draining,
-    /// Withdrawn.
+    /// No longer listed.
     #[default]
     Removed,
 }
 
-/// A server as the list shows it.
+/// A server's entry in the endpoint list.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
 pub struct Endpoint {
     /// Its id.
@@ -106,18 +106,18 @@
     pub up_since_ns: Nanos,
 }
 
-/// What a piece of list news holds.
+/// An update of the endpoint list.
 #[derive(Debug, Clone, PartialEq)]
 pub enum EndpointUpdate {
     /// Only the servers that changed.
     Changes(Vec<Endpoint>),
-    /// The complete list; servers not in it are gone.
+    /// The complete list; servers not in it are removed.
     Full(Vec<Endpoint>),
-    /// Asking failed; the list in hand stays in force.
+    /// The subscription failed; the current list stays in force.
     Failed,
 }
 
-/// What a server's figures tell that is used: its processor's own are late and noisy, and left aside.
+/// The part of a server's load report that is used. Figures of its processor are late and noisy, and ignored.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
 pub struct LoadReport {
     /// Free circuits or agents towards it.
@@ -133,30 +133,30 @@
     pub class: usize,
     /// The number of its first choice.
     pub first_choice: u32,
-    /// How long its caller waits.
+    /// How long its client waits.
     pub budget_ns: Nanos,
-    /// The number dialled, where it is known: a caller's further try dials the same.
+    /// The number dialled, if known: a client that tries again dials the same.
     pub dialled: Option<u64>,
     /// Circuits it takes.
     pub circuits: f64,
-    /// Cut before, and coming again.
+    /// Whether the call was cut and is tried again.
     pub retry_after_cut: bool,
-    /// In transit from another front: goes to its first choice or back.
+    /// Whether it is in transit from another front: goes to its first choice or back.
     pub in_transit: bool,
 }
 
 /// How an attempt ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Outcome {
-    /// The call stood and has ended.
+    /// The call was established and has ended.
     Completed,
-    /// A fault of signalling.
+    /// A signalling fault.
     Fault,
     /// All lines of the number dialled are busy.
     LinesBusy,
     /// No circuit or agent was free; it never ran.
     NoCircuit,
-    /// The processor was full; it never ran. With the wait that the server told, if any.
+    /// The processor was full; it never ran. With the server's retry-after, if any.
     Overloaded(Option<Nanos>),
     /// No answer in time; it may have run.
     TimedOut,
@@ -164,7 +164,7 @@
     Unreachable,
     /// The set-up or the call was cut.
     Cut,
-    /// Called off.
+    /// Cancelled.
     Cancelled,
     /// Not sent at all; it never ran.
     NotSent,
@@ -182,46 +182,46 @@
     }
 }
 
-/// What one front knows of a server, for another that has just started.
+/// What one front knows of a server, for its peers.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct ServerReport {
     /// The server.
     pub server: ServerId,
     /// How old the newest evidence is.
     pub age_ns: Nanos,
-    /// The wait expected there.
+    /// The wait seen there.
     pub wait_ns: Nanos,
-    /// Set-ups of the teller that are unanswered there.
+    /// Set-ups of the reporting front that are in flight there.
     pub in_flight: u32,
-    /// Set-ups of the teller that stood there within the window.
+    /// Set-ups of the reporting front that succeeded there within the window.
     pub succeeded: u32,
-    /// Taken to be silent.
+    /// Whether it is ejected as unresponsive.
     pub is_unresponsive: bool,
-    /// Since when it is cold, as a span until now.
+    /// How long ago its slow start began, if it is in slow start.
     pub warming_up_for_ns: Option<Nanos>,
-    /// Listed as draining or gone.
+    /// Whether it is listed as draining or removed.
     pub is_draining: bool,
 }
 
-/// What happens to a front.
+/// An input of the controller.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Event {
-    /// News of the list of servers.
+    /// The endpoint list changed.
     EndpointsUpdated(EndpointUpdate),
-    /// A call was handed to this front.
+    /// A call arrived at this front.
     CallArrived(Call),
-    /// The caller is gone; nothing more is owed.
+    /// The client disconnected; it needs no answer.
     ClientDisconnected(CallId),
-    /// A wake-up that was asked for.
+    /// The timer set by [`Action::SetTimer`] fired.
     TimerFired,
-    /// The call stands.
+    /// The call was established.
     CallEstablished {
         /// The call.
         call: CallId,
         /// The attempt's number, from 0.
         attempt: u32,
     },
-    /// An attempt ended.
+    /// An attempt completed.
     AttemptCompleted {
         /// The call.
         call: CallId,
@@ -233,29 +233,29 @@
         outcome: Outcome,
         /// Whether the call is over for this front.
         is_final: bool,
-        /// The server's figures.
+        /// The server's load report.
         report: LoadReport,
     },
-    /// Another front, by a number of its own, says what it knows.
+    /// A peer reported what it knows.
     PeerReported {
-        /// The front.
+        /// The reporting front.
         peer: u64,
-        /// Its facts.
+        /// Its reports.
         server_reports: Vec<ServerReport>,
     },
-    /// A server's figures by themselves.
+    /// A server reported its load by itself.
     ServerLoadReported {
         /// The server.
         server: ServerId,
-        /// Its figures.
+        /// Its report.
         report: LoadReport,
     },
 }
 
-/// What a front is to do.
+/// An output of the controller, for the front to carry out.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Action {
-    /// Send a set-up.
+    /// Forward a set-up to a server.
     ForwardSetup {
         /// The call.
         call: CallId,
@@ -264,18 +264,18 @@
         /// The attempt's time-out.
         timeout_ns: Nanos,
     },
-    /// Call an attempt off.
+    /// Cancel an attempt.
     CancelAttempt {
         /// The call.
         call: CallId,
         /// The attempt's number.
         attempt: u32,
     },
-    /// Final answer: turned away.
+    /// Final answer: rejected.
     Reject {
         /// The call.
         call: CallId,
-        /// When the caller had better come back, if anything is said.
+        /// When the client should try again, if that is given.
         retry_after_ns: Option<Nanos>,
     },
     /// Final answer: failed.
@@ -283,16 +283,16 @@
         /// The call.
         call: CallId,
     },
-    /// Send [`Event::Wake`] at this moment.
+    /// Give [`Event::TimerFired`] at this time.
     SetTimer(Nanos),
-    /// Ask for the list and its changes from now on.
+    /// Subscribe to the endpoint list and its changes.
     Subscribe,
 }
 
-/// What decides for a front. The module is [`Controller`](crate::Controller); a laboratory may set others beside it.
+/// Decides for a front. [`Controller`](crate::Controller) is the one in use; a testbed may compare others with it.
 pub trait Policy {
-    /// Takes one event and appends what is to be done about it.
+    /// Handles one event and appends the actions to take.
     fn handle(&mut self, now: Nanos, event: Event, actions: &mut Vec<Action>);
-    /// What it knows of servers from its own set-ups.
+    /// What it knows of servers from its own set-ups, for its peers.
     fn server_reports(&self) -> Vec<ServerReport>;
 }
