--- a/crates/lilacpitch/src/controller/state.rs
+++ b/crates/lilacpitch/src/controller/state.rs
@@ -1,4 +1,4 @@
-//! What the module keeps of servers and calls: types, which decide nothing.
+//! The state of the controller: its servers and calls. Types and their bookkeeping, which decide nothing.
 
 use super::{Count, MAX_PEER_REPORTS, NEUTRAL_WEIGHT};
 use crate::interface::*;
@@ -9,31 +9,31 @@
 use rand_pcg::Pcg32;
 use std::collections::BTreeMap;
 
-/// A set-up that has had no answer yet.
+/// A set-up in flight: without a response so far.
 #[derive(Clone, Copy)]
 pub(super) struct InFlightAttempt {
     pub(super) call: CallId,
     pub(super) sent_ns: Nanos,
-    /// From when on it waits: before, it was on its way.
+    /// When its network delay was over and it began to wait.
     pub(super) waiting_since_ns: Nanos,
-    /// A later set-up was answered first: this one does not wait in line, it is lost.
+    /// A later set-up was answered first: this one is probably lost.
     pub(super) is_overtaken: bool,
 }
 
-/// A server that is taken to be silent, until a single live call stands there.
+/// The ejection of a server, until a probe succeeds.
 #[derive(Clone, Copy)]
 pub(super) struct Ejection {
     pub(super) next_probe_ns: Nanos,
     pub(super) rest_ns: Nanos,
     pub(super) probes: u32,
-    /// By what others tell alone.
+    /// Based on peer reports alone.
     pub(super) is_by_peers_only: bool,
-    /// The rest's share of the normal gap, as drawn when the suspicion began.
+    /// The rest as a multiple of the normal interval, drawn at the ejection.
     pub(super) rest_fraction: f64,
 }
 
 impl InFlightAttempt {
-    /// Leaves a span out of its time.
+    /// Leaves a duration out of its age.
     pub(super) fn shift(&mut self, duration_ns: Nanos) {
         self.sent_ns += duration_ns;
         self.waiting_since_ns += duration_ns;
@@ -49,13 +49,12 @@
     pub(super) period: u64,
     pub(super) servers: BTreeMap<ServerId, Server>,
     pub(super) calls: BTreeMap<CallId, CallState>,
-    /// Calls held or releasing, by when their patience or release ends; what stands costs no event anything.
-    /// Of held calls that the pick can't tell apart the oldest is asked for all.
+    /// Queued and releasing calls, by when their waiting ends; established calls cost no event anything.
     pub(super) pending: PendingQueue<EquivalenceKey>,
     pub(super) peer_reports: PeerReports<MAX_PEER_REPORTS>,
-    /// Numbers dialled that were given no server, and when they were first tried.
+    /// Dialled numbers that were rejected, and when they were first tried.
     pub(super) unserved_numbers: BTreeMap<u64, Nanos>,
-    /// Numbers whose lines were all busy, and until when they rest.
+    /// Numbers whose lines were all busy, and until when they pause.
     pub(super) busy_numbers: BTreeMap<u64, Nanos>,
     pub(super) top_priority: f64,
     pub(super) resend_ns: Nanos,
@@ -64,46 +63,47 @@
     pub(super) subscribe_ns: Option<Nanos>,
 }
 
+/// What is known of one server.
 #[derive(Default)]
 pub(super) struct Server {
     pub(super) endpoint: Endpoint,
     pub(super) offered: Count,
     pub(super) sent: Count,
     pub(super) succeeded: Count,
-    /// What stood and the seconds it took, both fading: this front's normal rate there.
+    /// Successes and the seconds they took, both exponentially weighted: this front's normal rate there.
     pub(super) normal_rate: (f64, f64),
     pub(super) ceiling_per_s: Option<f64>,
     /// The ceiling before the last symptom.
     pub(super) ceiling_before: Option<f64>,
     pub(super) last_symptom_ns: Nanos,
-    /// The share of symptoms among the last RATIO_SAMPLES set-ups that ended.
+    /// Exponentially weighted share of symptoms among completed set-ups.
     pub(super) symptom_ratio: f64,
-    /// When a set-up was last seen to wait there.
+    /// When a set-up was last late there.
     pub(super) last_late_ns: Nanos,
-    /// The last symptom was that its lines ran out, by its own word.
+    /// The last symptom was that its lines ran out, by its own report.
     pub(super) lines_exhausted: bool,
     pub(super) ignore_until_ns: Nanos,
     pub(super) cut: f64,
     pub(super) backoff_until_ns: Nanos,
-    /// Its line became short by the word of others: from when on this front joins it.
+    /// When this front may join its queue, after peers reported that it became short.
     pub(super) join_at_ns: Nanos,
     pub(super) in_flight: Vec<InFlightAttempt>,
     pub(super) last_delay_ns: Nanos,
-    /// The share of what stood, beside first attempts that ended by a fault; 0 at first.
+    /// Exponentially weighted share of successes, against first attempts with a fault; 0 at first.
     pub(super) success_ratio: f64,
-    /// What set-ups that stood had waited.
+    /// Delays of successful set-ups.
     pub(super) delays: LatencyDeviation,
-    /// The shortest that a set-up took to stand there: what is on its way for no longer does not wait.
+    /// The shortest delay of a success: taken for the network delay.
     pub(super) shortest_ns: Option<Nanos>,
-    /// The wait there as other fronts tell it.
+    /// The wait reported by peers.
     pub(super) peer_wait_ns: Option<Nanos>,
-    /// Set-ups of other fronts that are unanswered there, as they tell it.
+    /// Set-ups in flight reported by peers.
     pub(super) peer_in_flight: usize,
-    /// What stood there a second at all fronts, as others tell it, where own set-ups are few.
+    /// Successes a second of all fronts, reported by peers, where own set-ups are few.
     pub(super) peer_success_per_s: Option<f64>,
     pub(super) last_response_ns: Nanos,
     pub(super) last_sent_ns: Nanos,
-    /// Of one set-up, so much may go there while it is cold.
+    /// The part of one set-up that is due there in slow start.
     pub(super) credit: f64,
     pub(super) ejection: Option<Ejection>,
     pub(super) warming_up_since_ns: Option<Nanos>,
@@ -111,6 +111,7 @@
     pub(super) free_as_of_ns: Nanos,
 }
 
+/// Where a call is in its life.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(super) enum CallPhase {
     Queued,
@@ -119,7 +120,7 @@
     Established,
 }
 
-/// One call's row in the one table that the rules are checked against.
+/// One call's state, against which the rules are checked.
 pub(super) struct CallState {
     pub(super) call: Call,
     pub(super) phase: CallPhase,
@@ -130,14 +131,14 @@
     pub(super) attempts: u32,
     pub(super) server: ServerId,
     pub(super) is_cancelling: bool,
-    /// How likely a call that is fine would have met the faults that it met.
+    /// How likely a valid call would have met the same faults.
     pub(super) fault_likelihood: f64,
     /// The first attempt that may have run: its server's zone and number, and when it was sent.
     pub(super) may_have_run: Option<(u32, u32, Nanos)>,
 }
 
 impl CallState {
-    /// A call that was just taken.
+    /// A call that just arrived.
     pub(super) fn new(call: Call, arrived_ns: Nanos, deadline_ns: Nanos) -> Self {
         CallState {
             call,
@@ -166,30 +167,30 @@
         Server { endpoint, warming_up_since_ns, last_response_ns: now, ..Server::default() }
     }
 
-    /// One more set-up is unanswered, and on its way for so long.
+    /// Adds a set-up in flight, which begins to wait after the network delay.
     pub(super) fn start_attempt(&mut self, call: CallId, sent_ns: Nanos, network_delay_ns: Nanos) {
         let waiting_since_ns = sent_ns + network_delay_ns;
         self.in_flight.push(InFlightAttempt { call, sent_ns, waiting_since_ns, is_overtaken: false });
     }
 
-    /// A set-up is unanswered no longer.
+    /// Removes a set-up in flight.
     pub(super) fn finish_attempt(&mut self, call: CallId) -> Option<InFlightAttempt> {
         self.in_flight.iter().position(|attempt| attempt.call == call).map(|at| self.in_flight.remove(at))
     }
 
-    /// A set-up ended by a fault: how many of them did so lately. A call counts once, one in `over`.
+    /// Records a fault; returns the share of faults before it. Only first attempts count, one in `over`.
     pub(super) fn note_fault(&mut self, first: bool, over: f64) -> f64 {
         let fault_ratio = 1.0 - self.success_ratio;
         self.success_ratio -= if first { self.success_ratio / over } else { 0.0 };
         fault_ratio
     }
 
-    /// What stood here, over the time it took, both fading.
+    /// Normal rate of successes, a second.
     pub(super) fn success_per_s(&self) -> f64 {
         self.normal_rate.0 / self.normal_rate.1.max(1.0)
     }
 
-    /// How long a set-up is surely on its way there; where few stood of late, the shortest has waited too.
+    /// The network delay; 0 if unknown, since the shortest of few delays includes waiting.
     pub(super) fn network_delay_ns(&self, period: u64) -> Nanos {
         self.shortest_ns.filter(|_| !self.succeeded.is_sparse(period)).unwrap_or(0)
     }
@@ -198,7 +199,7 @@
         self.endpoint.availability == Availability::Ready
     }
 
-    /// Since when the oldest set-up waits in line there; still on its way, it is yet to come.
+    /// When the oldest set-up in flight began to wait, maybe in the future.
     pub(super) fn oldest_since_ns(&self) -> Option<Nanos> {
         self.in_flight.iter().find(|o| !o.is_overtaken).map(|o| o.waiting_since_ns)
     }
@@ -227,12 +228,12 @@
         }
     }
 
-    /// Drawn from 0 to 1, below 1.
+    /// A random number from 0, below 1.
     pub(super) fn random_fraction(&mut self) -> f64 {
         f64::from(self.rng.next_u32()) / (f64::from(u32::MAX) + 1.0)
     }
 
-    /// The rate of a count, with `more` set-ups as if they came now.
+    /// The rate of a count a second, with `more` set-ups as if they came now.
     pub(super) fn per_s(&self, count: &Count, more: f64) -> f64 {
         count.per_s(self.period, self.window_s(), more)
     }
@@ -255,7 +256,7 @@
         self.update_server(id, |s| (s.free_capacity, s.free_as_of_ns) = (report.free_capacity, now));
     }
 
-    /// Keeps a call's place among the waiting in step with its state.
+    /// Keeps a call's entry in the pending queue in step with its phase.
     pub(super) fn update_pending(&mut self, id: CallId) {
         let Some(record) = self.calls.get(&id) else { return };
         let entry = match record.phase {
@@ -284,13 +285,13 @@
         self.peer_reports.weighted_median(id, self.now, half_life_ns, NEUTRAL_WEIGHT, value)
     }
 
-    /// Takes a call out of the table, and out of the waiting.
+    /// Removes a call, from the pending queue as well.
     pub(super) fn remove_call(&mut self, id: CallId) -> Option<CallState> {
         self.pending.set(id, None);
         self.calls.remove(&id)
     }
 
-    /// All that the pick goes by in a held call.
+    /// All that server selection depends on in a queued call.
     pub(super) fn equivalence_key(&self, record: &CallState) -> EquivalenceKey {
         let (call, may_have_run, failed) =
             (record.call, record.may_have_run, (record.attempts > 0).then_some(record.server));
@@ -298,7 +299,7 @@
         (call.class, call.first_choice, call.circuits.to_bits(), flags, may_have_run, failed)
     }
 
-    /// How much is kept, by name: for tests that nothing keeps growing.
+    /// Number of entries by name: for tests that nothing grows without bound.
     #[doc(hidden)]
     pub fn sizes(&self) -> Vec<(&'static str, usize)> {
         vec![
--- a/crates/lilacpitch/src/lib.rs
+++ b/crates/lilacpitch/src/lib.rs
@@ -1,10 +1,11 @@
-//! lilacpitch decides, at the edge of a network with central servers, what becomes of each call:
-//! which server gets its set-up, when, and when it is refused.
+//! Decisions of a call controller at the edge of a network with central servers: which server gets a call's
+//! set-up, when, and when the call is rejected.
 //!
-//! The mechanism is call counting after Sabourin (ITC-13): see [`controller`], and [`interface`] for the
-//! plain types it is fed with and answers in. [`wire`] is the text framing of the adapter.
+//! The mechanism is call counting (Sabourin, ITC-13), in [`controller`]; [`interface`] holds the types of its
+//! inputs and outputs, [`settings`] reads its settings, and [`wire`] is the text framing of the bench adapter.
+//! The other modules are containers that decide nothing.
 //!
-//! The worked example below is part of the tests.
+//! The example below is part of the tests.
 #![doc = include_str!("../README.md")]
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
--- a/crates/lilacpitch/src/settings.rs
+++ b/crates/lilacpitch/src/settings.rs
@@ -73,63 +73,27 @@
         if !root.is_object() {
             return fault("info", "not an object");
         }
-        let at = |path: &str| path.split('.').try_fold(root, |v, key| v.get(key));
-        let number = |path: &str, default: f64| match at(path) {
-            None | Some(Value::Null) => Ok(default),
-            Some(v) => match v.as_f64() {
-                Some(n) if n.is_finite() => Ok(n),
-                _ => fault(path, "not a number"),
-            },
-        };
-        let duration =
-            |path: &str, default: f64| Ok::<Nanos, SettingsError>(number(path, default)?.max(0.0) as Nanos);
-        let flag = |path: &str, default: bool| match at(path) {
-            None | Some(Value::Null) => Ok(default),
-            Some(v) => v.as_bool().map_or_else(|| fault(path, "not true or false"), Ok),
-        };
-        let words = |path: &str| {
-            let all = at(path).and_then(Value::as_array);
-            all.into_iter().flatten().map(|v| word(Some(v))).collect::<Vec<_>>()
-        };
-        let all = at("classes").and_then(Value::as_array).map_or(&[][..], Vec::as_slice);
-        let pools = |index: usize| at("family_info.pools_by_class").and_then(|p| p.get(index));
+        let fields = Fields(root);
+        let all = fields.get("classes").and_then(Value::as_array).map_or(&[][..], Vec::as_slice);
+        let pools = |index: usize| fields.get("family_info.pools_by_class").and_then(|p| p.get(index));
         let classes =
             all.iter().enumerate().map(|(i, c)| class(i, c, pools(i))).collect::<Result<Vec<_>, _>>()?;
         if classes.is_empty() {
             return fault("classes", "no classes");
         }
-        let tick_ns = duration("tick_ns", 0.0)?;
+        let tick_ns = fields.duration("tick_ns", 0.0)?;
         if tick_ns == 0 {
             return fault("tick_ns", "must be above 0");
         }
-        let home = number("family_info.home_no", -1.0)?;
-        let retry_after = flag("permissions.retry_after", false)?;
-        let settings = Settings {
-            classes,
-            home: (home >= 0.0).then_some(home as u32),
-            resend_interval_ns: duration("family_info.retransmit_ns", 0.0)?,
-            release_ns: duration("family_info.release_ns", 0.0)?,
-            max_attempts: number("permissions.max_attempts", 1.0)?.max(1.0) as u32,
-            may_cancel: flag("permissions.cancel", false)?,
-            max_retry_after_ns: if retry_after {
-                duration("permissions.max_retry_after_ns", 0.0)?
-            } else {
-                0
-            },
-            must_subscribe: word(at("discovery")) == "on_request",
-            slow_start_floor: number("rules.cold_from", 1.0)?.clamp(0.0, 1.0),
-            slow_start_ns: duration("rules.cold_ns", 0.0)?,
-            overload_multiple: number("rules.tip_multiple", 1.0)?.max(1.0),
-            tick_ns,
-        };
+        let settings = decision_settings(&fields, classes, tick_ns)?;
         Ok(Site {
             settings,
-            report_fields: words("report.fields"),
+            report_fields: fields.words("report.fields"),
             class_names: all.iter().map(|class| word(class.get("name"))).collect(),
-            zone_names: words("dcs"),
-            max_open: number("permissions.max_open", f64::from(u32::MAX))?.max(1.0) as usize,
-            connect_timeout_ns: duration("permissions.connect_timeout_ns", 1e9)?,
-            drain_grace_ns: duration("rules.stop_sending_within_ns", 0.0)?,
+            zone_names: fields.words("dcs"),
+            max_open: fields.number("permissions.max_open", f64::from(u32::MAX))?.max(1.0) as usize,
+            connect_timeout_ns: fields.duration("permissions.connect_timeout_ns", 1e9)?,
+            drain_grace_ns: fields.duration("rules.stop_sending_within_ns", 0.0)?,
         })
     }
 
@@ -156,6 +120,68 @@
     }
 }
 
+/// The settings object; fields are named by paths of keys.
+struct Fields<'a>(&'a Value);
+
+impl<'a> Fields<'a> {
+    fn get(&self, path: &str) -> Option<&'a Value> {
+        path.split('.').try_fold(self.0, |value, key| value.get(key))
+    }
+
+    fn number(&self, path: &str, default: f64) -> Result<f64, SettingsError> {
+        match self.get(path) {
+            None | Some(Value::Null) => Ok(default),
+            Some(value) => match value.as_f64() {
+                Some(number) if number.is_finite() => Ok(number),
+                _ => fault(path, "not a number"),
+            },
+        }
+    }
+
+    fn duration(&self, path: &str, default: f64) -> Result<Nanos, SettingsError> {
+        Ok(self.number(path, default)?.max(0.0) as Nanos)
+    }
+
+    fn flag(&self, path: &str, default: bool) -> Result<bool, SettingsError> {
+        match self.get(path) {
+            None | Some(Value::Null) => Ok(default),
+            Some(value) => value.as_bool().map_or_else(|| fault(path, "not true or false"), Ok),
+        }
+    }
+
+    fn words(&self, path: &str) -> Vec<String> {
+        let values = self.get(path).and_then(Value::as_array);
+        values.into_iter().flatten().map(|value| word(Some(value))).collect()
+    }
+}
+
+fn decision_settings(
+    fields: &Fields,
+    classes: Vec<Class>,
+    tick_ns: Nanos,
+) -> Result<Settings, SettingsError> {
+    let home = fields.number("family_info.home_no", -1.0)?;
+    let retry_after = fields.flag("permissions.retry_after", false)?;
+    Ok(Settings {
+        classes,
+        home: (home >= 0.0).then_some(home as u32),
+        resend_interval_ns: fields.duration("family_info.retransmit_ns", 0.0)?,
+        release_ns: fields.duration("family_info.release_ns", 0.0)?,
+        max_attempts: fields.number("permissions.max_attempts", 1.0)?.max(1.0) as u32,
+        may_cancel: fields.flag("permissions.cancel", false)?,
+        max_retry_after_ns: if retry_after {
+            fields.duration("permissions.max_retry_after_ns", 0.0)?
+        } else {
+            0
+        },
+        must_subscribe: word(fields.get("discovery")) == "on_request",
+        slow_start_floor: fields.number("rules.cold_from", 1.0)?.clamp(0.0, 1.0),
+        slow_start_ns: fields.duration("rules.cold_ns", 0.0)?,
+        overload_multiple: fields.number("rules.tip_multiple", 1.0)?.max(1.0),
+        tick_ns,
+    })
+}
+
 fn word(value: Option<&Value>) -> String {
     value.and_then(Value::as_str).unwrap_or("").to_string()
 }
