--- a/crates/lilacpitch-edge/src/cli.rs
+++ b/crates/lilacpitch-edge/src/cli.rs
@@ -56,42 +56,42 @@
     main_with(args, lilacpitch_fleet::Safeguards::default())
 }
 
-/// With guards of the fleet's promises switched off: for the laboratory.
+/// With safeguards of the fleet switched off: for the testbed.
 #[doc(hidden)]
 pub fn main_with(
     args: impl IntoIterator<Item = OsString>,
-    promises: lilacpitch_fleet::Safeguards,
+    safeguards: lilacpitch_fleet::Safeguards,
 ) -> ExitCode {
     let args = match Args::try_parse_from(args) {
         Ok(args) => args,
         Err(error) => {
             let code = if error.use_stderr() { 2 } else { 0 };
-            // Nowhere to say that saying it failed.
+            // There is nowhere to report that printing failed.
             let _ = error.print();
             return ExitCode::from(code);
         }
     };
-    let done = match args.command {
-        Command::Run { config } => return run(&config, promises),
+    let result = match args.command {
+        Command::Run { config } => return run(&config, safeguards),
         Command::Node { config } => return node(config),
         Command::Peers { metrics } => return peers(metrics),
-        Command::Check { config } => check(&config).map(|said| say(&said)),
+        Command::Check { config } => check(&config).map(|summary| print_line(&summary)),
         Command::Schema => {
-            say(EDGE_SCHEMA.trim_end());
+            print_line(EDGE_SCHEMA.trim_end());
             Ok(())
         }
     };
-    match done {
+    match result {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
-            complain(&error);
+            print_config_error(&error);
             ExitCode::from(2)
         }
     }
 }
 
-fn say(line: &str) {
-    // Whoever reads may have gone: no reason to fail.
+fn print_line(line: &str) {
+    // The reader may have closed its end: no reason to fail.
     let mut out = std::io::stdout().lock();
     let _ = writeln!(out, "{line}").and_then(|()| out.flush());
 }
@@ -99,7 +99,7 @@
 fn peers(metrics: std::net::SocketAddr) -> ExitCode {
     match net::fetch(metrics, "GET", "/peers") {
         Ok((200, page)) => {
-            say(page.trim_end());
+            print_line(page.trim_end());
             ExitCode::SUCCESS
         }
         Ok((status, _)) => {
@@ -113,8 +113,8 @@
     }
 }
 
-/// Says once what is wrong: drawn for a person at a terminal, else a line a mistake.
-fn complain(error: &ConfigError) {
+/// Prints what is wrong: with its source for a person at a terminal, else one line for each mistake.
+fn print_config_error(error: &ConfigError) {
     use std::io::IsTerminal;
     if std::io::stderr().is_terminal() {
         eprintln!("{}", error.drawn());
@@ -127,11 +127,11 @@
     let edge = Edge::load(config)?.value;
     let pools = Pools::load(Path::new(&edge.pool_list))?;
     for (index, class) in edge.classes.iter().enumerate() {
-        for (at, pool) in class.pools.iter().enumerate() {
+        for (position, pool) in class.pools.iter().enumerate() {
             if !pools.value.servers.iter().any(|s| s.pool == *pool) {
                 // Not wrong yet, a pool may be listed later: but hardly meant.
                 eprintln!(
-                    "{}: classes[{index}].pools[{at}]: no server of pool {pool:?} is listed",
+                    "{}: classes[{index}].pools[{position}]: no server of pool {pool:?} is listed",
                     config.display()
                 );
             }
@@ -141,44 +141,43 @@
     Ok(format!("{}: {classes} classes, {servers} servers, no mistakes", config.display()))
 }
 
-fn run(config: &Path, promises: lilacpitch_fleet::Safeguards) -> ExitCode {
+fn run(config: &Path, safeguards: lilacpitch_fleet::Safeguards) -> ExitCode {
     let settings = match Edge::load(config) {
         Ok(loaded) => loaded.value,
         Err(error) => {
-            complain(&error);
+            print_config_error(&error);
             return ExitCode::from(2);
         }
     };
     let filter = EnvFilter::try_new(&settings.log.level).unwrap_or_default();
     let log = tracing_subscriber::fmt().with_env_filter(filter).with_writer(std::io::stderr).with_ansi(false);
-    let set = match settings.log.format {
+    let installed = match settings.log.format {
         LogFormat::Text => log.try_init(),
         LogFormat::Json => log.json().try_init(),
     };
-    if let Err(error) = set {
+    if let Err(error) = installed {
         eprintln!("lilacpitch-edge: logging: {error}");
     }
     let ready = |ready: net::Ready| {
         let metrics = ready.metrics.map(|m| format!(",\"metrics\":\"{m}\"")).unwrap_or_default();
-        say(&format!("{{\"callers\":\"{}\"{metrics}}}", ready.callers));
+        print_line(&format!("{{\"callers\":\"{}\"{metrics}}}", ready.callers));
     };
-    let ran = on_one_thread(async {
-        let machine = |e: std::io::Error| net::RunError::Machine(format!("signals: {e}"));
-        let mut term = signal(SignalKind::terminate()).map_err(machine)?;
-        let mut int = signal(SignalKind::interrupt()).map_err(machine)?;
+    let result = block_on_one_thread(async {
+        let mut term = signal(SignalKind::terminate()).map_err(net::RunError::Signals)?;
+        let mut int = signal(SignalKind::interrupt()).map_err(net::RunError::Signals)?;
         let stop = async {
             tokio::select! {
                 _ = term.recv() => {}
                 _ = int.recv() => {}
             }
         };
-        net::run_with(settings, Safeguards::default(), promises, ready, stop).await
+        net::run_with(settings, Safeguards::default(), safeguards, ready, stop).await
     });
-    let Some(ran) = ran else { return ExitCode::FAILURE };
-    match ran {
+    let Some(result) = result else { return ExitCode::FAILURE };
+    match result {
         Ok(()) => ExitCode::SUCCESS,
         Err(net::RunError::PoolList(error)) => {
-            complain(&error);
+            print_config_error(&error);
             ExitCode::from(2)
         }
         Err(error) => {
@@ -188,8 +187,8 @@
     }
 }
 
-/// Runs on this thread alone; `None`, said why, where the machine refuses a runtime.
-fn on_one_thread<T>(what: impl std::future::Future<Output = T>) -> Option<T> {
+/// Runs a future on this thread alone; `None`, with a message, if the machine refuses a runtime.
+fn block_on_one_thread<T>(what: impl std::future::Future<Output = T>) -> Option<T> {
     match tokio::runtime::Builder::new_current_thread().enable_all().build() {
         Ok(runtime) => Some(tokio::task::LocalSet::new().block_on(&runtime, what)),
         Err(error) => {
@@ -209,12 +208,12 @@
     if let Err(error) = log.try_init() {
         eprintln!("lilacpitch-edge: logging: {error}");
     }
-    match on_one_thread(lilacpitch_node::net::run(&config.to_string_lossy())) {
+    match block_on_one_thread(lilacpitch_node::net::run(&config.to_string_lossy())) {
         Some(Ok(())) => ExitCode::SUCCESS,
         Some(Err(error)) => {
             eprintln!("lilacpitch-edge: {error}");
-            let wrong = matches!(error, lilacpitch_node::net::RunError::Config(_));
-            ExitCode::from(if wrong { 2 } else { 1 })
+            let is_config_error = matches!(error, lilacpitch_node::net::RunError::Config(_));
+            ExitCode::from(if is_config_error { 2 } else { 1 })
         }
         None => ExitCode::FAILURE,
     }
--- a/crates/lilacpitch-edge/src/fleet/lease_client.rs
+++ b/crates/lilacpitch-edge/src/fleet/lease_client.rs
@@ -48,7 +48,7 @@
                 let applied = agent.catalogue.write().apply_updates(asked_ns, news);
                 for error in applied.errors {
                     Counters::one(&agent.counters.summaries_refused);
-                    tracing::warn!(%error, "summary refused");
+                    tracing::warn!(%error, "summary rejected");
                 }
                 applied.has_more
             }
--- a/crates/lilacpitch-edge/src/fleet/locate.rs
+++ b/crates/lilacpitch-edge/src/fleet/locate.rs
@@ -175,7 +175,7 @@
             let (query, after) = (locate.query.clone(), locate.after.clone());
             let request = Request::FindRecords { query, after, limit: locate.limit() as u32, urgent };
             let agent = self.clone();
-            asking.spawn(async move { (name, agent.asks.ask(site, urgent, budget, request).await) });
+            asking.spawn(async move { (name, agent.queries.query(site, urgent, budget, request).await) });
         }
         let answers = async {
             while let Some(answered) = asking.join_next().await {
--- a/crates/lilacpitch-edge/src/fleet/mod.rs
+++ b/crates/lilacpitch-edge/src/fleet/mod.rs
@@ -23,7 +23,7 @@
 use lilacpitch_fleet::upstream_selection::UpstreamSelection;
 use lilacpitch_fleet::write_batcher::WriteBatcher;
 use lilacpitch_fleet::{Nanos, Safeguards};
-use lilacpitch_gossip::Keys;
+use lilacpitch_gossip::{KeyError, Keys};
 use lilacpitch_location::Kind;
 use lilacpitch_rpc::{steady_ns, Dialer, LocalIdentity, RequestHandler};
 use parking_lot::{Mutex, RwLock};
@@ -31,6 +31,7 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::{Arc, OnceLock, Weak};
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
+use thiserror::Error;
 use tokio::sync::{mpsc, oneshot, watch, Semaphore};
 
 /// Messages of the front that may wait for the agent.
@@ -106,24 +107,24 @@
     record_publisher: Mutex<record_publisher::Rows>,
     rows_changed: watch::Sender<u64>,
     flights: locate::Flights,
-    asks: locate_dispatcher::Asks,
+    queries: locate_dispatcher::QuerySender,
     questions: Semaphore,
     say: mpsc::Sender<FromAgent>,
     counters: Counters,
 }
 
-/// What answers on links that are made before the agent is whole.
+/// Answers requests on connections that are made before the agent is complete.
 #[derive(Default)]
-struct Door(OnceLock<Weak<Agent>>);
+struct AgentRequestHandler(OnceLock<Weak<Agent>>);
 
-impl RequestHandler for Door {
+impl RequestHandler for AgentRequestHandler {
     fn handle(
         self: Arc<Self>,
         from: Arc<lilacpitch_rpc::RpcConnection>,
-        locate_dispatcher: lilacpitch_fleet::message::Request,
+        request: lilacpitch_fleet::message::Request,
     ) -> lilacpitch_rpc::ResponseFuture {
         match self.0.get().and_then(Weak::upgrade) {
-            Some(agent) => Box::pin(async move { agent.answer(&from, locate_dispatcher) }),
+            Some(agent) => Box::pin(async move { agent.answer(&from, request) }),
             None => Box::pin(std::future::pending()),
         }
     }
@@ -197,79 +198,121 @@
     SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |since| since.as_millis() as u64)
 }
 
-/// Starts the agent on threads of its own; it ends with the process. What it says comes out of the receiver.
+/// Why the agent cannot start.
+#[derive(Debug, Error)]
+pub enum StartError {
+    /// The key file cannot be read.
+    #[error("{0}: {1}")]
+    KeyFile(String, std::io::Error),
+    /// The key file's text is wrong.
+    #[error("{0}: {1}")]
+    Keys(String, KeyError),
+    /// The machine refuses worker threads.
+    #[error("no threads for the fleet: {0}")]
+    Workers(std::io::Error),
+    /// The machine refuses the agent's thread.
+    #[error("no thread for the fleet: {0}")]
+    Thread(std::io::Error),
+}
+
+/// Starts the agent on threads of its own; it ends with the process. Its messages come out of the receiver.
 pub(crate) fn start(
     edge: &Edge,
-    of: &FleetOf,
+    settings: &FleetOf,
     guards: Safeguards,
     seed: u64,
-) -> Result<(Handle, mpsc::Receiver<FromAgent>), String> {
-    let text = std::fs::read_to_string(&of.key_file).map_err(|e| format!("{}: {e}", of.key_file))?;
-    let keys = Keys::from_text(&text).map_err(|e| format!("{}: {e}", of.key_file))?;
-    let life = SystemTime::now().duration_since(UNIX_EPOCH).map_or(1, |since| since.as_nanos() as u64);
-    let me = LocalIdentity { name: edge.name.clone(), incarnation: life, role: Role::Front, keys };
+) -> Result<(Handle, mpsc::Receiver<FromAgent>), StartError> {
+    let identity = local_identity(edge, settings)?;
     let runtime = tokio::runtime::Builder::new_multi_thread()
-        .worker_threads(of.threads)
+        .worker_threads(settings.threads)
         .thread_name("fleet")
         .enable_all()
         .build()
-        .map_err(|e| format!("no threads for the fleet: {e}"))?;
-    let (say, hear) = mpsc::channel(QUEUE);
+        .map_err(StartError::Workers)?;
+    let (say, from_agent) = mpsc::channel(QUEUE);
     let (to_agent, from_front) = mpsc::channel(QUEUE);
-    let door = Arc::new(Door::default());
+    let (agent, dispatcher) = build_agent(edge, settings, guards, seed, identity, say);
+    std::thread::Builder::new()
+        .name("fleet".into())
+        .spawn(move || runtime.block_on(run_tasks(agent, dispatcher, from_front)))
+        .map_err(StartError::Thread)?;
+    Ok((Handle { say: to_agent, rows_lost: false, held: WriteBatcher::default() }, from_agent))
+}
+
+fn local_identity(edge: &Edge, settings: &FleetOf) -> Result<LocalIdentity, StartError> {
+    let path = &settings.key_file;
+    let text = std::fs::read_to_string(path).map_err(|error| StartError::KeyFile(path.clone(), error))?;
+    let keys = Keys::from_text(&text).map_err(|error| StartError::Keys(path.clone(), error))?;
+    let incarnation = SystemTime::now().duration_since(UNIX_EPOCH).map_or(1, |since| since.as_nanos() as u64);
+    Ok(LocalIdentity { name: edge.name.clone(), incarnation, role: Role::Front, keys })
+}
+
+fn build_agent(
+    edge: &Edge,
+    settings: &FleetOf,
+    guards: Safeguards,
+    seed: u64,
+    me: LocalIdentity,
+    say: mpsc::Sender<FromAgent>,
+) -> (Arc<Agent>, locate_dispatcher::LocateDispatcher) {
+    let handler = Arc::new(AgentRequestHandler::default());
     let dial = |address: &std::net::SocketAddr| {
-        Arc::new(Dialer::new(*address, me.clone(), door.clone() as Arc<dyn RequestHandler>, CONNECT))
+        Arc::new(Dialer::new(*address, me.clone(), handler.clone() as Arc<dyn RequestHandler>, CONNECT))
+    };
+    let dial_site = |site: &lilacpitch_config::SiteAt| {
+        (site.name.clone(), site.processes.iter().map(dial).collect::<Vec<_>>())
     };
-    let sites: Vec<(String, Vec<Arc<Dialer>>)> =
-        of.sites.iter().map(|site| (site.name.clone(), site.processes.iter().map(dial).collect())).collect();
-    let home = sites.iter().find(|(name, _)| *name == of.home).map_or(Vec::new(), |(_, ways)| ways.clone());
-    let settings = settings_digest(edge);
-    let names = of.sites.iter().map(|site| site.name.as_str());
-    let counts: Vec<usize> = sites.iter().map(|(_, ways)| ways.len()).collect();
-    let timing = Timing { latency_objective_ns: of.terms.ask_ns, tick_ns: edge.timing.tick_ns };
+    let sites: Vec<(String, Vec<Arc<Dialer>>)> = settings.sites.iter().map(dial_site).collect();
+    let home = sites.iter().find(|(name, _)| *name == settings.home);
+    let home = home.map_or(Vec::new(), |(_, dialers)| dialers.clone());
+    let digest = settings_digest(edge);
+    let names = settings.sites.iter().map(|site| site.name.as_str());
+    let processes: Vec<usize> = sites.iter().map(|(_, dialers)| dialers.len()).collect();
+    let timing = Timing { latency_objective_ns: settings.terms.ask_ns, tick_ns: edge.timing.tick_ns };
     let terms = LeaseTerms {
-        lease_ns: of.terms.lease_ns,
-        clock_allowance: of.terms.clock_allowance,
-        lagging_after_ns: of.terms.straggler_ns,
+        lease_ns: settings.terms.lease_ns,
+        clock_allowance: settings.terms.clock_allowance,
+        lagging_after_ns: settings.terms.straggler_ns,
     };
-    let (asks, asking) = locate_dispatcher::Asks::new(&counts, timing, seed);
+    let (queries, dispatcher) = locate_dispatcher::QuerySender::new(&processes, timing, seed);
     let agent = Arc::new(Agent {
         guards,
-        settings,
+        settings: digest,
         list: AtomicU64::new(0),
         home,
         sites,
         above: Mutex::new(UpstreamSelection::new(seed as usize)),
         in_force_said: Mutex::new(true),
         terms,
-        holder: Mutex::new(LeaseHolder::new(settings)),
-        cache: Cache::new(of.cache, guards),
-        catalogue: RwLock::new(Catalogue::new(names, of.terms.settle_ns, terms, guards)),
-        recorder: Mutex::new(AuditRecorder::new(&edge.name, life)),
+        holder: Mutex::new(LeaseHolder::new(digest)),
+        cache: Cache::new(settings.cache, guards),
+        catalogue: RwLock::new(Catalogue::new(names, settings.terms.settle_ns, terms, guards)),
+        recorder: Mutex::new(AuditRecorder::new(&edge.name, me.incarnation)),
         record_publisher: Mutex::new(record_publisher::Rows::default()),
         rows_changed: watch::Sender::new(0),
         flights: locate::Flights::default(),
-        asks,
-        questions: Semaphore::new(of.questions),
+        queries,
+        questions: Semaphore::new(settings.questions),
         say,
         counters: Counters::default(),
         me,
-        of: of.clone(),
+        of: settings.clone(),
     });
-    let _ = door.0.set(Arc::downgrade(&agent));
-    std::thread::Builder::new()
-        .name("fleet".into())
-        .spawn(move || {
-            runtime.block_on(async move {
-                tokio::spawn(lease_client::follow(agent.clone()));
-                tokio::spawn(lease_client::poll(agent.clone()));
-                tokio::spawn(record_publisher::write(agent.clone()));
-                tokio::spawn(locate_dispatcher::run(agent.clone(), asking));
-                listen(agent, from_front).await;
-            });
-        })
-        .map_err(|e| format!("no thread for the fleet: {e}"))?;
-    Ok((Handle { say: to_agent, rows_lost: false, held: WriteBatcher::default() }, hear))
+    let _ = handler.0.set(Arc::downgrade(&agent));
+    (agent, dispatcher)
+}
+
+/// The agent's tasks; ends once the front has.
+async fn run_tasks(
+    agent: Arc<Agent>,
+    dispatcher: locate_dispatcher::LocateDispatcher,
+    from_front: mpsc::Receiver<ToAgent>,
+) {
+    tokio::spawn(lease_client::follow(agent.clone()));
+    tokio::spawn(lease_client::poll(agent.clone()));
+    tokio::spawn(record_publisher::write(agent.clone()));
+    tokio::spawn(locate_dispatcher::run(agent.clone(), dispatcher));
+    listen(agent, from_front).await;
 }
 
 /// Takes what the front says, until it is gone.
--- a/crates/lilacpitch-edge/src/fleet/record_publisher.rs
+++ b/crates/lilacpitch-edge/src/fleet/record_publisher.rs
@@ -118,7 +118,7 @@
             }
             Ok(Response::Rejected(RejectReason::Malformed(why))) => {
                 // It would be refused for ever: one by one, so that only what is wrong is lost.
-                tracing::error!(why, "a row refused");
+                tracing::error!(why, "location record rejected");
                 agent.record_publisher.lock().written(first, 1);
             }
             Ok(other) => {
--- a/crates/lilacpitch-edge/src/net/driver.rs
+++ b/crates/lilacpitch-edge/src/net/driver.rs
@@ -1,256 +1,183 @@
-//! The driver: the one task that owns the front, and the tasks of connections around it.
+//! The driver: the one task that owns the core. It feeds the core what happens, and carries out what the core wants.
 
-use super::connection::{open, serve_handshake, Heard, Outgoing, Pump};
-use super::driver_event::{News, RunError};
-use super::gossip_socket::Talk;
-use super::{metrics, watched_file, Clock};
-use crate::core::{CallerId, EdgeCore, Effect, Input, Safeguards, UpstreamId};
+use super::connection::Outgoing;
+use super::connections::ConnectionHandle;
+use super::driver_event::DriverEvent;
+use super::gossip_socket::GossipSocket;
+use super::{metrics, Clock};
+use crate::core::{CallerId, EdgeCore, Effect, Input, UpstreamId};
 use crate::fleet::{self, FromAgent, ToAgent};
 use lilacpitch_config::{Edge, Pools};
-use lilacpitch_protocol::frame::Role;
-use lilacpitch_protocol::handshake;
 use rand::rngs::StdRng;
-use rand::{RngCore, SeedableRng};
+use rand::SeedableRng;
 use std::collections::BTreeMap;
-use std::net::SocketAddr;
-use std::path::Path;
 use std::time::Duration;
-use tokio::io::AsyncWriteExt;
-use tokio::net::{TcpListener, TcpStream};
+use tokio::net::TcpListener;
 use tokio::sync::mpsc;
 use tokio::task::AbortHandle;
+use tokio::time::Instant;
 
-/// Inputs that may wait for the driver; what brings them is read no further meanwhile.
-const NEWS_QUEUE: usize = 4096;
-/// Inputs taken in one round.
-const ROUND: usize = 256;
-/// How long a caller may take over its handshake.
-const HANDSHAKE: Duration = Duration::from_secs(5);
+/// Events handled in one round.
+const EVENTS_PER_ROUND: usize = 256;
+/// How long the driver pauses after a connection that it could not accept.
+const ACCEPT_PAUSE: Duration = Duration::from_millis(10);
+/// How often, and how many times, connections are checked for their end when the edge stops.
+const CLOSE_POLL: Duration = Duration::from_millis(20);
+const MAX_CLOSE_POLLS: usize = 100;
 
-/// Where a front that has started can be reached.
-#[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Ready {
-    /// Callers.
-    pub callers: SocketAddr,
-    /// Metrics.
-    pub metrics: Option<SocketAddr>,
-}
-
-/// A connection's queue and its task.
-struct Peer {
-    out: mpsc::Sender<Outgoing>,
-    task: AbortHandle,
-}
-
-struct Driver {
-    front: EdgeCore,
-    clock: Clock,
+/// The core and what stands around it.
+pub(super) struct Driver {
+    core: EdgeCore,
+    pub clock: Clock,
     rng: StdRng,
-    settings: Edge,
-    news: mpsc::Sender<News>,
-    callers: BTreeMap<CallerId, Peer>,
-    links: BTreeMap<UpstreamId, Peer>,
-    next_caller: CallerId,
+    pub settings: Edge,
+    pub events: mpsc::Sender<DriverEvent>,
+    pub callers: BTreeMap<CallerId, ConnectionHandle>,
+    pub upstreams: BTreeMap<UpstreamId, ConnectionHandle>,
+    pub next_caller: CallerId,
+    /// Empty between two inputs; kept for its capacity.
     effects: Vec<Effect>,
-    talk: Option<Talk>,
+    gossip: Option<GossipSocket>,
     agent: Option<fleet::Handle>,
-    stopped: bool,
+    has_stopped: bool,
 }
 
-/// Runs a front until it has stopped, by SIGTERM, SIGINT or `stop`. Must run within a `LocalSet`.
-pub async fn run(
-    settings: Edge,
-    guards: Safeguards,
-    ready: impl FnOnce(Ready),
-    stop: impl std::future::Future<Output = ()>,
-) -> Result<(), RunError> {
-    run_with(settings, guards, lilacpitch_fleet::Safeguards::default(), ready, stop).await
-}
-
-/// With guards of the fleet's promises switched off too: for the laboratory.
-#[doc(hidden)]
-pub async fn run_with(
-    settings: Edge,
-    guards: Safeguards,
-    promises: lilacpitch_fleet::Safeguards,
-    ready: impl FnOnce(Ready),
-    stop: impl std::future::Future<Output = ()>,
-) -> Result<(), RunError> {
-    let listener = listen(settings.listen).await?;
-    let callers = listener.local_addr().map_err(|e| RunError::Listen(settings.listen, e))?;
-    let (news, mut inbox) = mpsc::channel(NEWS_QUEUE);
-    let list = settings.pool_list.clone();
-    let seen = watched_file::state(&list).map_err(|e| RunError::PoolFile(list.clone(), e))?;
-    let pools = Pools::load(Path::new(&list))?.value;
-    let every = Duration::from_nanos(settings.look_ns);
-    let read = |path: &str| match Pools::load(Path::new(path)) {
-        Ok(pools) => Ok(News::PoolList(pools.value)),
-        Err(error) => Err(error.to_string()),
-    };
-    tokio::task::spawn_local(watched_file::watch(
-        list,
-        every,
-        seen,
-        news.clone(),
-        read,
-        News::PoolListRefused,
-    ));
-    let clock = Clock::start();
-    let mut rng = StdRng::try_from_os_rng().map_err(|e| RunError::Machine(format!("no randomness: {e}")))?;
-    let talk = match &settings.peers {
-        None => None,
-        Some(peers) => {
-            Some(Talk::open(&settings.name, peers, clock.now(), rng.next_u64(), every, &news).await?)
-        }
-    };
-    let (agent, mut agent_says) = match &settings.fleet {
-        None => (None, None),
-        Some(of) => {
-            let started = fleet::start(&settings, of, promises, rng.next_u64()).map_err(RunError::Fleet)?;
-            (Some(started.0), Some(started.1))
-        }
-    };
-    let metrics = match settings.metrics {
-        None => None,
-        Some(address) => {
-            let listener = listen(address).await?;
-            let bound = listener.local_addr().map_err(|e| RunError::Listen(address, e))?;
-            let agent = agent.as_ref().map(fleet::Handle::pages);
-            tokio::task::spawn_local(metrics::serve(listener, news.clone(), agent));
-            Some(bound)
+impl Driver {
+    /// A driver without connections.
+    pub fn new(
+        core: EdgeCore,
+        clock: Clock,
+        rng: StdRng,
+        settings: Edge,
+        events: mpsc::Sender<DriverEvent>,
+        gossip: Option<GossipSocket>,
+        agent: Option<fleet::Handle>,
+    ) -> Self {
+        Driver {
+            core,
+            clock,
+            rng,
+            settings,
+            events,
+            callers: BTreeMap::new(),
+            upstreams: BTreeMap::new(),
+            next_caller: 1,
+            effects: Vec::new(),
+            gossip,
+            agent,
+            has_stopped: false,
         }
-    };
-    let mut front = EdgeCore::with_safeguards(settings.clone(), clock.now(), rng.next_u64(), guards);
-    if !promises.calls_first {
-        front.disable_locate_limit();
     }
-    let mut driver = Driver {
-        front,
-        clock,
-        rng,
-        settings,
-        news,
-        callers: BTreeMap::new(),
-        links: BTreeMap::new(),
-        next_caller: 1,
-        effects: Vec::new(),
-        talk,
-        agent,
-        stopped: false,
-    };
-    driver.pool_list(pools);
-    driver.talk(|talk, now, out| talk.peers.start(now, out));
-    ready(Ready { callers, metrics });
-    tracing::info!(%callers, ?metrics, "listening");
-    let mut stop = std::pin::pin!(stop);
-    let (mut stopping, mut round) = (false, Vec::new());
-    while !driver.stopped {
-        let talk_due = driver.talk.as_ref().and_then(|talk| talk.peers.next_timeout());
-        let rows_due = driver.agent.as_ref().and_then(fleet::Handle::due_ns);
-        let due = driver.front.next_timeout().into_iter().chain(talk_due).chain(rows_due).min();
-        let due = due.map(|at| driver.clock.instant(at));
-        tokio::select! {
-            count = inbox.recv_many(&mut round, ROUND) => {
-                debug_assert!(count > 0, "the driver holds a sender itself");
-                round.drain(..).for_each(|news| driver.take(news));
-            }
-            accepted = listener.accept(), if !stopping => match accepted {
-                Ok((stream, from)) => driver.accept(stream, from),
-                Err(error) => {
-                    // Out of descriptors, most likely: what is connected goes on.
-                    tracing::warn!(%error, "not accepted");
-                    tokio::time::sleep(Duration::from_millis(10)).await;
+
+    /// Connects to the servers of the list, and joins the peers.
+    pub fn begin(&mut self, list: Pools) {
+        self.apply_endpoint_list(list);
+        self.with_gossip(|gossip, now, effects| gossip.peers.start(now, effects));
+    }
+
+    /// Handles events until the core has stopped after `stop`, then closes all connections.
+    pub async fn run(
+        mut self,
+        listener: TcpListener,
+        mut inbox: mpsc::Receiver<DriverEvent>,
+        mut from_agent: Option<mpsc::Receiver<FromAgent>>,
+        stop: impl std::future::Future<Output = ()>,
+    ) {
+        let mut stop = std::pin::pin!(stop);
+        let (mut is_stopping, mut round) = (false, Vec::new());
+        while !self.has_stopped {
+            let due = self.next_timeout();
+            tokio::select! {
+                count = inbox.recv_many(&mut round, EVENTS_PER_ROUND) => {
+                    debug_assert!(count > 0, "the driver holds a sender itself");
+                    round.drain(..).for_each(|event| self.handle(event));
+                }
+                accepted = listener.accept(), if !is_stopping => match accepted {
+                    Ok((stream, from)) => self.accept(stream, from),
+                    Err(error) => {
+                        // Out of descriptors, most likely: what is connected goes on.
+                        tracing::warn!(%error, "caller connection not accepted");
+                        tokio::time::sleep(ACCEPT_PAUSE).await;
+                    }
+                },
+                _ = tokio::time::sleep_until(due.unwrap_or_else(Instant::now)), if due.is_some() => {
+                    self.feed(Input::Timeout);
+                    self.with_gossip(|gossip, now, effects| gossip.peers.handle_timeout(now, effects));
+                }
+                datagram = GossipSocket::receive(&self.gossip) => self.handle_datagram(&datagram),
+                message = next_message(&mut from_agent) => self.handle_agent_message(message),
+                _ = &mut stop, if !is_stopping => {
+                    is_stopping = true;
+                    self.feed(Input::Stop);
+                    self.with_gossip(|gossip, now, effects| gossip.peers.begin_leave(now, effects));
                 }
-            },
-            _ = tokio::time::sleep_until(due.unwrap_or_else(tokio::time::Instant::now)), if due.is_some() => {
-                driver.feed(Input::Timeout);
-                driver.talk(|talk, now, out| talk.peers.handle_timeout(now, out));
-            }
-            datagram = Talk::receive(&driver.talk) => driver.datagram(&datagram),
-            said = heard(&mut agent_says) => driver.fleet_said(said),
-            _ = &mut stop, if !stopping => {
-                stopping = true;
-                driver.feed(Input::Stop);
-                driver.talk(|talk, now, out| talk.peers.begin_leave(now, out));
             }
         }
+        self.close().await;
     }
-    driver.close().await;
-    tracing::info!("stopped");
-    Ok(())
-}
 
-/// What the agent says next; without one, nothing ever.
-async fn heard(agent: &mut Option<mpsc::Receiver<FromAgent>>) -> FromAgent {
-    if let Some(said) = agent {
-        if let Some(said) = said.recv().await {
-            return said;
-        }
+    /// When the core, the peers or the agent's records want the driver next.
+    fn next_timeout(&self) -> Option<Instant> {
+        let gossip = self.gossip.as_ref().and_then(|gossip| gossip.peers.next_timeout());
+        let records = self.agent.as_ref().and_then(fleet::Handle::due_ns);
+        let due = self.core.next_timeout().into_iter().chain(gossip).chain(records).min();
+        due.map(|at| self.clock.instant(at))
     }
-    std::future::pending().await
-}
 
-/// The number at which a caller says it is reached: `/call/NUMBER`, `%23` for `#`.
-fn number_of(target: &str) -> Option<String> {
-    let number = target.strip_prefix("/call/")?.replace("%23", "#");
-    lilacpitch_location::Number::new(&number).ok().map(String::from)
-}
-
-async fn listen(address: SocketAddr) -> Result<TcpListener, RunError> {
-    TcpListener::bind(address).await.map_err(|e| RunError::Listen(address, e))
-}
-
-impl Driver {
-    fn take(&mut self, news: News) {
-        match news {
-            News::Input(input) => {
+    fn handle(&mut self, event: DriverEvent) {
+        match event {
+            DriverEvent::Input(input) => {
                 match &input {
                     Input::CallerClosed(caller) => drop(self.callers.remove(caller)),
-                    Input::UpstreamClosed { upstream: link, .. } => drop(self.links.remove(link)),
+                    Input::UpstreamClosed { upstream, .. } => drop(self.upstreams.remove(upstream)),
                     _ => {}
                 }
                 self.feed(input);
             }
-            News::PoolList(pools) => self.pool_list(pools),
-            News::PoolListRefused(why) => {
-                tracing::error!(why, "pool list refused, the one in hand stays in force");
-                self.front.count_rejected_list();
+            DriverEvent::ListRead(list) => self.apply_endpoint_list(list),
+            DriverEvent::ListRejected(error) => {
+                tracing::error!(%error, "endpoint list rejected, keeping the current one");
+                self.core.count_rejected_list();
+            }
+            DriverEvent::KeysRead(keys) => {
+                tracing::info!("peer keys accepted");
+                self.with_gossip(|gossip, _, _| gossip.peers.set_keys(keys));
             }
-            News::Keys(keys) => {
-                tracing::info!("keys of peers taken");
-                self.talk(|talk, _, _| talk.peers.set_keys(keys));
+            DriverEvent::KeysRejected(error) => {
+                tracing::error!(%error, "peer keys rejected, keeping the current ones");
             }
-            News::KeysRefused(why) => {
-                tracing::error!(why, "keys of peers refused, those in hand stay in force")
+            // Readers may have disconnected meanwhile.
+            DriverEvent::PeersPage(reply) => {
+                let page = self.gossip.as_ref().map_or_else(String::new, GossipSocket::page);
+                drop(reply.send(page));
             }
-            News::Peers(give) => drop(give.send(self.talk.as_ref().map_or_else(String::new, Talk::page))),
-            // Who asked may have gone.
-            News::Metrics(give) => drop(give.send(metrics::page(&self.front))),
+            DriverEvent::MetricsPage(reply) => drop(reply.send(metrics::page(&self.core))),
         }
     }
 
-    fn pool_list(&mut self, pools: Pools) {
+    fn apply_endpoint_list(&mut self, list: Pools) {
         if let Some(agent) = &self.agent {
-            agent.say(ToAgent::List(fleet::list_digest(&pools)));
+            agent.say(ToAgent::List(fleet::list_digest(&list)));
         }
-        self.feed(Input::PoolList(pools));
+        self.feed(Input::PoolList(list));
     }
 
-    fn fleet_said(&mut self, said: FromAgent) {
-        match said {
+    fn handle_agent_message(&mut self, message: FromAgent) {
+        match message {
             FromAgent::Located { call, pool, good_until_ns } => {
-                // Judged here again: this front may have stood still since the agent did.
-                let good = lilacpitch_rpc::steady_ns() < good_until_ns;
-                self.feed(Input::Located(call, pool.filter(|_| good)));
+                // Checked here again: this task may have stalled since the agent checked.
+                let is_current = lilacpitch_rpc::steady_ns() < good_until_ns;
+                self.feed(Input::Located(call, pool.filter(|_| is_current)));
             }
-            FromAgent::InForce(in_force) => self.feed(Input::SettingsInForce(in_force)),
+            FromAgent::InForce(is_in_force) => self.feed(Input::SettingsInForce(is_in_force)),
             FromAgent::RowsWanted => self.feed(Input::RecordsRequested),
         }
     }
 
-    fn feed(&mut self, input: Input) {
+    /// Hands the core an input, and carries out its effects.
+    pub fn feed(&mut self, input: Input) {
         let mut effects = std::mem::take(&mut self.effects);
-        self.front.handle(self.clock.now(), input, &mut effects);
+        self.core.handle(self.clock.now(), input, &mut effects);
         for effect in effects.drain(..) {
             self.carry_out(effect);
         }
@@ -260,195 +187,135 @@
         }
     }
 
-    /// Lets the talk among fronts act, and does what it wants; without peers nothing happens.
-    fn talk(&mut self, act: impl FnOnce(&mut Talk, u64, &mut Vec<lilacpitch_gossip::Effect>)) {
-        let Some(talk) = &mut self.talk else { return };
-        let mut out = Vec::new();
-        act(talk, self.clock.now(), &mut out);
-        self.talked(out);
+    /// Lets the gossip with peers act, and carries out its effects. Without peers nothing happens.
+    fn with_gossip(&mut self, act: impl FnOnce(&mut GossipSocket, u64, &mut Vec<lilacpitch_gossip::Effect>)) {
+        let Some(gossip) = &mut self.gossip else { return };
+        let mut effects = Vec::new();
+        act(gossip, self.clock.now(), &mut effects);
+        self.carry_out_gossip(effects);
     }
 
-    fn talked(&mut self, out: Vec<lilacpitch_gossip::Effect>) {
-        use lilacpitch_gossip::Effect as Said;
-        for effect in out {
+    fn carry_out_gossip(&mut self, effects: Vec<lilacpitch_gossip::Effect>) {
+        use lilacpitch_gossip::Effect as GossipEffect;
+        for effect in effects {
             match effect {
-                Said::Send(to, bytes) => self.talk.iter().for_each(|talk| talk.send(to, &bytes)),
-                Said::ReportsRequested(asker) => {
-                    let facts = self.front.server_reports();
-                    self.talk(|talk, now, out| talk.peers.answer_request(now, asker, facts, out));
+                GossipEffect::Send(to, bytes) => {
+                    self.gossip.iter().for_each(|gossip| gossip.send(to, &bytes));
+                }
+                GossipEffect::ReportsRequested(requester) => {
+                    let reports = self.core.server_reports();
+                    self.with_gossip(|gossip, now, effects| {
+                        gossip.peers.answer_request(now, requester, reports, effects);
+                    });
                 }
-                Said::ReportsWanted => {
-                    let facts = self.front.server_reports();
-                    self.talk(|talk, now, out| talk.peers.publish_reports(now, &facts, out));
+                GossipEffect::ReportsWanted => {
+                    let reports = self.core.server_reports();
+                    self.with_gossip(|gossip, now, effects| {
+                        gossip.peers.publish_reports(now, &reports, effects);
+                    });
                 }
-                Said::RumorsReceived(heard) => self.feed(Input::RumorsReceived(heard)),
-                // By its origin, of which its address is part: two fronts that were given one name by mistake are two voices all the same.
-                Said::ReportsReceived(peer, facts) => self.feed(Input::PeerReported(peer.origin(), facts)),
-                Said::MemberJoined(peer) => {
-                    tracing::info!(peer = peer.name, address = %peer.address, "peer is there")
+                GossipEffect::RumorsReceived(rumors) => self.feed(Input::RumorsReceived(rumors)),
+                // By its origin, of which its address is part: two edges with one name by mistake are two peers.
+                GossipEffect::ReportsReceived(peer, reports) => {
+                    self.feed(Input::PeerReported(peer.origin(), reports));
                 }
-                Said::MemberLeft(peer) => {
-                    tracing::info!(peer = peer.name, address = %peer.address, "peer is gone")
+                GossipEffect::MemberJoined(peer) => {
+                    tracing::info!(peer = peer.name, address = %peer.address, "peer joined");
+                }
+                GossipEffect::MemberLeft(peer) => {
+                    tracing::info!(peer = peer.name, address = %peer.address, "peer left");
                 }
             }
         }
     }
 
-    fn datagram(&mut self, bytes: &[u8]) {
-        let Some(talk) = &mut self.talk else { return };
-        let mut out = Vec::new();
-        if let Err(refused) = talk.peers.handle_datagram(self.clock.now(), bytes, &mut out) {
-            tracing::debug!(%refused, "datagram refused");
+    fn handle_datagram(&mut self, bytes: &[u8]) {
+        let Some(gossip) = &mut self.gossip else { return };
+        let mut effects = Vec::new();
+        if let Err(error) = gossip.peers.handle_datagram(self.clock.now(), bytes, &mut effects) {
+            tracing::debug!(%error, "peer datagram rejected");
         }
-        self.talked(out);
+        self.carry_out_gossip(effects);
     }
 
     fn carry_out(&mut self, effect: Effect) {
         match effect {
-            Effect::ToCaller(caller, text) => {
-                let Some(peer) = self.callers.get(&caller) else { return };
-                if peer.out.try_send(Outgoing { number: 0, text, not_after_ns: None }).is_err() {
-                    // It does not read: it is cut off, so that others don't feel it.
-                    tracing::info!(caller, "caller cut off: it does not read");
-                    peer.task.abort();
-                    self.callers.remove(&caller);
-                    self.front.count_disconnected_caller();
-                    self.tell_later(Input::CallerClosed(caller));
-                }
-            }
-            Effect::ToServer { upstream: link, message, text, not_after_ns } => {
-                let full = match self.links.get(&link) {
-                    Some(peer) => {
-                        peer.out.try_send(Outgoing { number: message, text, not_after_ns }).is_err()
-                    }
-                    None => false,
-                };
-                if full {
-                    self.tell_later(Input::NotWritten { upstream: link, message });
+            Effect::ToCaller(caller, text) => self.send_to_caller(caller, text),
+            Effect::ToServer { upstream, message, text, not_after_ns } => {
+                let Some(handle) = self.upstreams.get(&upstream) else { return };
+                if handle.out.try_send(Outgoing { number: message, text, not_after_ns }).is_err() {
+                    self.feed_later(Input::NotWritten { upstream, message });
                 }
             }
-            Effect::Connect(link, address) => self.connect(link, address),
+            Effect::Connect(upstream, address) => self.connect(upstream, address),
             // The queue's end ends the task, once what it holds is written.
-            Effect::Disconnect(link) => drop(self.links.remove(&link)),
+            Effect::Disconnect(upstream) => drop(self.upstreams.remove(&upstream)),
             Effect::Locate { call, number, patience_ns } => {
                 let patience = Duration::from_nanos(patience_ns);
                 let agent = self.agent.as_ref();
                 if !agent.is_some_and(|agent| agent.say(ToAgent::Locate { call, number, patience })) {
-                    // The agent does not keep up: the call goes on without.
-                    self.tell_later(Input::Located(call, None));
+                    // The agent does not keep up: the call goes on without it.
+                    self.feed_later(Input::Located(call, None));
                 }
             }
-            Effect::RecordChanged(row) => {
+            Effect::RecordChanged(record) => {
                 let Some(agent) = &mut self.agent else { return };
-                agent.row(self.clock.now(), row);
+                agent.row(self.clock.now(), record);
                 if agent.rows_are_due() {
-                    self.tell_later(Input::RecordsRequested);
+                    self.feed_later(Input::RecordsRequested);
                 }
             }
-            Effect::Stopped => self.stopped = true,
+            Effect::Stopped => self.has_stopped = true,
         }
     }
 
-    /// An input that an effect causes: told by a task of its own, since the front is in use.
-    fn tell_later(&self, input: Input) {
-        let news = self.news.clone();
-        tokio::task::spawn_local(async move {
-            let _ = news.send(News::Input(input)).await;
-        });
-    }
-
-    fn rng(&mut self) -> StdRng {
-        StdRng::from_rng(&mut self.rng)
-    }
-
-    fn accept(&mut self, mut stream: TcpStream, from: SocketAddr) {
-        if self.callers.len() >= self.settings.limits.callers {
-            tokio::task::spawn_local(async move {
-                let refusal = handshake::plain_response("503 Service Unavailable", "", "too many callers\n");
-                let _ = tokio::time::timeout(HANDSHAKE, stream.write_all(&refusal)).await;
-            });
+    /// Queues a message for a caller; one that does not read is disconnected, so that others are not delayed.
+    fn send_to_caller(&mut self, caller: CallerId, text: String) {
+        let Some(handle) = self.callers.get(&caller) else { return };
+        if handle.out.try_send(Outgoing { number: 0, text, not_after_ns: None }).is_ok() {
             return;
         }
-        let caller = self.next_caller;
-        self.next_caller += 1;
-        let (out, mut queue) = mpsc::channel(self.settings.limits.queue);
-        let (news, clock, rng) = (self.news.clone(), self.clock, self.rng());
-        let quiet = Some(Duration::from_nanos(self.settings.timing.quiet_ns));
-        let task = tokio::task::spawn_local(async move {
-            let opened = tokio::time::timeout(
-                HANDSHAKE,
-                serve_handshake(&mut stream, "/call", handshake::CALL_PROTOCOL),
-            )
-            .await;
-            match opened {
-                Ok(Ok((target, rest))) => {
-                    if let Some(number) = number_of(&target) {
-                        let _ = news.send(News::Input(Input::CallerNumber(caller, number))).await;
-                    }
-                    let pump = Pump { stream, role: Role::Server, clock, rng, quiet };
-                    let heard = async |heard| match heard {
-                        Heard::Text(text) => {
-                            news.send(News::Input(Input::CallerText(caller, text))).await.is_ok()
-                        }
-                        Heard::NotWritten(_) => true,
-                    };
-                    let ended = pump.run(&rest, &mut queue, heard).await;
-                    tracing::debug!(caller, why = ended.why, "caller's connection ended");
-                }
-                Ok(Err(why)) => tracing::debug!(%from, why, "no handshake"),
-                Err(_) => tracing::debug!(%from, "no handshake in time"),
-            }
-            let _ = news.send(News::Input(Input::CallerClosed(caller))).await;
-        });
-        self.callers.insert(caller, Peer { out, task: task.abort_handle() });
-        self.feed(Input::CallerOpened(caller));
+        tracing::info!(caller, "caller disconnected, it does not read");
+        handle.task.abort();
+        self.callers.remove(&caller);
+        self.core.count_disconnected_caller();
+        self.feed_later(Input::CallerClosed(caller));
     }
 
-    fn connect(&mut self, link: UpstreamId, address: SocketAddr) {
-        let (out, mut queue) = mpsc::channel(self.settings.limits.queue);
-        let (news, clock, mut rng) = (self.news.clone(), self.clock, self.rng());
-        let limit = Duration::from_nanos(self.settings.timing.connect_ns);
-        let target = format!("/signal/{}", self.settings.name);
-        let task = tokio::task::spawn_local(async move {
-            let mut written = 0;
-            match tokio::time::timeout(limit, open(address, &target, handshake::SIGNAL_PROTOCOL, &mut rng))
-                .await
-            {
-                Ok(Ok((stream, rest))) => {
-                    if news.send(News::Input(Input::UpstreamConnected(link))).await.is_err() {
-                        return;
-                    }
-                    let pump = Pump { stream, role: Role::Client, clock, rng, quiet: None };
-                    let heard = async |heard| {
-                        let input = match heard {
-                            Heard::Text(text) => Input::UpstreamText(link, text),
-                            Heard::NotWritten(message) => Input::NotWritten { upstream: link, message },
-                        };
-                        news.send(News::Input(input)).await.is_ok()
-                    };
-                    let ended = pump.run(&rest, &mut queue, heard).await;
-                    tracing::debug!(link, why = ended.why, "connection to a server ended");
-                    written = ended.written;
-                }
-                Ok(Err(why)) => tracing::debug!(link, %address, why, "no connection"),
-                Err(_) => tracing::debug!(link, %address, "no connection in time"),
-            }
-            let _ = news.send(News::Input(Input::UpstreamClosed { upstream: link, written })).await;
+    /// Feeds an input that an effect causes, by a task of its own: the core is in use.
+    fn feed_later(&self, input: Input) {
+        let events = self.events.clone();
+        tokio::task::spawn_local(async move {
+            let _ = events.send(DriverEvent::Input(input)).await;
         });
-        self.links.insert(link, Peer { out, task: task.abort_handle() });
+    }
+
+    /// A random generator for a connection.
+    pub fn fork_rng(&mut self) -> StdRng {
+        StdRng::from_rng(&mut self.rng)
     }
 
     /// Ends all connections: what was queued for them is written if they read it soon.
     async fn close(mut self) {
-        let tasks: Vec<AbortHandle> =
-            self.callers.values().chain(self.links.values()).map(|peer| peer.task.clone()).collect();
+        let handles = self.callers.values().chain(self.upstreams.values());
+        let tasks: Vec<AbortHandle> = handles.map(|handle| handle.task.clone()).collect();
         self.callers.clear();
-        self.links.clear();
-        for _ in 0..100 {
+        self.upstreams.clear();
+        for _ in 0..MAX_CLOSE_POLLS {
             if tasks.iter().all(AbortHandle::is_finished) {
                 return;
             }
-            tokio::time::sleep(Duration::from_millis(20)).await;
+            tokio::time::sleep(CLOSE_POLL).await;
+        }
+    }
+}
+
+/// The agent's next message; without an agent, or once it has ended, never.
+async fn next_message(agent: &mut Option<mpsc::Receiver<FromAgent>>) -> FromAgent {
+    if let Some(agent) = agent {
+        if let Some(message) = agent.recv().await {
+            return message;
         }
     }
+    std::future::pending().await
 }
--- a/crates/lilacpitch-edge/src/net/driver_event.rs
+++ b/crates/lilacpitch-edge/src/net/driver_event.rs
@@ -1,42 +1,25 @@
-//! What the tasks of the shell say to its driver, and why a front could not start.
+//! What the tasks of the shell report to its driver.
 
+use super::watched_file::ReadError;
 use crate::core::Input;
-use lilacpitch_config::{ConfigError, Pools};
+use lilacpitch_config::Pools;
 use lilacpitch_gossip::Keys;
-use std::net::SocketAddr;
-use thiserror::Error;
 use tokio::sync::oneshot;
 
-/// What comes to the driver.
-pub(super) enum News {
+/// An event for the driver.
+pub(super) enum DriverEvent {
+    /// An input for the core.
     Input(Input),
-    PoolList(Pools),
-    PoolListRefused(String),
-    Keys(Keys),
-    KeysRefused(String),
-    Metrics(oneshot::Sender<String>),
-    Peers(oneshot::Sender<String>),
-}
-
-/// Why a front could not start.
-#[derive(Debug, Error)]
-pub enum RunError {
-    /// An address could not be listened on.
-    #[error("listening on {0}: {1}")]
-    Listen(SocketAddr, std::io::Error),
-    /// The pool list can't be read.
-    #[error("{0}")]
-    PoolList(#[from] ConfigError),
-    /// The file of the pool list can't be looked at.
-    #[error("{0}: {1}")]
-    PoolFile(String, std::io::Error),
-    /// The key file of peers can't be read.
-    #[error("{0}")]
-    Keys(String),
-    /// The agent of the fleet can't start.
-    #[error("fleet: {0}")]
-    Fleet(String),
-    /// The machine gave no signal handler or no randomness.
-    #[error("{0}")]
-    Machine(String),
+    /// The endpoint list has changed.
+    ListRead(Pools),
+    /// The endpoint list has changed, and cannot be read.
+    ListRejected(ReadError),
+    /// The peers' key file has changed.
+    KeysRead(Keys),
+    /// The peers' key file has changed, and cannot be read.
+    KeysRejected(ReadError),
+    /// A reader wants the page of metrics.
+    MetricsPage(oneshot::Sender<String>),
+    /// A reader wants the page of peers.
+    PeersPage(oneshot::Sender<String>),
 }
--- a/crates/lilacpitch-edge/src/net/gossip_socket.rs
+++ b/crates/lilacpitch-edge/src/net/gossip_socket.rs
@@ -1,7 +1,10 @@
-//! The socket of the talk among fronts.
+//! The UDP socket of the gossip among edges, and the page that shows what this edge sees of its peers.
+//!
+//! [`Peers`] decides what is sent; here are the socket, and the key file, which is watched.
 
-use super::driver_event::{News, RunError};
-use super::watched_file;
+use super::driver_event::DriverEvent;
+use super::startup::RunError;
+use super::watched_file::{self, FileVersion, ReadError};
 use lilacpitch::interface::Nanos;
 use lilacpitch_config::PeersOf;
 use lilacpitch_gossip::sealed_datagram::MAX_DATAGRAM_BYTES;
@@ -12,52 +15,57 @@
 use tokio::net::UdpSocket;
 use tokio::sync::mpsc;
 
-pub(super) struct Talk {
+/// The gossip with peers.
+pub(super) struct GossipSocket {
     pub peers: Peers,
     socket: UdpSocket,
 }
 
-impl Talk {
+impl GossipSocket {
     /// Opens the socket, reads the keys, and watches their file.
     pub async fn open(
         name: &str,
-        of: &PeersOf,
+        settings: &PeersOf,
         now: Nanos,
         seed: u64,
-        every: Duration,
-        news: &mpsc::Sender<News>,
+        poll_interval: Duration,
+        events: &mpsc::Sender<DriverEvent>,
     ) -> Result<Self, RunError> {
-        let path = of.key_file.clone();
-        let seen = watched_file::state(&path).map_err(|e| RunError::Keys(format!("{path}: {e}")))?;
-        let keys = read_keys(&path).map_err(RunError::Keys)?;
-        let read = |path: &str| read_keys(path).map(News::Keys);
+        let path = settings.key_file.clone();
+        let version = FileVersion::read(&path).map_err(|error| ReadError::File(path.clone(), error))?;
+        let keys = read_keys(&path)?;
+        let read = |path: &str| read_keys(path).map(DriverEvent::KeysRead);
         tokio::task::spawn_local(watched_file::watch(
             path,
-            every,
-            seen,
-            news.clone(),
+            poll_interval,
+            version,
+            events.clone(),
             read,
-            News::KeysRefused,
+            DriverEvent::KeysRejected,
         ));
-        let failed = |e| RunError::Listen(of.listen, e);
-        let socket = UdpSocket::bind(of.listen).await.map_err(failed)?;
-        // Until it is known to take datagrams, the first ones would be dropped.
+        let failed = |error| RunError::Listen(settings.listen, error);
+        let socket = UdpSocket::bind(settings.listen).await.map_err(failed)?;
+        // Datagrams sent before the socket is known to be writable would be dropped.
         socket.writable().await.map_err(failed)?;
-        let address = of.reached_at.unwrap_or(socket.local_addr().map_err(failed)?);
-        let seeds = of.seeds.clone();
-        let settings = Settings { name: name.to_string(), address, seeds, keys, fronts: of.fronts };
-        Ok(Talk { peers: Peers::new(settings, now, seed), socket })
+        let settings = Settings {
+            name: name.to_string(),
+            address: settings.reached_at.unwrap_or(socket.local_addr().map_err(failed)?),
+            seeds: settings.seeds.clone(),
+            keys,
+            fronts: settings.fronts,
+        };
+        Ok(GossipSocket { peers: Peers::new(settings, now, seed), socket })
     }
 
     /// The next datagram; one byte more than is allowed shows that it is too long. Without peers: never.
-    pub async fn receive(talk: &Option<Talk>) -> Vec<u8> {
-        let Some(talk) = talk else { return std::future::pending().await };
+    pub async fn receive(gossip: &Option<GossipSocket>) -> Vec<u8> {
+        let Some(gossip) = gossip else { return std::future::pending().await };
         let mut buffer = [0; MAX_DATAGRAM_BYTES + 1];
         loop {
-            match talk.socket.recv_from(&mut buffer).await {
+            match gossip.socket.recv_from(&mut buffer).await {
                 Ok((length, _)) => return buffer[..length].to_vec(),
-                // A peer's port was closed: the kernel tells it here. Membership notices by itself.
-                Err(error) => tracing::trace!(%error, "not received"),
+                // A peer's port was closed, which the kernel reports here. Membership notices by itself.
+                Err(error) => tracing::trace!(%error, "peer datagram not received"),
             }
         }
     }
@@ -65,11 +73,11 @@
     /// Sends if the socket takes it now: a datagram may be lost in any case.
     pub fn send(&self, to: SocketAddr, bytes: &[u8]) {
         if let Err(error) = self.socket.try_send_to(bytes, to) {
-            tracing::trace!(%to, %error, "not sent");
+            tracing::trace!(%to, %error, "peer datagram not sent");
         }
     }
 
-    /// The view of this front, for people.
+    /// The peers that this edge sees, and what was counted: a page for people.
     pub fn page(&self) -> String {
         let mut out = String::new();
         // Writing to a String cannot fail.
@@ -96,7 +104,7 @@
     }
 }
 
-fn read_keys(path: &str) -> Result<Keys, String> {
-    let text = std::fs::read_to_string(path).map_err(|e| format!("{path}: {e}"))?;
-    Keys::from_text(&text).map_err(|e| format!("{path}: {e}"))
+fn read_keys(path: &str) -> Result<Keys, ReadError> {
+    let text = std::fs::read_to_string(path).map_err(|error| ReadError::File(path.into(), error))?;
+    Keys::from_text(&text).map_err(|error| ReadError::Keys(path.into(), error))
 }
--- a/crates/lilacpitch-edge/src/net/metrics.rs
+++ b/crates/lilacpitch-edge/src/net/metrics.rs
@@ -1,7 +1,7 @@
-//! `GET /metrics` on its own address: a page of what the front counts.
+//! Pages on an address of their own: `GET /metrics`, `/peers`, and those of the fleet's agent.
 
 use super::connection::read_head;
-use super::driver_event::News;
+use super::driver_event::DriverEvent;
 use crate::core::EdgeCore;
 use crate::fleet::ToAgent;
 use lilacpitch_protocol::handshake::plain_response;
@@ -13,29 +13,30 @@
 use tokio::sync::{mpsc, oneshot};
 
 /// How long one reader may take.
-const PATIENCE: Duration = Duration::from_secs(5);
+const READER_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Serves readers, until nobody listens.
+/// Serves readers until the driver has ended.
 pub(super) async fn serve(
     listener: TcpListener,
-    news: mpsc::Sender<News>,
+    events: mpsc::Sender<DriverEvent>,
     agent: Option<mpsc::Sender<ToAgent>>,
 ) {
     loop {
         match listener.accept().await {
             Ok((stream, _)) => {
-                let (news, agent) = (news.clone(), agent.clone());
-                // A search in the fleet may take a while: others are served meanwhile.
+                let (events, agent) = (events.clone(), agent.clone());
+                // A search in the fleet may take a while: other readers are served meanwhile.
                 tokio::task::spawn_local(async move {
-                    let _ = tokio::time::timeout(PATIENCE, answer(stream, &news, agent.as_ref())).await;
+                    let _ =
+                        tokio::time::timeout(READER_TIMEOUT, answer(stream, &events, agent.as_ref())).await;
                 });
             }
             Err(error) => {
-                tracing::warn!(%error, "metrics: not accepted");
-                tokio::time::sleep(PATIENCE).await;
+                tracing::warn!(%error, "metrics connection not accepted");
+                tokio::time::sleep(READER_TIMEOUT).await;
             }
         }
-        if news.is_closed() {
+        if events.is_closed() {
             return;
         }
     }
@@ -43,20 +44,24 @@
 
 async fn answer(
     mut stream: TcpStream,
-    news: &mpsc::Sender<News>,
+    events: &mpsc::Sender<DriverEvent>,
     agent: Option<&mpsc::Sender<ToAgent>>,
 ) -> Option<()> {
     let response = match read_head(&mut stream, http::request).await {
         Ok((request, _)) if request.method == "GET" && ["/metrics", "/peers"].contains(&&*request.target) => {
-            let (give, take) = oneshot::channel();
-            let ask = if request.target == "/peers" { News::Peers(give) } else { News::Metrics(give) };
-            news.send(ask).await.ok()?;
-            plain_response("200 OK", "", &take.await.ok()?)
+            let (reply, page) = oneshot::channel();
+            let event = if request.target == "/peers" {
+                DriverEvent::PeersPage(reply)
+            } else {
+                DriverEvent::MetricsPage(reply)
+            };
+            events.send(event).await.ok()?;
+            plain_response("200 OK", "", &page.await.ok()?)
         }
         Ok((request, _)) if request.method == "GET" && agent.is_some() => {
-            let (give, take) = oneshot::channel();
-            agent?.send(ToAgent::Page(request.target, give)).await.ok()?;
-            match take.await.ok()? {
+            let (reply, page) = oneshot::channel();
+            agent?.send(ToAgent::Page(request.target, reply)).await.ok()?;
+            match page.await.ok()? {
                 Some(page) => plain_response("200 OK", "", &page),
                 None => plain_response("404 Not Found", "", "GET /metrics, /peers, /fleet or /locate\n"),
             }
@@ -68,23 +73,23 @@
     stream.shutdown().await.ok()
 }
 
-/// The page.
-pub(super) fn page(front: &EdgeCore) -> String {
+/// The page of metrics.
+pub(super) fn page(core: &EdgeCore) -> String {
     let mut out = String::new();
-    front.counters().append_page(&mut out);
-    let (owed, standing) = front.call_counts();
+    core.counters().append_page(&mut out);
+    let (unanswered, established) = core.call_counts();
     // Writing to a String cannot fail.
     let _ = write!(
         out,
-        "# TYPE lilacpitch_calls_owed gauge\nlilacpitch_calls_owed {owed}\n\
-         # TYPE lilacpitch_calls_standing gauge\nlilacpitch_calls_standing {standing}\n\
+        "# TYPE lilacpitch_calls_owed gauge\nlilacpitch_calls_owed {unanswered}\n\
+         # TYPE lilacpitch_calls_standing gauge\nlilacpitch_calls_standing {established}\n\
          # TYPE lilacpitch_callers gauge\nlilacpitch_callers {}\n\
          # TYPE lilacpitch_server_connected gauge\n# TYPE lilacpitch_server_attempts gauge\n",
-        front.caller_count()
+        core.caller_count()
     );
-    for server in front.servers() {
-        let (name, up) = (&server.name, u8::from(server.is_connected));
-        let _ = writeln!(out, "lilacpitch_server_connected{{server=\"{name}\"}} {up}");
+    for server in core.servers() {
+        let (name, is_connected) = (&server.name, u8::from(server.is_connected));
+        let _ = writeln!(out, "lilacpitch_server_connected{{server=\"{name}\"}} {is_connected}");
         let _ = writeln!(out, "lilacpitch_server_attempts{{server=\"{name}\"}} {}", server.attempts);
     }
     out
--- /dev/null
+++ b/crates/lilacpitch-edge/src/net/startup.rs
@@ -0,0 +1,164 @@
+//! Start-up: reads files, opens sockets, starts the tasks around the driver, and runs it.
+
+use super::driver::Driver;
+use super::driver_event::DriverEvent;
+use super::gossip_socket::GossipSocket;
+use super::watched_file::{self, FileVersion, ReadError};
+use super::{metrics, Clock};
+use crate::core::{EdgeCore, Safeguards};
+use crate::fleet::{self, FromAgent};
+use lilacpitch_config::{ConfigError, Edge, Pools};
+use rand::rngs::StdRng;
+use rand::{RngCore, SeedableRng};
+use std::net::SocketAddr;
+use std::path::Path;
+use std::time::Duration;
+use thiserror::Error;
+use tokio::net::TcpListener;
+use tokio::sync::mpsc;
+
+/// Events that may wait for the driver; what brings them is read no further meanwhile.
+const EVENT_QUEUE: usize = 4096;
+
+/// Where an edge that has started can be reached.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub struct Ready {
+    /// The callers' address.
+    pub callers: SocketAddr,
+    /// The address of metrics, if there is one.
+    pub metrics: Option<SocketAddr>,
+}
+
+/// Why an edge could not start.
+#[derive(Debug, Error)]
+pub enum RunError {
+    /// An address could not be listened on.
+    #[error("listening on {0}: {1}")]
+    Listen(SocketAddr, std::io::Error),
+    /// The endpoint list can't be read.
+    #[error("{0}")]
+    PoolList(#[from] ConfigError),
+    /// The file of the endpoint list can't be watched.
+    #[error("{0}: {1}")]
+    PoolFile(String, std::io::Error),
+    /// The key file of peers can't be read.
+    #[error("{0}")]
+    Keys(#[from] ReadError),
+    /// The agent of the fleet can't start.
+    #[error("fleet: {0}")]
+    Fleet(#[from] fleet::StartError),
+    /// The machine gave no signal handler.
+    #[error("signals: {0}")]
+    Signals(std::io::Error),
+    /// The machine gave no random numbers.
+    #[error("no randomness: {0}")]
+    Randomness(std::io::Error),
+}
+
+/// Runs an edge until it has stopped after `stop`. Must run within a `LocalSet`.
+///
+/// # Errors
+/// If a file cannot be read, an address cannot be listened on, or the machine refuses a thread or random numbers.
+pub async fn run(
+    settings: Edge,
+    safeguards: Safeguards,
+    ready: impl FnOnce(Ready),
+    stop: impl std::future::Future<Output = ()>,
+) -> Result<(), RunError> {
+    run_with(settings, safeguards, lilacpitch_fleet::Safeguards::default(), ready, stop).await
+}
+
+/// With safeguards of the fleet switched off too: for the testbed.
+#[doc(hidden)]
+pub async fn run_with(
+    settings: Edge,
+    safeguards: Safeguards,
+    fleet_safeguards: lilacpitch_fleet::Safeguards,
+    ready: impl FnOnce(Ready),
+    stop: impl std::future::Future<Output = ()>,
+) -> Result<(), RunError> {
+    let (listener, callers) = listen(settings.listen).await?;
+    let (events, inbox) = mpsc::channel(EVENT_QUEUE);
+    let list = watch_endpoint_list(&settings, &events)?;
+    let clock = Clock::start();
+    let mut rng = StdRng::try_from_os_rng()
+        .map_err(|error| RunError::Randomness(std::io::Error::other(error.to_string())))?;
+    let gossip = open_gossip(&settings, clock, &mut rng, &events).await?;
+    let (agent, from_agent) = start_agent(&settings, fleet_safeguards, &mut rng)?;
+    let metrics = serve_metrics(&settings, &events, agent.as_ref()).await?;
+    let mut core = EdgeCore::with_safeguards(settings.clone(), clock.now(), rng.next_u64(), safeguards);
+    if !fleet_safeguards.calls_first {
+        core.disable_locate_limit();
+    }
+    let mut driver = Driver::new(core, clock, rng, settings, events, gossip, agent);
+    driver.begin(list);
+    ready(Ready { callers, metrics });
+    tracing::info!(%callers, ?metrics, "listening");
+    driver.run(listener, inbox, from_agent, stop).await;
+    tracing::info!("stopped");
+    Ok(())
+}
+
+async fn listen(address: SocketAddr) -> Result<(TcpListener, SocketAddr), RunError> {
+    let failed = |error| RunError::Listen(address, error);
+    let listener = TcpListener::bind(address).await.map_err(failed)?;
+    let bound = listener.local_addr().map_err(failed)?;
+    Ok((listener, bound))
+}
+
+fn poll_interval(settings: &Edge) -> Duration {
+    Duration::from_nanos(settings.look_ns)
+}
+
+/// Reads the endpoint list, and watches its file.
+fn watch_endpoint_list(settings: &Edge, events: &mpsc::Sender<DriverEvent>) -> Result<Pools, RunError> {
+    let path = settings.pool_list.clone();
+    // Taken before the file is read: a change in between is noticed.
+    let version = FileVersion::read(&path).map_err(|error| RunError::PoolFile(path.clone(), error))?;
+    let list = Pools::load(Path::new(&path))?.value;
+    let read = |path: &str| Ok(DriverEvent::ListRead(Pools::load(Path::new(path))?.value));
+    tokio::task::spawn_local(watched_file::watch(
+        path,
+        poll_interval(settings),
+        version,
+        events.clone(),
+        read,
+        DriverEvent::ListRejected,
+    ));
+    Ok(list)
+}
+
+async fn open_gossip(
+    settings: &Edge,
+    clock: Clock,
+    rng: &mut StdRng,
+    events: &mpsc::Sender<DriverEvent>,
+) -> Result<Option<GossipSocket>, RunError> {
+    let Some(peers) = &settings.peers else { return Ok(None) };
+    let (now, seed, interval) = (clock.now(), rng.next_u64(), poll_interval(settings));
+    GossipSocket::open(&settings.name, peers, now, seed, interval, events).await.map(Some)
+}
+
+type AgentChannels = (Option<fleet::Handle>, Option<mpsc::Receiver<FromAgent>>);
+
+fn start_agent(
+    settings: &Edge,
+    safeguards: lilacpitch_fleet::Safeguards,
+    rng: &mut StdRng,
+) -> Result<AgentChannels, RunError> {
+    let Some(fleet_settings) = &settings.fleet else { return Ok((None, None)) };
+    let (handle, from_agent) = fleet::start(settings, fleet_settings, safeguards, rng.next_u64())?;
+    Ok((Some(handle), Some(from_agent)))
+}
+
+async fn serve_metrics(
+    settings: &Edge,
+    events: &mpsc::Sender<DriverEvent>,
+    agent: Option<&fleet::Handle>,
+) -> Result<Option<SocketAddr>, RunError> {
+    let Some(address) = settings.metrics else { return Ok(None) };
+    let (listener, bound) = listen(address).await?;
+    let agent = agent.map(fleet::Handle::pages);
+    tokio::task::spawn_local(metrics::serve(listener, events.clone(), agent));
+    Ok(Some(bound))
+}
--- a/crates/lilacpitch-testbed/src/callers.rs
+++ b/crates/lilacpitch-testbed/src/callers.rs
@@ -3,7 +3,7 @@
 use crate::record::{Record, Seen};
 use crate::simulation::caller::{Callers, Rate, Try};
 use lilacpitch::interface::Nanos;
-use lilacpitch_edge::net::{open, Clock, Heard, Outgoing, Pump};
+use lilacpitch_edge::net::{open, Clock, ConnectionEvent, Outgoing, WebSocketConnection};
 use lilacpitch_protocol::frame::Role;
 use lilacpitch_protocol::handshake::CALL_PROTOCOL;
 use lilacpitch_protocol::message::call::{Answer, FromCaller, ToCaller};
@@ -147,17 +147,18 @@
 
     async fn connect(&mut self, index: usize) -> Result<(), String> {
         let mut rng = StdRng::seed_from_u64(((self.plan.edge as u64) << 32) + index as u64);
-        let (stream, rest) = open(self.plan.address, "/call", CALL_PROTOCOL, &mut rng).await?;
+        let (stream, rest) =
+            open(self.plan.address, "/call", CALL_PROTOCOL, &mut rng).await.map_err(|e| e.to_string())?;
         let (out, mut queue) = mpsc::channel(QUEUE);
         self.lives[index] += 1;
         let (news, clock, life) = (self.news.clone(), self.clock, self.lives[index]);
         let task = tokio::task::spawn_local(async move {
-            let pump = Pump { stream, role: Role::Client, clock, rng, quiet: None };
-            let heard = async |heard| match heard {
-                Heard::Text(text) => news.send((index, life, Some(text))).await.is_ok(),
-                Heard::NotWritten(_) => true,
+            let connection = WebSocketConnection { stream, role: Role::Client, clock, rng, quiet: None };
+            let on_event = async |event| match event {
+                ConnectionEvent::Text(text) => news.send((index, life, Some(text))).await.is_ok(),
+                ConnectionEvent::NotWritten(_) => true,
             };
-            pump.run(&rest, &mut queue, heard).await;
+            connection.run(&rest, &mut queue, on_event).await;
             let _ = news.send((index, life, None)).await;
         });
         self.sockets[index] = Some(Socket { out, task: task.abort_handle() });
--- a/crates/lilacpitch-testbed/src/edges.rs
+++ b/crates/lilacpitch-testbed/src/edges.rs
@@ -2,7 +2,9 @@
 
 use lilacpitch_config::Edge;
 use lilacpitch_edge::core::Safeguards;
-use lilacpitch_edge::net::{run, serve_handshake, Clock, Heard, Outgoing, Pump, Ready};
+use lilacpitch_edge::net::{
+    run, serve_handshake, Clock, ConnectionEvent, Outgoing, Ready, WebSocketConnection,
+};
 use lilacpitch_protocol::frame::Role;
 use lilacpitch_protocol::handshake::CALL_PROTOCOL;
 use lilacpitch_protocol::message::call::{Answer, FromCaller, ToCaller};
@@ -156,15 +158,15 @@
 async fn answer_all(mut stream: TcpStream) {
     let Ok((_, rest)) = serve_handshake(&mut stream, "/call", CALL_PROTOCOL).await else { return };
     let (out, mut queue) = mpsc::channel(65_536);
-    let pump = Pump {
+    let connection = WebSocketConnection {
         stream,
         role: Role::Server,
         clock: Clock::start(),
         rng: StdRng::seed_from_u64(0),
         quiet: None,
     };
-    let heard = async |heard| {
-        if let Heard::Text(text) = heard {
+    let on_event = async |event| {
+        if let ConnectionEvent::Text(text) = event {
             if let Ok(FromCaller::Setup { call, .. }) = FromCaller::decode(&text) {
                 let answer =
                     ToCaller::Final { call, answer: Answer::Stands, come_back_ms: None, cause: None };
@@ -174,7 +176,7 @@
         }
         true
     };
-    pump.run(&rest, &mut queue, heard).await;
+    connection.run(&rest, &mut queue, on_event).await;
 }
 
 impl Running {
--- a/crates/lilacpitch-testbed/src/standin.rs
+++ b/crates/lilacpitch-testbed/src/standin.rs
@@ -5,7 +5,7 @@
 use crate::record::{Record, Seen};
 use crate::simulation::server::{Does, Make, Server};
 use lilacpitch::interface::Nanos;
-use lilacpitch_edge::net::{serve_handshake, Clock, Heard, Outgoing, Pump};
+use lilacpitch_edge::net::{serve_handshake, Clock, ConnectionEvent, Outgoing, WebSocketConnection};
 use lilacpitch_protocol::frame::Role;
 use lilacpitch_protocol::handshake::SIGNAL_PROTOCOL;
 use lilacpitch_protocol::message::signal::{FromServer, ToServer};
@@ -152,12 +152,12 @@
                 return;
             }
             let rng = StdRng::seed_from_u64(conn);
-            let pump = Pump { stream, role: Role::Server, clock, rng, quiet: None };
-            let heard = async |heard| match heard {
-                Heard::Text(text) => news.send(News::Text { conn, text }).await.is_ok(),
-                Heard::NotWritten(_) => true,
+            let connection = WebSocketConnection { stream, role: Role::Server, clock, rng, quiet: None };
+            let on_event = async |event| match event {
+                ConnectionEvent::Text(text) => news.send(News::Text { conn, text }).await.is_ok(),
+                ConnectionEvent::NotWritten(_) => true,
             };
-            pump.run(&rest, &mut queue, heard).await;
+            connection.run(&rest, &mut queue, on_event).await;
             let _ = news.send(News::Closed { conn }).await;
         });
         self.opening.insert(conn, task.abort_handle());
