--- a/crates/lilacpitch-gossip/src/rumors.rs
+++ b/crates/lilacpitch-gossip/src/rumors.rs
@@ -163,8 +163,8 @@
 }
 
 impl Rumor {
-    fn to_report(&self, server: &str) -> ServerReport {
-        let Rumor { age_ms, wait_ms, in_flight, succeeded, is_unresponsive, warming_up_for_ms, .. } = *self;
+    fn to_report(self, server: &str) -> ServerReport {
+        let Rumor { age_ms, wait_ms, in_flight, succeeded, is_unresponsive, warming_up_for_ms, .. } = self;
         let server = server.to_string();
         ServerReport {
             server,
