--- a/crates/lilacpitch-edge/src/fleet/admin_pages.rs
+++ b/crates/lilacpitch-edge/src/fleet/admin_pages.rs
@@ -81,7 +81,7 @@
             (holder.position(), holder.valid_until(now), !holder.is_withdrawn())
         };
         let mut out = String::new();
-        let _ = writeln!(out, "home {} at {}", self.of.home, self.above().address);
+        let _ = writeln!(out, "home {} at {}", self.of.home, self.home_dialer().address);
         let _ = writeln!(out, "life {}", self.me.incarnation);
         let _ = writeln!(out, "settings {:016x}", self.settings);
         let _ = writeln!(out, "in-force {in_force}");
--- a/crates/lilacpitch-edge/src/fleet/lease_client.rs
+++ b/crates/lilacpitch-edge/src/fleet/lease_client.rs
@@ -1,4 +1,4 @@
-//! The lease from the home site, orders from it, and summaries.
+//! The lease from the home site, its purge commands, and the summaries of all sites.
 
 use super::{wall_ms, Agent, Counters, FromAgent};
 use lilacpitch_fleet::lease_holder::LeaseUpdate;
@@ -7,45 +7,45 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Keeps the lease in force.
+/// Renews the lease for as long as the agent runs.
 pub(super) async fn follow(agent: Arc<Agent>) {
     loop {
-        let (asked_ns, applied) = (steady_ns(), agent.holder.lock().position());
-        let home = agent.above();
+        let (requested_ns, applied) = (steady_ns(), agent.holder.lock().position());
+        let home = agent.home_dialer();
         let again = match home.request(Request::RenewLease(applied), agent.patience()).await {
             Ok(Response::Rejected(why)) => {
-                tracing::debug!(%why, "no lease");
-                agent.above.lock().record_failure();
+                tracing::debug!(%why, "lease refused");
+                agent.home_selection.lock().record_failure();
                 false
             }
             Ok(response) => {
-                agent.above.lock().record_success();
-                agent.renewed(asked_ns, response)
+                agent.home_selection.lock().record_success();
+                agent.renewed(requested_ns, response)
             }
             Err(error) => {
-                tracing::debug!(%error, "no lease");
-                agent.above.lock().record_failure();
+                tracing::debug!(%error, "lease not renewed");
+                agent.home_selection.lock().record_failure();
                 false
             }
         };
         agent.note_version();
-        agent.say_version(&home).await;
+        agent.report_version(&home).await;
         if !again {
-            let gap_ns = agent.above.lock().next_renewal_delay_ns(&agent.terms);
+            let gap_ns = agent.home_selection.lock().next_renewal_delay_ns(&agent.terms);
             tokio::time::sleep(Duration::from_nanos(gap_ns)).await;
         }
     }
 }
 
-/// Asks the home site for summaries.
+/// Polls the home site for summaries.
 pub(super) async fn poll(agent: Arc<Agent>) {
     let gap = Duration::from_nanos(agent.of.terms.poll_ns);
     loop {
-        let (asked_ns, known) = (steady_ns(), agent.catalogue.read().known_summaries());
-        let said = agent.above().request(Request::Summaries(known), agent.patience()).await;
+        let (requested_ns, known) = (steady_ns(), agent.catalogue.read().known_summaries());
+        let said = agent.home_dialer().request(Request::Summaries(known), agent.patience()).await;
         let more = match said {
             Ok(Response::Summaries(news)) => {
-                let applied = agent.catalogue.write().apply_updates(asked_ns, news);
+                let applied = agent.catalogue.write().apply_updates(requested_ns, news);
                 for error in applied.errors {
                     Counters::one(&agent.counters.summaries_refused);
                     tracing::warn!(%error, "summary rejected");
@@ -61,43 +61,43 @@
 }
 
 impl Agent {
-    /// The process of the home site that is followed.
-    pub(super) fn above(&self) -> Arc<Dialer> {
-        self.home[self.above.lock().selected_index(self.home.len())].clone()
+    /// The connection to the process of the home site that is in use.
+    pub(super) fn home_dialer(&self) -> Arc<Dialer> {
+        self.home[self.home_selection.lock().selected_index(self.home.len())].clone()
     }
 
     pub(super) fn patience(&self) -> Duration {
         Duration::from_nanos(self.of.terms.ask_ns * 5)
     }
 
-    fn renewed(&self, asked_ns: u64, response: Response) -> bool {
+    fn renewed(&self, requested_ns: u64, response: Response) -> bool {
         if let Response::LeaseGranted { store_id, .. } = &response {
-            self.register_is(*store_id);
+            self.note_store(*store_id);
         }
         let granted = matches!(response, Response::LeaseGranted { .. });
-        // Held until what is ordered is applied: two answers must not apply one order twice.
+        // Locked until the commands are applied: two responses must not apply one command twice.
         let mut holder = self.holder.lock();
-        match holder.handle_response(asked_ns, response) {
+        match holder.handle_response(requested_ns, response) {
             LeaseUpdate::Commands(orders) => self.apply(&mut holder, orders),
             LeaseUpdate::Reset => {
                 self.cache.clear(steady_ns());
                 Counters::one(&self.counters.fresh_starts);
-                tracing::info!(position = ?holder.position(), "a fresh start: what was cached is dropped");
+                tracing::info!(position = ?holder.position(), "lease reset, cache dropped");
             }
             LeaseUpdate::Unchanged => {}
         }
         let again = !granted || holder.valid_until(steady_ns()).is_err();
         let in_force = !holder.is_withdrawn();
         drop(holder);
-        self.say_in_force(in_force);
-        // A fresh start, or a lease that asks for more orders first, is worth another question at once.
+        self.report_in_force(in_force);
+        // After a reset, or while a lease waits for more commands to be applied, the next renewal follows at once.
         again && in_force
     }
 
-    /// Tells the front's loop whether its settings are in force, when that has changed: not with each order.
-    fn say_in_force(&self, in_force: bool) {
-        let mut said = self.in_force_said.lock();
-        if *said != in_force && self.say.try_send(FromAgent::InForce(in_force)).is_ok() {
+    /// Reports to the driver whether the settings are in force, when that has changed.
+    fn report_in_force(&self, in_force: bool) {
+        let mut said = self.reported_in_force.lock();
+        if *said != in_force && self.front.try_send(FromAgent::SettingsInForce(in_force)).is_ok() {
             *said = in_force;
         }
     }
@@ -111,7 +111,7 @@
         }
     }
 
-    /// What the home site asks of this front.
+    /// Answers a request of the home site.
     pub(super) fn answer(&self, _from: &RpcConnection, ask: Request) -> Response {
         let Request::Commands { log, commands } = ask else {
             return Response::Rejected(lilacpitch_fleet::message::RejectReason::Unsupported);
@@ -119,17 +119,17 @@
         let mut holder = self.holder.lock();
         match holder.select_next_commands(log, commands) {
             Ok(next) => self.apply(&mut holder, next),
-            Err(error) => tracing::debug!(%error, "orders not taken"),
+            Err(error) => tracing::debug!(%error, "purge commands rejected"),
         }
         let (position, in_force) = (holder.position().unwrap_or_default(), !holder.is_withdrawn());
         drop(holder);
-        self.say_in_force(in_force);
+        self.report_in_force(in_force);
         self.note_version();
         Response::Applied(position)
     }
 
-    /// Says upwards what this front acted on, until it is taken.
-    async fn say_version(&self, home: &Dialer) {
+    /// Reports the version that this edge acts on to the home site, until it is acknowledged.
+    async fn report_version(&self, home: &Dialer) {
         let record = self.recorder.lock().pending_record(wall_ms());
         if let Ok(Response::Written) =
             home.request(Request::Audit(vec![record.clone()]), self.patience() * 3).await
@@ -138,9 +138,9 @@
         }
     }
 
-    /// The front stops: what is cached is dropped, and the home site need not wait for the lease.
-    pub(super) async fn leave(&self) {
+    /// The edge stops: the cache is dropped, and the home site need not wait for the lease to expire.
+    pub(super) async fn release_lease(&self) {
         self.cache.clear(steady_ns());
-        let _ = self.above().request(Request::ReleaseLease, self.patience()).await;
+        let _ = self.home_dialer().request(Request::ReleaseLease, self.patience()).await;
     }
 }
--- a/crates/lilacpitch-edge/src/fleet/locate.rs
+++ b/crates/lilacpitch-edge/src/fleet/locate.rs
@@ -1,4 +1,4 @@
-//! Locates: from the cache where it is borne out, else one question to the sites that could know.
+//! Lookups of numbers: from the cache where the catalogue confirms it, else by one query to the sites that may know.
 
 use super::{Agent, Counters, FromAgent};
 use lilacpitch_fleet::error::LocateError;
@@ -15,19 +15,19 @@
 
 const SHARDS: usize = 16;
 
-/// A question about a number that is out: who else wants it waits for the same answer.
+/// A lookup in flight: others who want the number wait for the same answer.
 #[derive(Clone)]
-struct Flight {
+struct PendingLookup {
     read_from_ns: u64,
     answer: watch::Receiver<Option<Arc<LocateAnswer>>>,
 }
 
-/// Questions that are out, by number.
+/// Lookups in flight, by number.
 #[derive(Default)]
-pub(super) struct Flights([Mutex<HashMap<Number, Flight>>; SHARDS]);
+pub(super) struct PendingLookups([Mutex<HashMap<Number, PendingLookup>>; SHARDS]);
 
-impl Flights {
-    fn of(&self, number: &Number) -> &Mutex<HashMap<Number, Flight>> {
+impl PendingLookups {
+    fn of(&self, number: &Number) -> &Mutex<HashMap<Number, PendingLookup>> {
         &self.0[shard_of(number.hash64(), SHARDS)]
     }
 }
@@ -38,7 +38,7 @@
         let Ok(number) = Number::new(number) else { return false };
         let Some((answer, good_until_ns)) = self.cached(&number, true) else { return false };
         let pool = answer.newest().map(|row| row.trunk_group.clone());
-        let said = self.say.try_send(FromAgent::Located { call, pool, good_until_ns }).is_ok();
+        let said = self.front.try_send(FromAgent::Located { call, pool, good_until_ns }).is_ok();
         if said {
             Counters::one(&self.counters.located);
             Counters::one(&self.counters.from_cache);
@@ -46,7 +46,7 @@
         said
     }
 
-    /// Where a call's number is reached: the front hears it in time, or goes on without.
+    /// Looks up where a call's number is reached, and reports it to the driver.
     pub(super) async fn locate_for_call(self: Arc<Self>, call: u64, number: &str, patience: Duration) {
         Counters::one(&self.counters.located);
         let Ok(number) = Number::new(number) else {
@@ -58,14 +58,14 @@
                 self.located(call, pool, good_until_ns).await;
             }
             Err(error) => {
-                tracing::debug!(call, %error, "not located");
+                tracing::debug!(call, %error, "number not located");
                 self.located(call, None, 0).await;
             }
         }
     }
 
     async fn located(&self, call: u64, pool: Option<String>, good_until_ns: u64) {
-        let _ = self.say.send(FromAgent::Located { call, pool, good_until_ns }).await;
+        let _ = self.front.send(FromAgent::Located { call, pool, good_until_ns }).await;
     }
 
     /// What is known of where a number is reached, and until when by the steady clock that may be used.
@@ -78,8 +78,8 @@
             Counters::one(&self.counters.from_cache);
             return Ok((Arc::new(answer), until_ns));
         }
-        let mut flight = self.fly(number)?;
-        let waited = tokio::time::timeout(patience, flight.answer.wait_for(Option::is_some)).await;
+        let mut lookup = self.join_or_begin_lookup(number)?;
+        let waited = tokio::time::timeout(patience, lookup.answer.wait_for(Option::is_some)).await;
         let heard = match waited {
             Ok(Ok(answer)) => answer.clone(),
             _ => None,
@@ -90,7 +90,7 @@
             // and the answer says of each site what became of it.
             heard => match self.cached(number, false) {
                 // Whoever held the rows and answers now has said that they are there no more.
-                Some((cached, _)) if heard.as_ref().is_some_and(|now| holder_answers(&cached, now)) => {
+                Some((cached, _)) if heard.as_ref().is_some_and(|now| owner_site_answers(&cached, now)) => {
                     heard.map(|answer| (answer, u64::MAX)).ok_or(LocateError::Late)
                 }
                 Some((mut cached, until_ns)) => {
@@ -111,7 +111,7 @@
     }
 
     /// What is cached of a number, if it may be used now: the lease is judged after the look.
-    fn cached(&self, number: &Number, borne_out: bool) -> Option<(LocateAnswer, u64)> {
+    fn cached(&self, number: &Number, must_be_confirmed: bool) -> Option<(LocateAnswer, u64)> {
         let answer = self.cache.get(number)?;
         let (until, position) = {
             let holder = self.holder.lock();
@@ -122,51 +122,56 @@
             Err(_) if !self.guards.cache_leases => u64::MAX,
             Err(_) => return None,
         };
-        let borne =
-            !borne_out || self.catalogue.read().confirms_cached(steady_ns(), number.hash64(), position);
-        borne.then_some((answer, until_ns))
+        let is_confirmed = !must_be_confirmed
+            || self.catalogue.read().confirms_cached(steady_ns(), number.hash64(), position);
+        is_confirmed.then_some((answer, until_ns))
     }
 
-    /// Joins the question that is out for a number, or begins one.
-    fn fly(self: &Arc<Self>, number: &Number) -> Result<Flight, LocateError> {
-        let mut flights = self.flights.of(number).lock();
+    /// Joins the lookup of a number that is in flight, or begins one.
+    fn join_or_begin_lookup(self: &Arc<Self>, number: &Number) -> Result<PendingLookup, LocateError> {
+        let mut pending_lookups = self.pending_lookups.of(number).lock();
         let oldest_ns = steady_ns().saturating_sub(self.of.terms.settle_ns);
-        // One that read before what must be found by now is not waited for.
-        if let Some(flight) = flights.get(number).filter(|flight| flight.read_from_ns >= oldest_ns) {
+        // One that began before the settling time is not joined: it may miss what must be found by now.
+        if let Some(lookup) = pending_lookups.get(number).filter(|lookup| lookup.read_from_ns >= oldest_ns) {
             Counters::one(&self.counters.joined);
-            return Ok(flight.clone());
+            return Ok(lookup.clone());
         }
-        if self.questions.available_permits() == 0 {
+        if self.query_slots.available_permits() == 0 {
             return Err(LocateError::TooMany);
         }
         let query = Query::binding_of(number.clone());
         let locate = Locate::begin(steady_ns(), query, None, 16, &self.catalogue.read(), self.guards);
         let (give, answer) = watch::channel(None);
-        let flight = Flight { read_from_ns: locate.read_from_ns(), answer };
-        flights.insert(number.clone(), flight.clone());
-        drop(flights);
-        let (agent, number, read_from_ns) = (self.clone(), number.clone(), flight.read_from_ns);
+        let lookup = PendingLookup { read_from_ns: locate.read_from_ns(), answer };
+        pending_lookups.insert(number.clone(), lookup.clone());
+        drop(pending_lookups);
+        let (agent, number, read_from_ns) = (self.clone(), number.clone(), lookup.read_from_ns);
         tokio::spawn(async move {
             let times = if agent.guards.calls_first { 1 } else { 100 };
             let budget = Duration::from_nanos(agent.of.locate_longest_ns * times);
-            let answer = agent.ask_sites(locate, true, budget).await;
+            let answer = agent.query_sites(locate, true, budget).await;
             if answer.is_complete && !agent.cache.fill(read_from_ns, &number, &answer) {
                 Counters::one(&agent.counters.not_filled);
             }
             {
-                let mut flights = agent.flights.of(&number).lock();
-                if flights.get(&number).is_some_and(|flight| flight.read_from_ns == read_from_ns) {
-                    flights.remove(&number);
+                let mut pending_lookups = agent.pending_lookups.of(&number).lock();
+                if pending_lookups.get(&number).is_some_and(|lookup| lookup.read_from_ns == read_from_ns) {
+                    pending_lookups.remove(&number);
                 }
             }
             give.send_replace(Some(Arc::new(answer)));
         });
-        Ok(flight)
+        Ok(lookup)
     }
 
-    /// Asks the open sites of a question at once, within a time.
-    async fn ask_sites(self: &Arc<Self>, mut locate: Locate, urgent: bool, budget: Duration) -> LocateAnswer {
-        let _permit = self.questions.acquire().await;
+    /// Queries all sites that may know, in parallel, within a time limit.
+    async fn query_sites(
+        self: &Arc<Self>,
+        mut locate: Locate,
+        urgent: bool,
+        budget: Duration,
+    ) -> LocateAnswer {
+        let _permit = self.query_slots.acquire().await;
         let open: Vec<String> = locate.pending_sites().map(String::from).collect();
         let mut asking = tokio::task::JoinSet::new();
         for name in open {
@@ -201,12 +206,12 @@
         budget: Duration,
     ) -> LocateAnswer {
         let locate = Locate::begin(steady_ns(), query, after, limit, &self.catalogue.read(), self.guards);
-        self.ask_sites(locate, false, budget).await
+        self.query_sites(locate, false, budget).await
     }
 }
 
-/// Whether a site whose rows are cached was reached by a later answer.
-fn holder_answers(cached: &LocateAnswer, now: &LocateAnswer) -> bool {
+/// Whether a site that owns cached records answered a later lookup.
+fn owner_site_answers(cached: &LocateAnswer, now: &LocateAnswer) -> bool {
     let held = cached
         .sites
         .iter()
--- a/crates/lilacpitch-edge/src/fleet/mod.rs
+++ b/crates/lilacpitch-edge/src/fleet/mod.rs
@@ -45,11 +45,11 @@
     /// Where is this number?
     Locate { call: u64, number: String, patience: Duration },
     /// Rows came or went, in this order.
-    Changed(Vec<RecordEvent>),
+    RecordsChanged(Vec<RecordEvent>),
     /// Rows were lost on the way: all that there are follow.
-    Rows,
+    RecordsLost,
     /// The pool list that the front follows now.
-    List(u64),
+    EndpointList(u64),
     /// A page for people, by its target.
     Page(String, oneshot::Sender<Option<String>>),
 }
@@ -60,9 +60,9 @@
     /// The pool through which a call's number is reached, good until a moment of the steady clock.
     Located { call: u64, pool: Option<String>, good_until_ns: u64 },
     /// Whether the settings version is in force.
-    InForce(bool),
+    SettingsInForce(bool),
     /// The rows are wanted, all of them.
-    RowsWanted,
+    RecordsRequested,
 }
 
 /// What is counted.
@@ -96,20 +96,20 @@
     /// All sites, in the settings' order, and the ways to their processes.
     sites: Vec<(String, Vec<Arc<Dialer>>)>,
     /// Which process of the home site is followed now.
-    above: Mutex<UpstreamSelection>,
+    home_selection: Mutex<UpstreamSelection>,
     /// What the front's loop was told last of its settings; it begins with them in force.
-    in_force_said: Mutex<bool>,
+    reported_in_force: Mutex<bool>,
     terms: LeaseTerms,
     holder: Mutex<LeaseHolder>,
     cache: Cache,
     catalogue: RwLock<Catalogue>,
     recorder: Mutex<AuditRecorder>,
-    record_publisher: Mutex<record_publisher::Rows>,
-    rows_changed: watch::Sender<u64>,
-    flights: locate::Flights,
+    record_publisher: Mutex<record_publisher::PublishQueue>,
+    records_changed: watch::Sender<u64>,
+    pending_lookups: locate::PendingLookups,
     queries: locate_dispatcher::QuerySender,
-    questions: Semaphore,
-    say: mpsc::Sender<FromAgent>,
+    query_slots: Semaphore,
+    front: mpsc::Sender<FromAgent>,
     counters: Counters,
 }
 
@@ -132,23 +132,23 @@
 
 /// The front's end of the channels to its agent.
 pub(crate) struct Handle {
-    say: mpsc::Sender<ToAgent>,
+    sender: mpsc::Sender<ToAgent>,
     /// Rows were lost for want of room: they are all said again once there is some.
-    rows_lost: bool,
+    has_lost_records: bool,
     held: WriteBatcher<RecordEvent>,
 }
 
 impl Handle {
     /// Says something that may be lost; whether it was taken.
-    pub fn say(&self, what: ToAgent) -> bool {
-        self.say.try_send(what).is_ok()
+    pub fn send(&self, what: ToAgent) -> bool {
+        self.sender.try_send(what).is_ok()
     }
 
     /// Says a row: with the next [`Handle::say_due`], or soon where it is of a call. If the agent does not keep up, all
     /// rows are wanted again later.
-    pub fn row(&mut self, now: Nanos, row: RecordEvent) {
-        let presses = row.kind == Kind::Binding;
-        let full = self.held.push(now, row, presses);
+    pub fn publish_record(&mut self, now: Nanos, record: RecordEvent) {
+        let may_wait = record.kind == Kind::Binding;
+        let full = self.held.push(now, record, may_wait);
         self.changed(full);
     }
 
@@ -158,25 +158,26 @@
     }
 
     /// Says the rows that are due.
-    pub fn say_due(&mut self, now: Nanos) {
+    pub fn send_due_records(&mut self, now: Nanos) {
         let due = self.held.take_due(now);
         self.changed(due);
     }
 
     fn changed(&mut self, rows: Option<Vec<RecordEvent>>) {
-        self.rows_lost |= rows.is_some_and(|rows| !self.say(ToAgent::Changed(rows)));
+        self.has_lost_records |= rows.is_some_and(|rows| !self.send(ToAgent::RecordsChanged(rows)));
     }
 
     /// Whether rows were lost and there is room again: then all are to be said.
-    pub fn rows_are_due(&mut self) -> bool {
-        let due = self.rows_lost && self.say.capacity() > QUEUE / 2 && self.say(ToAgent::Rows);
-        self.rows_lost &= !due;
+    pub fn take_republish_due(&mut self) -> bool {
+        let due =
+            self.has_lost_records && self.sender.capacity() > QUEUE / 2 && self.send(ToAgent::RecordsLost);
+        self.has_lost_records &= !due;
         due
     }
 
     /// For pages.
     pub fn pages(&self) -> mpsc::Sender<ToAgent> {
-        self.say.clone()
+        self.sender.clone()
     }
 }
 
@@ -229,14 +230,14 @@
         .enable_all()
         .build()
         .map_err(StartError::Workers)?;
-    let (say, from_agent) = mpsc::channel(QUEUE);
+    let (front, from_agent) = mpsc::channel(QUEUE);
     let (to_agent, from_front) = mpsc::channel(QUEUE);
-    let (agent, dispatcher) = build_agent(edge, settings, guards, seed, identity, say);
+    let (agent, dispatcher) = build_agent(edge, settings, guards, seed, identity, front);
     std::thread::Builder::new()
         .name("fleet".into())
         .spawn(move || runtime.block_on(run_tasks(agent, dispatcher, from_front)))
         .map_err(StartError::Thread)?;
-    Ok((Handle { say: to_agent, rows_lost: false, held: WriteBatcher::default() }, from_agent))
+    Ok((Handle { sender: to_agent, has_lost_records: false, held: WriteBatcher::default() }, from_agent))
 }
 
 fn local_identity(edge: &Edge, settings: &FleetOf) -> Result<LocalIdentity, StartError> {
@@ -253,7 +254,7 @@
     guards: Safeguards,
     seed: u64,
     me: LocalIdentity,
-    say: mpsc::Sender<FromAgent>,
+    front: mpsc::Sender<FromAgent>,
 ) -> (Arc<Agent>, locate_dispatcher::LocateDispatcher) {
     let handler = Arc::new(AgentRequestHandler::default());
     let dial = |address: &std::net::SocketAddr| {
@@ -281,19 +282,19 @@
         list: AtomicU64::new(0),
         home,
         sites,
-        above: Mutex::new(UpstreamSelection::new(seed as usize)),
-        in_force_said: Mutex::new(true),
+        home_selection: Mutex::new(UpstreamSelection::new(seed as usize)),
+        reported_in_force: Mutex::new(true),
         terms,
         holder: Mutex::new(LeaseHolder::new(digest)),
         cache: Cache::new(settings.cache, guards),
         catalogue: RwLock::new(Catalogue::new(names, settings.terms.settle_ns, terms, guards)),
         recorder: Mutex::new(AuditRecorder::new(&edge.name, me.incarnation)),
-        record_publisher: Mutex::new(record_publisher::Rows::default()),
-        rows_changed: watch::Sender::new(0),
-        flights: locate::Flights::default(),
+        record_publisher: Mutex::new(record_publisher::PublishQueue::default()),
+        records_changed: watch::Sender::new(0),
+        pending_lookups: locate::PendingLookups::default(),
         queries,
-        questions: Semaphore::new(settings.questions),
-        say,
+        query_slots: Semaphore::new(settings.questions),
+        front,
         counters: Counters::default(),
         me,
         of: settings.clone(),
@@ -326,9 +327,9 @@
                 let agent = agent.clone();
                 tokio::spawn(async move { agent.locate_for_call(call, &number, patience).await });
             }
-            ToAgent::Changed(rows) => agent.changed(rows),
-            ToAgent::Rows => agent.rows_anew(),
-            ToAgent::List(digest) => {
+            ToAgent::RecordsChanged(rows) => agent.changed(rows),
+            ToAgent::RecordsLost => agent.republish_records(),
+            ToAgent::EndpointList(digest) => {
                 agent.list.store(digest, Ordering::Relaxed);
                 agent.note_version();
             }
@@ -338,7 +339,7 @@
             }
         }
     }
-    agent.leave().await;
+    agent.release_lease().await;
 }
 
 impl Agent {
--- a/crates/lilacpitch-edge/src/fleet/record_publisher.rs
+++ b/crates/lilacpitch-edge/src/fleet/record_publisher.rs
@@ -1,5 +1,5 @@
-//! The front's rows on their way to its home site: written until they are acknowledged, and all again when the site's
-//! register is another one.
+//! Publishes the edge's location records at its home site: each change is sent until it is acknowledged, and all
+//! records again when the site has a new store.
 
 use super::{Agent, Counters, FromAgent};
 use crate::core::RecordEvent;
@@ -9,32 +9,32 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Row changes in one message.
+/// Changes in one message.
 const BATCH: usize = 512;
-/// Changes that wait; past them all rows are asked for anew.
-const MOST: usize = 65_536;
-/// The gap between tries.
-const AGAIN: Duration = Duration::from_millis(50);
+/// Changes that may wait; beyond, they are dropped and all records requested again.
+const MAX_PENDING: usize = 65_536;
+/// The delay between retries.
+const RETRY_DELAY: Duration = Duration::from_millis(50);
 
 #[derive(Default)]
-pub(super) struct Rows {
+pub(super) struct PublishQueue {
     waiting: VecDeque<RecordChange>,
     /// Changes that no longer wait: those that do are numbered from here on.
     done: u64,
-    register: Option<u64>,
+    store: Option<u64>,
 }
 
-impl Rows {
-    /// So many from a number on no longer wait, but for those forgotten meanwhile.
-    fn written(&mut self, first: u64, count: usize) {
+impl PublishQueue {
+    /// Removes acknowledged changes, but for those dropped meanwhile. `first`: the number of the first one.
+    fn acknowledge(&mut self, first: u64, count: usize) {
         let done = (first + count as u64 - 1).saturating_sub(self.done) as usize;
         let done = done.min(self.waiting.len());
         self.waiting.drain(..done);
         self.done += done as u64;
     }
 
-    /// What waits is not written; what was sent of it may arrive yet, and its numbers are not given again.
-    fn forget(&mut self) {
+    /// Drops what waits; what was sent of it may arrive yet, so its numbers are not used again.
+    fn drop_pending(&mut self) {
         self.done += self.waiting.len() as u64;
         self.waiting.clear();
     }
@@ -45,18 +45,18 @@
 }
 
 impl Agent {
-    /// What came and went at the front, to be written in that order.
+    /// Queues changes of the edge's records, in their order.
     pub(super) fn changed(&self, news: Vec<RecordEvent>) {
         let changes = news.into_iter().filter_map(|news| self.change(news));
-        let mut rows = self.record_publisher.lock();
-        rows.waiting.extend(changes);
-        if rows.waiting.len() > MOST {
-            // The site can't be reached for long: what there is then is said once it can.
-            rows.forget();
-            rows.register = None;
+        let mut queue = self.record_publisher.lock();
+        queue.waiting.extend(changes);
+        if queue.waiting.len() > MAX_PENDING {
+            // The site has been unreachable for long: all records are published once it is reachable.
+            queue.drop_pending();
+            queue.store = None;
         }
-        drop(rows);
-        self.rows_changed.send_modify(|count| *count += 1);
+        drop(queue);
+        self.records_changed.send_modify(|count| *count += 1);
     }
 
     fn change(&self, news: RecordEvent) -> Option<RecordChange> {
@@ -72,36 +72,36 @@
         Some(RecordChange::Upsert(LocationRecord { key, class, trunk_group, since_ms }))
     }
 
-    /// Rows were lost on the way from the front: all that it has follow, and what went meanwhile the site sweeps out
-    /// with the rest of this life's at its end.
-    pub(super) fn rows_anew(&self) {
-        self.record_publisher.lock().forget();
-        let _ = self.say.try_send(FromAgent::RowsWanted);
+    /// Changes were lost on the way from the core: all records are requested again. What ended meanwhile stays at the
+    /// site until it removes the records of this incarnation.
+    pub(super) fn republish_records(&self) {
+        self.record_publisher.lock().drop_pending();
+        let _ = self.front.try_send(FromAgent::RecordsRequested);
     }
 
-    /// The home site's register, as it says with each lease.
-    pub(super) fn register_is(&self, register: u64) {
-        let mut rows = self.record_publisher.lock();
-        if rows.register != Some(register) {
-            let first = rows.register.is_none() && rows.waiting.len() < MOST;
-            rows.register = Some(register);
-            drop(rows);
+    /// Notes the home site's store, which it names with each lease.
+    pub(super) fn note_store(&self, register: u64) {
+        let mut queue = self.record_publisher.lock();
+        if queue.store != Some(register) {
+            let first = queue.store.is_none() && queue.waiting.len() < MAX_PENDING;
+            queue.store = Some(register);
+            drop(queue);
             if !first {
-                tracing::info!("the home site's register is another one: all rows are written again");
+                tracing::info!("home site has a new store, all records published again");
             }
-            let _ = self.say.try_send(FromAgent::RowsWanted);
+            let _ = self.front.try_send(FromAgent::RecordsRequested);
         }
     }
 }
 
-/// Writes what waits, in its order.
+/// Publishes the changes that wait, in their order.
 pub(super) async fn write(agent: Arc<Agent>) {
-    let mut changed = agent.rows_changed.subscribe();
+    let mut changed = agent.records_changed.subscribe();
     loop {
         changed.borrow_and_update();
         let (first, batch): (u64, Vec<RecordChange>) = {
-            let rows = agent.record_publisher.lock();
-            (rows.done + 1, rows.waiting.iter().take(BATCH).cloned().collect())
+            let queue = agent.record_publisher.lock();
+            (queue.done + 1, queue.waiting.iter().take(BATCH).cloned().collect())
         };
         if batch.is_empty() {
             if changed.changed().await.is_err() {
@@ -111,23 +111,23 @@
         }
         let count = batch.len();
         let write = Request::Write { first, changes: batch };
-        match agent.above().request(write, agent.patience() * 2).await {
+        match agent.home_dialer().request(write, agent.patience() * 2).await {
             Ok(Response::Written) => {
                 Counters::one(&agent.counters.written);
-                agent.record_publisher.lock().written(first, count);
+                agent.record_publisher.lock().acknowledge(first, count);
             }
             Ok(Response::Rejected(RejectReason::Malformed(why))) => {
-                // It would be refused for ever: one by one, so that only what is wrong is lost.
+                // It would always be rejected: drop one at a time, so that only the malformed one is lost.
                 tracing::error!(why, "location record rejected");
-                agent.record_publisher.lock().written(first, 1);
+                agent.record_publisher.lock().acknowledge(first, 1);
             }
             Ok(other) => {
-                tracing::debug!(?other, "rows not written yet");
-                tokio::time::sleep(AGAIN).await;
+                tracing::debug!(?other, "records not published yet");
+                tokio::time::sleep(RETRY_DELAY).await;
             }
             Err(error) => {
-                tracing::debug!(%error, "rows not written yet");
-                tokio::time::sleep(AGAIN).await;
+                tracing::debug!(%error, "records not published yet");
+                tokio::time::sleep(RETRY_DELAY).await;
             }
         }
     }
--- a/crates/lilacpitch-edge/src/net/driver.rs
+++ b/crates/lilacpitch-edge/src/net/driver.rs
@@ -157,7 +157,7 @@
 
     fn apply_endpoint_list(&mut self, list: Pools) {
         if let Some(agent) = &self.agent {
-            agent.say(ToAgent::List(fleet::list_digest(&list)));
+            agent.send(ToAgent::EndpointList(fleet::list_digest(&list)));
         }
         self.feed(Input::PoolList(list));
     }
@@ -169,8 +169,8 @@
                 let is_current = lilacpitch_rpc::steady_ns() < good_until_ns;
                 self.feed(Input::Located(call, pool.filter(|_| is_current)));
             }
-            FromAgent::InForce(is_in_force) => self.feed(Input::SettingsInForce(is_in_force)),
-            FromAgent::RowsWanted => self.feed(Input::RecordsRequested),
+            FromAgent::SettingsInForce(is_in_force) => self.feed(Input::SettingsInForce(is_in_force)),
+            FromAgent::RecordsRequested => self.feed(Input::RecordsRequested),
         }
     }
 
@@ -183,7 +183,7 @@
         }
         self.effects = effects;
         if let Some(agent) = &mut self.agent {
-            agent.say_due(self.clock.now());
+            agent.send_due_records(self.clock.now());
         }
     }
 
@@ -253,15 +253,15 @@
             Effect::Locate { call, number, patience_ns } => {
                 let patience = Duration::from_nanos(patience_ns);
                 let agent = self.agent.as_ref();
-                if !agent.is_some_and(|agent| agent.say(ToAgent::Locate { call, number, patience })) {
+                if !agent.is_some_and(|agent| agent.send(ToAgent::Locate { call, number, patience })) {
                     // The agent does not keep up: the call goes on without it.
                     self.feed_later(Input::Located(call, None));
                 }
             }
             Effect::RecordChanged(record) => {
                 let Some(agent) = &mut self.agent else { return };
-                agent.row(self.clock.now(), record);
-                if agent.rows_are_due() {
+                agent.publish_record(self.clock.now(), record);
+                if agent.take_republish_due() {
                     self.feed_later(Input::RecordsRequested);
                 }
             }
