--- a/crates/lilacpitch-config/src/lib.rs
+++ b/crates/lilacpitch-config/src/lib.rs
@@ -17,7 +17,6 @@
 //! assert_eq!(error.to_string(), "my.cue:1:7: port: found 0, wanted int & >=1 & <=65535");
 //! ```
 #![forbid(unsafe_code)]
-#![warn(missing_docs)]
 
 mod edge;
 mod error;
--- a/crates/lilacpitch-config/src/value.rs
+++ b/crates/lilacpitch-config/src/value.rs
@@ -79,7 +79,7 @@
 }
 
 impl Value {
-    pub fn is_scalar(&self) -> bool {
+    pub(crate) fn is_scalar(&self) -> bool {
         matches!(self, Value::Null | Value::Bool(_) | Value::Int(_) | Value::Float(_) | Value::Str(_))
     }
 }
--- a/crates/lilacpitch-edge/src/core/calls.rs
+++ b/crates/lilacpitch-edge/src/core/calls.rs
@@ -70,7 +70,7 @@
 
 impl Call {
     /// Notes a new attempt, and gives its number among the call's attempts.
-    pub fn begin_attempt(&mut self, id: AttemptId, server: ServerId) -> u32 {
+    pub(super) fn begin_attempt(&mut self, id: AttemptId, server: ServerId) -> u32 {
         let index = self.attempts;
         self.attempts += 1;
         self.attempt = Some(id);
--- a/crates/lilacpitch-edge/src/core/fleet.rs
+++ b/crates/lilacpitch-edge/src/core/fleet.rs
@@ -54,7 +54,7 @@
 }
 
 impl Fleet {
-    pub fn new(settings: &FleetOf) -> Self {
+    pub(super) fn new(settings: &FleetOf) -> Self {
         Fleet {
             pool: settings.pool.clone(),
             locate_fraction: settings.locate_share,
--- a/crates/lilacpitch-edge/src/core/site.rs
+++ b/crates/lilacpitch-edge/src/core/site.rs
@@ -19,7 +19,7 @@
 }
 
 impl Site {
-    pub fn new(settings: &Edge) -> Self {
+    pub(super) fn new(settings: &Edge) -> Self {
         let mut site = Site::default();
         // Pools are known from the start: an edge that starts while a pool's servers are removed must not reject its
         // calls as being for an unknown pool.
@@ -35,31 +35,31 @@
         site
     }
 
-    pub fn class(&self, name: &str) -> Option<usize> {
+    pub(super) fn class(&self, name: &str) -> Option<usize> {
         self.classes.get(name).copied()
     }
 
-    pub fn pool(&self, name: &str) -> Option<u32> {
+    pub(super) fn pool(&self, name: &str) -> Option<u32> {
         self.pools.get(name).copied()
     }
 
     /// The number of a pool; a new one gets the next.
-    pub fn pool_or_insert(&mut self, name: &str) -> u32 {
+    pub(super) fn pool_or_insert(&mut self, name: &str) -> u32 {
         number_or_insert(&mut self.pools, name)
     }
 
     /// The name of a pool's number.
-    pub fn pool_name(&self, number: u32) -> Option<&str> {
+    pub(super) fn pool_name(&self, number: u32) -> Option<&str> {
         self.pools.iter().find(|(_, known)| **known == number).map(|(name, _)| name.as_str())
     }
 
     /// The number of a zone; a new one gets the next.
-    pub fn zone_or_insert(&mut self, name: &str) -> u32 {
+    pub(super) fn zone_or_insert(&mut self, name: &str) -> u32 {
         number_or_insert(&mut self.zones, name)
     }
 
     /// The controller's settings.
-    pub fn controller_settings(&self, edge: &Edge) -> Settings {
+    pub(super) fn controller_settings(&self, edge: &Edge) -> Settings {
         let class = |class: &lilacpitch_config::Class| Class {
             latency_objective_ns: class.aim_ns,
             deadline_ns: class.give_up_ns,
--- a/crates/lilacpitch-edge/src/core/upstreams.rs
+++ b/crates/lilacpitch-edge/src/core/upstreams.rs
@@ -45,7 +45,7 @@
 }
 
 impl Server {
-    pub fn new(name: String, address: SocketAddr, endpoint: Endpoint, started_ms: u64) -> Self {
+    pub(super) fn new(name: String, address: SocketAddr, endpoint: Endpoint, started_ms: u64) -> Self {
         Server {
             name,
             address,
@@ -58,7 +58,7 @@
     }
 
     /// Its connection, if that is ready.
-    pub fn connected_upstream(&self) -> Option<UpstreamId> {
+    pub(super) fn connected_upstream(&self) -> Option<UpstreamId> {
         match self.state {
             UpstreamState::Connected { upstream, .. } => Some(upstream),
             _ => None,
@@ -73,7 +73,7 @@
         }
     }
 
-    pub fn is_never_tried(&self) -> bool {
+    pub(super) fn is_never_tried(&self) -> bool {
         self.state == UpstreamState::NeverTried
     }
 }
@@ -89,36 +89,36 @@
 
 impl Servers {
     /// The id of a name; a new name gets the next. Ids are never given to another name.
-    pub fn id_or_insert(&mut self, name: &str) -> ServerId {
+    pub(super) fn id_or_insert(&mut self, name: &str) -> ServerId {
         let next = self.ids.len() as ServerId;
         *self.ids.entry(name.to_string()).or_insert(next)
     }
 
     /// The id of a name that was listed.
-    pub fn id(&self, name: &str) -> Option<ServerId> {
+    pub(super) fn id(&self, name: &str) -> Option<ServerId> {
         self.ids.get(name).copied()
     }
 
-    pub fn is_in_service(&self, id: ServerId) -> bool {
+    pub(super) fn is_in_service(&self, id: ServerId) -> bool {
         self.by_id.get(&id).is_some_and(|server| server.endpoint.availability == Availability::Ready)
     }
 
-    pub fn is_connected(&self, id: ServerId) -> bool {
+    pub(super) fn is_connected(&self, id: ServerId) -> bool {
         self.by_id.get(&id).is_some_and(|server| server.connected_upstream().is_some())
     }
 
-    pub fn is_connecting(&self, id: ServerId) -> bool {
+    pub(super) fn is_connecting(&self, id: ServerId) -> bool {
         self.by_id.get(&id).is_some_and(|server| matches!(server.state, UpstreamState::Connecting(_)))
     }
 
     /// The first connected server but one.
-    pub fn connected_other_than(&self, id: ServerId) -> Option<ServerId> {
+    pub(super) fn connected_other_than(&self, id: ServerId) -> Option<ServerId> {
         let mut others = self.by_id.iter().filter(|(other, _)| **other != id);
         others.find(|(_, server)| server.connected_upstream().is_some()).map(|(other, _)| *other)
     }
 
     /// Attempts that wait for a connection to this server.
-    pub fn queued_attempts(&self, id: ServerId) -> Vec<AttemptId> {
+    pub(super) fn queued_attempts(&self, id: ServerId) -> Vec<AttemptId> {
         match self.by_id.get(&id) {
             Some(server) if server.connected_upstream().is_none() => {
                 server.attempts.iter().copied().collect()
@@ -132,13 +132,13 @@
         self.by_upstream.get(&upstream).copied()
     }
 
-    pub fn add_attempt(&mut self, id: ServerId, attempt: AttemptId) {
+    pub(super) fn add_attempt(&mut self, id: ServerId, attempt: AttemptId) {
         if let Some(server) = self.by_id.get_mut(&id) {
             server.attempts.insert(attempt);
         }
     }
 
-    pub fn remove_attempt(&mut self, id: ServerId, attempt: AttemptId) {
+    pub(super) fn remove_attempt(&mut self, id: ServerId, attempt: AttemptId) {
         if let Some(server) = self.by_id.get_mut(&id) {
             server.attempts.remove(&attempt);
         }
--- a/crates/lilacpitch-edge/src/fleet/locate_dispatcher.rs
+++ b/crates/lilacpitch-edge/src/fleet/locate_dispatcher.rs
@@ -54,14 +54,14 @@
 
 impl QuerySender {
     /// The sender, and the dispatcher that [`run`] takes. `processes`: how many each site has.
-    pub fn new(processes: &[usize], timing: Timing, seed: u64) -> (Self, LocateDispatcher) {
+    pub(super) fn new(processes: &[usize], timing: Timing, seed: u64) -> (Self, LocateDispatcher) {
         let (events, inbox) = mpsc::channel(EVENT_QUEUE);
         let dispatcher = Mutex::new(QueryDispatcher::new(processes, timing, steady_ns(), seed));
         (QuerySender(events.clone()), LocateDispatcher { dispatcher, events, inbox })
     }
 
     /// Queries a site: what it found, or why there is no answer within the budget.
-    pub async fn query(
+    pub(super) async fn query(
         &self,
         site: usize,
         is_urgent: bool,
--- a/crates/lilacpitch-edge/src/fleet/mod.rs
+++ b/crates/lilacpitch-edge/src/fleet/mod.rs
@@ -140,25 +140,25 @@
 
 impl Handle {
     /// Says something that may be lost; whether it was taken.
-    pub fn send(&self, what: ToAgent) -> bool {
+    pub(crate) fn send(&self, what: ToAgent) -> bool {
         self.sender.try_send(what).is_ok()
     }
 
     /// Says a row: with the next [`Handle::say_due`], or soon where it is of a call. If the agent does not keep up, all
     /// rows are wanted again later.
-    pub fn publish_record(&mut self, now: Nanos, record: RecordEvent) {
+    pub(crate) fn publish_record(&mut self, now: Nanos, record: RecordEvent) {
         let may_wait = record.kind == Kind::Binding;
         let full = self.held.push(now, record, may_wait);
         self.changed(full);
     }
 
     /// When rows are due to be said.
-    pub fn due_ns(&self) -> Option<Nanos> {
+    pub(crate) fn due_ns(&self) -> Option<Nanos> {
         self.held.due_ns()
     }
 
     /// Says the rows that are due.
-    pub fn send_due_records(&mut self, now: Nanos) {
+    pub(crate) fn send_due_records(&mut self, now: Nanos) {
         let due = self.held.take_due(now);
         self.changed(due);
     }
@@ -168,7 +168,7 @@
     }
 
     /// Whether rows were lost and there is room again: then all are to be said.
-    pub fn take_republish_due(&mut self) -> bool {
+    pub(crate) fn take_republish_due(&mut self) -> bool {
         let due =
             self.has_lost_records && self.sender.capacity() > QUEUE / 2 && self.send(ToAgent::RecordsLost);
         self.has_lost_records &= !due;
@@ -176,7 +176,7 @@
     }
 
     /// For pages.
-    pub fn pages(&self) -> mpsc::Sender<ToAgent> {
+    pub(crate) fn pages(&self) -> mpsc::Sender<ToAgent> {
         self.sender.clone()
     }
 }
--- a/crates/lilacpitch-edge/src/fleet/record_publisher.rs
+++ b/crates/lilacpitch-edge/src/fleet/record_publisher.rs
@@ -39,7 +39,7 @@
         self.waiting.clear();
     }
 
-    pub fn waiting(&self) -> usize {
+    pub(super) fn waiting(&self) -> usize {
         self.waiting.len()
     }
 }
--- a/crates/lilacpitch-edge/src/lib.rs
+++ b/crates/lilacpitch-edge/src/lib.rs
@@ -4,7 +4,6 @@
 //! handed time and randomness. [`net`] is the shell around it on tokio: sockets, queues and the clock; it decides
 //! nothing. [`cli`] is the program.
 #![forbid(unsafe_code)]
-#![warn(missing_docs)]
 
 pub mod cli;
 pub mod core;
--- a/crates/lilacpitch-edge/src/net/driver.rs
+++ b/crates/lilacpitch-edge/src/net/driver.rs
@@ -44,7 +44,7 @@
 
 impl Driver {
     /// A driver without connections.
-    pub fn new(
+    pub(super) fn new(
         core: EdgeCore,
         clock: Clock,
         rng: StdRng,
@@ -70,13 +70,13 @@
     }
 
     /// Connects to the servers of the list, and joins the peers.
-    pub fn begin(&mut self, list: Pools) {
+    pub(super) fn begin(&mut self, list: Pools) {
         self.apply_endpoint_list(list);
         self.with_gossip(|gossip, now, effects| gossip.peers.start(now, effects));
     }
 
     /// Handles events until the core has stopped after `stop`, then closes all connections.
-    pub async fn run(
+    pub(super) async fn run(
         mut self,
         listener: TcpListener,
         mut inbox: mpsc::Receiver<DriverEvent>,
@@ -175,7 +175,7 @@
     }
 
     /// Hands the core an input, and carries out its effects.
-    pub fn feed(&mut self, input: Input) {
+    pub(super) fn feed(&mut self, input: Input) {
         let mut effects = std::mem::take(&mut self.effects);
         self.core.handle(self.clock.now(), input, &mut effects);
         for effect in effects.drain(..) {
@@ -291,7 +291,7 @@
     }
 
     /// A random generator for a connection.
-    pub fn fork_rng(&mut self) -> StdRng {
+    pub(super) fn fork_rng(&mut self) -> StdRng {
         StdRng::from_rng(&mut self.rng)
     }
 
--- a/crates/lilacpitch-edge/src/net/gossip_socket.rs
+++ b/crates/lilacpitch-edge/src/net/gossip_socket.rs
@@ -23,7 +23,7 @@
 
 impl GossipSocket {
     /// Opens the socket, reads the keys, and watches their file.
-    pub async fn open(
+    pub(super) async fn open(
         name: &str,
         settings: &PeersOf,
         now: Nanos,
@@ -58,7 +58,7 @@
     }
 
     /// The next datagram; one byte more than is allowed shows that it is too long. Without peers: never.
-    pub async fn receive(gossip: &Option<GossipSocket>) -> Vec<u8> {
+    pub(super) async fn receive(gossip: &Option<GossipSocket>) -> Vec<u8> {
         let Some(gossip) = gossip else { return std::future::pending().await };
         let mut buffer = [0; MAX_DATAGRAM_BYTES + 1];
         loop {
@@ -71,14 +71,14 @@
     }
 
     /// Sends if the socket takes it now: a datagram may be lost in any case.
-    pub fn send(&self, to: SocketAddr, bytes: &[u8]) {
+    pub(super) fn send(&self, to: SocketAddr, bytes: &[u8]) {
         if let Err(error) = self.socket.try_send_to(bytes, to) {
             tracing::trace!(%to, %error, "peer datagram not sent");
         }
     }
 
     /// The peers that this edge sees, and what was counted: a page for people.
-    pub fn page(&self) -> String {
+    pub(super) fn page(&self) -> String {
         let mut out = String::new();
         // Writing to a String cannot fail.
         for peer in self.peers.members() {
--- a/crates/lilacpitch-edge/src/net/watched_file.rs
+++ b/crates/lilacpitch-edge/src/net/watched_file.rs
@@ -31,7 +31,7 @@
 
 impl FileVersion {
     /// The version of the file now.
-    pub fn read(path: &str) -> std::io::Result<Self> {
+    pub(super) fn read(path: &str) -> std::io::Result<Self> {
         Ok(Self::of(&std::fs::metadata(path)?))
     }
 
--- a/crates/lilacpitch-fleet/src/lib.rs
+++ b/crates/lilacpitch-fleet/src/lib.rs
@@ -15,8 +15,7 @@
 //! since 1970, and decide nothing.
 //!
 //! **Order of locks**, in [`cache`] alone: a shard, then the list of recent purges. Never two shards.
-#![forbid(unsafe_code)]
-#![warn(missing_docs)]
+#![warn(clippy::missing_errors_doc, clippy::missing_panics_doc)]
 
 pub mod ack_aggregator;
 pub mod audit;
@@ -37,7 +36,7 @@
 
 /// The locks of [`cache`]; a test puts others in their place that try all orders.
 mod sync {
-    pub use parking_lot::Mutex;
+    pub(crate) use parking_lot::Mutex;
 }
 
 /// A moment on a steady clock, or a duration, in nanoseconds.
--- a/crates/lilacpitch-gossip/src/lib.rs
+++ b/crates/lilacpitch-gossip/src/lib.rs
@@ -8,8 +8,7 @@
 //! - [`peers`]: the state machine of all of this.
 //!
 //! Everything that comes in may be late, wrong or missing: it is bounded, checked, and counted where it is rejected.
-#![forbid(unsafe_code)]
-#![warn(missing_docs)]
+#![warn(clippy::missing_errors_doc, clippy::missing_panics_doc)]
 
 pub mod member_id;
 pub mod peers;
--- a/crates/lilacpitch-location/src/lib.rs
+++ b/crates/lilacpitch-location/src/lib.rs
@@ -9,8 +9,7 @@
 //!
 //! **Order of locks.** No function here holds two shards' locks at once, so there is no order to keep; whoever
 //! holds a lock of its own may call in here, and nothing here calls out while a shard is locked.
-#![forbid(unsafe_code)]
-#![warn(missing_docs)]
+#![warn(clippy::missing_errors_doc, clippy::missing_panics_doc)]
 
 pub mod error;
 pub mod golomb_coded_set;
@@ -21,7 +20,7 @@
 
 /// The locks of [`store`]; a test replaces them by locks that try all orders.
 mod sync {
-    pub use parking_lot::RwLock;
+    pub(crate) use parking_lot::RwLock;
 }
 
 pub use error::LocationError;
--- a/crates/lilacpitch-net/src/lib.rs
+++ b/crates/lilacpitch-net/src/lib.rs
@@ -4,7 +4,6 @@
 //! Nothing here knows a protocol or decides anything: a [`Codec`] brings the protocol, and the owner of a
 //! [`Connection`] decides what is sent, cancelled and closed.
 #![forbid(unsafe_code)]
-#![warn(missing_docs)]
 
 mod addresses;
 mod clock;
--- a/crates/lilacpitch-node/src/core/attempts.rs
+++ b/crates/lilacpitch-node/src/core/attempts.rs
@@ -22,7 +22,7 @@
 
 impl Attempt {
     /// Names this attempt of a call.
-    pub fn id(&self, call: CallId) -> AttemptId {
+    pub(super) fn id(&self, call: CallId) -> AttemptId {
         AttemptId { call, number: self.number, server: self.server }
     }
 }
--- a/crates/lilacpitch-node/src/core/path.rs
+++ b/crates/lilacpitch-node/src/core/path.rs
@@ -25,7 +25,7 @@
     ///
     /// # Errors
     /// Where a part has no value, or a value is out of its range.
-    pub fn parse(text: &str) -> Result<Path, Rejection> {
+    pub(super) fn parse(text: &str) -> Result<Path, Rejection> {
         let mut path =
             Path { first_choice: u32::MAX, circuits: 1.0, may_retry_after_cut: false, established_at: None };
         for part in text.split(';').filter(|part| !part.is_empty()) {
--- a/crates/lilacpitch-node/src/core/records.rs
+++ b/crates/lilacpitch-node/src/core/records.rs
@@ -22,7 +22,7 @@
 
 impl Caller {
     /// A caller that has just connected.
-    pub fn new(now: Nanos) -> Self {
+    pub(super) fn new(now: Nanos) -> Self {
         Caller {
             open_calls: BTreeSet::new(),
             last_active_ns: now,
@@ -51,7 +51,7 @@
 }
 
 impl Call {
-    pub fn is_established(&self) -> bool {
+    pub(super) fn is_established(&self) -> bool {
         self.setup.is_none()
     }
 }
@@ -130,7 +130,7 @@
 
 impl UpstreamConnection {
     /// A connection that is being made.
-    pub fn new(server: ServerId) -> Self {
+    pub(super) fn new(server: ServerId) -> Self {
         UpstreamConnection {
             server,
             is_up: false,
--- a/crates/lilacpitch-node/src/net/connections.rs
+++ b/crates/lilacpitch-node/src/net/connections.rs
@@ -46,7 +46,7 @@
 
 impl ConnectionContext {
     /// Starts the task of a caller's connection.
-    pub fn spawn_caller(&self, caller: CallerId, stream: TcpStream) -> ConnectionHandle {
+    pub(super) fn spawn_caller(&self, caller: CallerId, stream: TcpStream) -> ConnectionHandle {
         let outbox = Outbox::default();
         let connection = Connection {
             stream,
@@ -60,7 +60,7 @@
     }
 
     /// Starts the task that connects to a server and runs the connection.
-    pub fn spawn_upstream(&self, upstream: UpstreamId, address: SocketAddr) -> ConnectionHandle {
+    pub(super) fn spawn_upstream(&self, upstream: UpstreamId, address: SocketAddr) -> ConnectionHandle {
         let outbox = Outbox::default();
         let task = tokio::task::spawn_local(self.clone().run_upstream(upstream, address, outbox.clone()));
         ConnectionHandle { outbox, task: task.abort_handle() }
--- a/crates/lilacpitch-node/src/net/coordinator_poll.rs
+++ b/crates/lilacpitch-node/src/net/coordinator_poll.rs
@@ -75,7 +75,7 @@
 
 impl PollError {
     /// Whether there was a connection, so that the coordinator itself is at fault.
-    pub fn is_connected(&self) -> bool {
+    pub(super) fn is_connected(&self) -> bool {
         !matches!(self, PollError::Connect(_) | PollError::ConnectTimeout)
     }
 }
--- a/crates/lilacpitch-node/src/net/driver.rs
+++ b/crates/lilacpitch-node/src/net/driver.rs
@@ -72,7 +72,7 @@
 
 impl Driver {
     /// A driver whose core knows its settings and nothing else.
-    pub fn new(site: Site, seed: u64, budget: Budget, events: mpsc::Sender<DriverEvent>) -> Driver {
+    pub(super) fn new(site: Site, seed: u64, budget: Budget, events: mpsc::Sender<DriverEvent>) -> Driver {
         let (disconnect_sender, disconnects) = mpsc::unbounded_channel();
         let clock = Clock::start();
         let context = ConnectionContext {
@@ -99,7 +99,7 @@
     }
 
     /// The event loop, until the core has stopped and all connections are closed.
-    pub async fn run(
+    pub(super) async fn run(
         mut self,
         listener: TcpListener,
         mut inbox: mpsc::Receiver<DriverEvent>,
--- a/crates/lilacpitch-node/src/net/driver_event.rs
+++ b/crates/lilacpitch-node/src/net/driver_event.rs
@@ -38,7 +38,7 @@
 
 impl MalformedMessage {
     /// The kind under which it is counted and, the first time, logged.
-    pub fn kind(&self) -> &'static str {
+    pub(super) fn kind(&self) -> &'static str {
         match self {
             MalformedMessage::Caller(SipError::Head(_)) => "caller's head",
             MalformedMessage::Caller(SipError::StartLine(_)) => "caller's start line",
--- a/crates/lilacpitch-node/src/net/signals.rs
+++ b/crates/lilacpitch-node/src/net/signals.rs
@@ -24,7 +24,7 @@
     ///
     /// # Errors
     /// Where the machine refuses one.
-    pub fn install() -> io::Result<Signals> {
+    pub(super) fn install() -> io::Result<Signals> {
         Ok(Signals {
             terminate: signal(SignalKind::terminate())?,
             interrupt: signal(SignalKind::interrupt())?,
@@ -33,7 +33,7 @@
     }
 
     /// Waits for the next signal.
-    pub async fn next(&mut self) -> Command {
+    pub(super) async fn next(&mut self) -> Command {
         tokio::select! {
             _ = self.terminate.recv() => Command::Stop,
             _ = self.interrupt.recv() => Command::Stop,
--- a/crates/lilacpitch-protocol/src/lib.rs
+++ b/crates/lilacpitch-protocol/src/lib.rs
@@ -8,7 +8,6 @@
 //! Every size has a limit, named as a constant; what exceeds it is an error that says so. Nothing here panics
 //! on any input.
 #![forbid(unsafe_code)]
-#![warn(missing_docs)]
 
 pub mod frame;
 pub mod handshake;
--- a/crates/lilacpitch-site/src/lib.rs
+++ b/crates/lilacpitch-site/src/lib.rs
@@ -12,8 +12,7 @@
 //!
 //! **Locks.** [`process::Process`] and [`log::state::SiteState`] name theirs. None is held across an await, nor while
 //! another one is taken.
-#![forbid(unsafe_code)]
-#![warn(missing_docs)]
+#![warn(clippy::missing_errors_doc, clippy::missing_panics_doc)]
 
 mod ack_reporter;
 mod admin_pages;
--- a/crates/lilacpitch-site/src/read_barrier.rs
+++ b/crates/lilacpitch-site/src/read_barrier.rs
@@ -9,14 +9,14 @@
 pub(crate) struct ReadBarrier(mpsc::Sender<oneshot::Sender<bool>>);
 
 impl ReadBarrier {
-    pub fn new() -> (Self, mpsc::Receiver<oneshot::Sender<bool>>) {
+    pub(crate) fn new() -> (Self, mpsc::Receiver<oneshot::Sender<bool>>) {
         let (sender, receiver) = mpsc::channel(QUEUE_CAPACITY);
         (ReadBarrier(sender), receiver)
     }
 
     /// Returns once everything that the site had acknowledged before this call is applied here; `false` where that
     /// can't be told.
-    pub async fn wait(&self) -> bool {
+    pub(crate) async fn wait(&self) -> bool {
         let (responder, response) = oneshot::channel();
         self.0.send(responder).await.is_ok() && response.await.unwrap_or(false)
     }
--- a/crates/lilacpitch-site/src/write_queue.rs
+++ b/crates/lilacpitch-site/src/write_queue.rs
@@ -23,7 +23,7 @@
 pub(crate) struct WriteQueue(mpsc::Sender<QueuedWrite>);
 
 impl WriteQueue {
-    pub fn new() -> (Self, mpsc::Receiver<QueuedWrite>) {
+    pub(crate) fn new() -> (Self, mpsc::Receiver<QueuedWrite>) {
         let (sender, receiver) = mpsc::channel(QUEUE_CAPACITY);
         (WriteQueue(sender), receiver)
     }
@@ -37,7 +37,7 @@
     }
 
     /// Writes changes of a front's location records, numbered from `first_change` on.
-    pub async fn write_records(
+    pub(crate) async fn write_records(
         &self,
         front: ChildId,
         first_change: u64,
@@ -48,17 +48,17 @@
     }
 
     /// Appends a command to the root's command log.
-    pub async fn append_command(&self, action: CommandAction) -> Response {
+    pub(crate) async fn append_command(&self, action: CommandAction) -> Response {
         self.write(Command::AppendCommands(vec![action])).await
     }
 
     /// Appends audit records to the root's audit log.
-    pub async fn append_audit(&self, records: Vec<AuditRecord>) -> Response {
+    pub(crate) async fn append_audit(&self, records: Vec<AuditRecord>) -> Response {
         self.write(Command::AppendAudit(records)).await
     }
 
     /// Removes the records of a front's incarnations before this one.
-    pub async fn remove_older_incarnations(&self, front: String, before: u64) -> Response {
+    pub(crate) async fn remove_older_incarnations(&self, front: String, before: u64) -> Response {
         self.write(Command::RemoveOlderIncarnations(front, before)).await
     }
 }
--- a/crates/lilacpitch-testbed/src/cli.rs
+++ b/crates/lilacpitch-testbed/src/cli.rs
@@ -136,7 +136,7 @@
 }
 
 /// Runs the program. Exit codes: 0 done and all rules kept, 1 a rule broken, 2 could not run.
-pub fn main() -> ExitCode {
+pub(crate) fn main() -> ExitCode {
     match Args::parse().command {
         Command::Edge { args } => {
             lilacpitch_edge::cli::main_with(std::iter::once("lilacpitch-edge".into()).chain(args), broken())
--- a/crates/lilacpitch-testbed/src/fleet/simulated_cluster.rs
+++ b/crates/lilacpitch-testbed/src/fleet/simulated_cluster.rs
@@ -577,6 +577,10 @@
         }
     }
 
+    #[allow(
+        clippy::too_many_lines,
+        reason = "the testbed is split by concern after the packages in service; see docs/ROADMAP.md"
+    )]
     fn asked(&mut self, (from, by): (usize, u64), to: usize, id: u64, request: Request) {
         let now = self.local(to);
         let who = ChildId { name: self.nodes[from].name.clone(), incarnation: by };
@@ -592,10 +596,8 @@
                 Some(said)
             }
             (Kindly::Site(site), Request::ReportAcknowledged { acknowledged, missing, missing_count }) => {
-                site.relay.record_aggregated_ack(
-                    &who,
-                    AggregatedAck { acknowledged: acknowledged, missing, missing_count },
-                );
+                site.relay
+                    .record_aggregated_ack(&who, AggregatedAck { acknowledged, missing, missing_count });
                 Some(Response::Done)
             }
             (Kindly::Site(site), Request::FindRecords { query, after, limit, .. }) => {
--- a/crates/lilacpitch-testbed/src/lib.rs
+++ b/crates/lilacpitch-testbed/src/lib.rs
@@ -16,7 +16,6 @@
 //!
 //! All figures are figures of simulated servers.
 #![forbid(unsafe_code)]
-#![warn(missing_docs)]
 
 pub mod baseline;
 pub mod bound;
--- a/crates/lilacpitch-testbed/src/report.rs
+++ b/crates/lilacpitch-testbed/src/report.rs
@@ -60,6 +60,10 @@
 }
 
 /// Sums up a day's records.
+#[allow(
+    clippy::too_many_lines,
+    reason = "the testbed is split by concern after the packages in service; see docs/ROADMAP.md"
+)]
 pub fn report(day: &Day, records: &[Record], start_ns: Nanos) -> Report {
     let mut order: Vec<&Record> = records.iter().collect();
     order.sort_by_key(|r| r.at_ns);
--- a/crates/lilacpitch/src/lib.rs
+++ b/crates/lilacpitch/src/lib.rs
@@ -8,7 +8,6 @@
 //! The example below is part of the tests.
 #![doc = include_str!("../README.md")]
 #![forbid(unsafe_code)]
-#![warn(missing_docs)]
 
 pub mod controller;
 pub mod interface;
