--- a/crates/lilacpitch-edge/src/fleet/admin_pages.rs
+++ b/crates/lilacpitch-edge/src/fleet/admin_pages.rs
@@ -1,19 +1,98 @@
 //! Pages of the agent, beside the front's metrics: `/fleet` and `/locate`.
 
 use super::Agent;
+use lilacpitch_fleet::error::LocateError;
 use lilacpitch_fleet::locate::{LocateAnswer, SiteOutcome, MAX_LIMIT};
-use lilacpitch_location::{Kind, Number, Query, QueryTarget};
+use lilacpitch_location::{Key, Kind, LocationError, Number, Query, QueryTarget};
 use lilacpitch_rpc::steady_ns;
 use std::fmt::Write;
 use std::sync::atomic::Ordering::Relaxed;
 use std::sync::Arc;
 use std::time::Duration;
+use thiserror::Error;
 
 /// How long an operator's search may take.
 const SEARCH: Duration = Duration::from_secs(2);
+/// Records on a page unless `limit` names another number.
+const DEFAULT_LIMIT: usize = 100;
+/// The longest prefix that is searched for: a number with its plus sign.
+const MAX_PREFIX_BYTES: usize = 33;
 const USAGE: &str = "/locate?number=N, or /locate?search=PREFIX&kind=reached|standing&class=C&trunk_group=T&\
                      from_ms=A&to_ms=B&limit=L&cursor=CURSOR\n";
 
+/// Why a page of `/locate` shows no records. Each text is followed by the page's usage.
+#[derive(Debug, Error)]
+enum LocatePageError {
+    #[error(transparent)]
+    Number(#[from] LocationError),
+    #[error(transparent)]
+    Locate(#[from] LocateError),
+    #[error("the lease ran out meanwhile: ask again")]
+    LeaseExpired,
+    #[error("neither number nor search")]
+    NothingNamed,
+    #[error("search {0:?}: not a prefix")]
+    Prefix(String),
+    #[error("{name} {value:?}")]
+    Field { name: &'static str, value: String },
+}
+
+/// The arguments of a page, `name=value` joined by `&`.
+struct PageArguments<'a>(&'a str);
+
+impl PageArguments<'_> {
+    fn field(&self, name: &str) -> Option<String> {
+        let mut fields = self.0.split('&').filter_map(|part| part.split_once('='));
+        fields.find(|(found, _)| *found == name).map(|(_, value)| value.replace("%23", "#"))
+    }
+
+    fn whole_number(&self, name: &'static str) -> Result<Option<u64>, LocatePageError> {
+        let parse = |value: String| value.parse().map_err(|_| LocatePageError::Field { name, value });
+        self.field(name).map(parse).transpose()
+    }
+}
+
+/// A search for location records by prefix.
+struct Search {
+    query: Query,
+    after: Option<Key>,
+    limit: usize,
+}
+
+impl Search {
+    fn parse(arguments: &PageArguments<'_>) -> Result<Self, LocatePageError> {
+        let prefix = arguments.field("search").ok_or(LocatePageError::NothingNamed)?;
+        if !prefix.bytes().all(|b| b.is_ascii_graphic()) || prefix.len() > MAX_PREFIX_BYTES {
+            return Err(LocatePageError::Prefix(prefix));
+        }
+        let kind = Self::parse_kind(arguments.field("kind"))?;
+        let since_ms = match (arguments.whole_number("from_ms")?, arguments.whole_number("to_ms")?) {
+            (None, None) => None,
+            (from, to) => Some((from.unwrap_or(0), to.unwrap_or(u64::MAX))),
+        };
+        let class = arguments.field("class");
+        let trunk_group = arguments.field("trunk_group");
+        let query = Query { target: QueryTarget::Prefix(prefix), kind, class, trunk_group, since_ms };
+        let limit = arguments.whole_number("limit")?;
+        let limit = limit.map_or(DEFAULT_LIMIT, |limit| limit as usize).clamp(1, MAX_LIMIT);
+        let after = arguments.field("cursor").map(Self::parse_cursor).transpose()?;
+        Ok(Search { query, after, limit })
+    }
+
+    fn parse_kind(value: Option<String>) -> Result<Option<Kind>, LocatePageError> {
+        match value.as_deref() {
+            None => Ok(None),
+            Some("reached") => Ok(Some(Kind::Binding)),
+            Some("standing") => Ok(Some(Kind::ActiveCall)),
+            Some(other) => Err(LocatePageError::Field { name: "kind", value: other.into() }),
+        }
+    }
+
+    fn parse_cursor(value: String) -> Result<Key, LocatePageError> {
+        read_cursor(&value).ok_or(LocatePageError::Field { name: "cursor", value })
+    }
+}
+
 impl Agent {
     /// A page by its target; `None`: there is none.
     pub(super) async fn page(self: &Arc<Self>, target: &str) -> Option<String> {
@@ -28,50 +107,24 @@
         }
     }
 
-    async fn locate(self: &Arc<Self>, asked: &str) -> Result<String, String> {
-        let fields = || asked.split('&').filter_map(|part| part.split_once('='));
-        let field = |name: &str| fields().find(|(n, _)| *n == name).map(|(_, v)| v.replace("%23", "#"));
-        if let Some(number) = field("number") {
-            let number = Number::new(&number).map_err(|e| e.to_string())?;
-            let patience = Duration::from_nanos(self.of.locate_longest_ns * 2);
-            // As for a call: from the cache where that may be used, and judged as it would be there.
-            let (answer, until_ns) = self.number(&number, patience).await.map_err(|e| e.to_string())?;
-            if steady_ns() >= until_ns && self.guards.cache_leases {
-                return Err("the lease ran out meanwhile: ask again".into());
-            }
-            return Ok(written(&answer));
+    async fn locate(self: &Arc<Self>, arguments: &str) -> Result<String, LocatePageError> {
+        let arguments = PageArguments(arguments);
+        if let Some(number) = arguments.field("number") {
+            return self.locate_number(&Number::new(&number)?).await;
         }
-        let prefix = field("search").ok_or("neither number nor search")?;
-        if !prefix.bytes().all(|b| b.is_ascii_graphic()) || prefix.len() > 33 {
-            return Err(format!("search {prefix:?}: not a prefix"));
+        let search = Search::parse(&arguments)?;
+        let found = self.search(search.query, search.after, search.limit, SEARCH).await;
+        Ok(written(&found))
+    }
+
+    /// As for a call: from the cache where that may be used, and judged as it would be there.
+    async fn locate_number(self: &Arc<Self>, number: &Number) -> Result<String, LocatePageError> {
+        let timeout = Duration::from_nanos(self.of.locate_longest_ns * 2);
+        let (answer, until_ns) = self.number(number, timeout).await?;
+        if steady_ns() >= until_ns && self.guards.cache_leases {
+            return Err(LocatePageError::LeaseExpired);
         }
-        let whole = |name: &str| {
-            field(name).map(|v| v.parse::<u64>().map_err(|_| format!("{name} {v:?}"))).transpose()
-        };
-        let kind = match field("kind").as_deref() {
-            None => None,
-            Some("reached") => Some(Kind::Binding),
-            Some("standing") => Some(Kind::ActiveCall),
-            Some(other) => return Err(format!("kind {other:?}")),
-        };
-        let since = (whole("from_ms")?, whole("to_ms")?);
-        let since_ms = match since {
-            (None, None) => None,
-            (from, to) => Some((from.unwrap_or(0), to.unwrap_or(u64::MAX))),
-        };
-        let query = Query {
-            target: QueryTarget::Prefix(prefix),
-            kind,
-            class: field("class"),
-            trunk_group: field("trunk_group"),
-            since_ms,
-        };
-        let limit = whole("limit")?.map_or(100, |limit| limit as usize).clamp(1, MAX_LIMIT);
-        let after = match field("cursor") {
-            Some(cursor) => Some(read_cursor(&cursor).ok_or(format!("cursor {cursor:?}"))?),
-            None => None,
-        };
-        Ok(written(&self.search(query, after, limit, SEARCH).await))
+        Ok(written(&answer))
     }
 
     fn state(&self) -> String {
@@ -118,7 +171,7 @@
 }
 
 /// A cursor as it is written on a page: the key's parts, in an order that reads back.
-fn read_cursor(text: &str) -> Option<lilacpitch_location::Key> {
+fn read_cursor(text: &str) -> Option<Key> {
     let mut parts = text.split('|');
     let number = Number::new(parts.next()?).ok()?;
     let kind = match parts.next()? {
@@ -129,7 +182,7 @@
     let (name, front) = (parts.next()?.to_string(), parts.next()?.to_string());
     let (life, serial) = (parts.next()?.parse().ok()?, parts.next()?.parse().ok()?);
     let holder = lilacpitch_location::Owner { name, front, incarnation: life, serial };
-    Some(lilacpitch_location::Key { number, kind, owner: holder })
+    Some(Key { number, kind, owner: holder })
 }
 
 fn written(answer: &LocateAnswer) -> String {
--- a/crates/lilacpitch-edge/tests/cli.rs
+++ b/crates/lilacpitch-edge/tests/cli.rs
@@ -3,7 +3,7 @@
 use std::process::Command;
 
 #[test]
-fn a_mistake_in_the_settings_is_said_once() {
+fn reports_a_mistake_in_the_settings_once() {
     let folder = tempfile::tempdir().unwrap();
     let path = folder.path().join("edge.cue");
     std::fs::write(&path, "listen: \"127.0.0.1:70000\"\n").unwrap();
--- a/crates/lilacpitch-edge/tests/fleet_off.rs
+++ b/crates/lilacpitch-edge/tests/fleet_off.rs
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn a_front_without_a_fleet_has_one_thread_and_two_sockets_and_one_with_it_has_more() {
+fn front_without_a_fleet_has_one_thread_and_two_sockets() {
     let dir = tempfile::tempdir().unwrap();
     let mut child = run(dir.path(), "");
     let (alone, sockets) = (threads(&child), tcp_sockets(&child));
@@ -71,7 +71,7 @@
 }
 
 #[test]
-fn a_front_node_starts_no_thread_and_refuses_no_start_whatever_the_fleet_is() {
+fn front_node_starts_no_thread_whatever_the_fleet_settings_are() {
     let dir = tempfile::tempdir().unwrap();
     // The settings of a node have no place for a fleet: one that is there is passed over like all that is not known.
     let listen = lilacpitch_net::free_addresses(3).unwrap();
--- a/crates/lilacpitch-edge/tests/hard_cases.rs
+++ b/crates/lilacpitch-edge/tests/hard_cases.rs
@@ -16,7 +16,7 @@
 }
 
 #[test]
-fn a_caller_drops_its_socket_mid_call() {
+fn ends_the_attempt_when_a_caller_drops_its_socket() {
     let (servers, edge) = two();
     let (mut caller, mut other) = (Caller::connect(&edge), Caller::connect(&edge));
     caller.setup("standing", Some(0), 3_000);
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn a_server_resets_after_the_send() {
+fn retries_when_a_server_resets_after_the_setup() {
     let (servers, edge) = two();
     let mut caller = Caller::connect(&edge);
     caller.setup("c", Some(0), 3_000);
@@ -56,7 +56,7 @@
 }
 
 #[test]
-fn a_call_that_stands_is_cut_with_its_connection() {
+fn cuts_an_established_call_with_its_connection() {
     let (servers, edge) = two();
     let mut caller = Caller::connect(&edge);
     caller.setup("c", Some(0), 3_000);
@@ -77,7 +77,7 @@
 }
 
 #[test]
-fn an_answer_comes_with_the_time_out() {
+fn gives_one_answer_when_it_comes_with_the_timeout() {
     // The front keeps 10 ms back: answers around 390 ms meet the time-out of a budget of 400 ms.
     for delay in (382..=398).step_by(2) {
         // A server that was late is held back from for a while: a new front each time.
@@ -99,7 +99,7 @@
 }
 
 #[test]
-fn an_answer_after_the_end_of_its_call_is_released() {
+fn releases_an_answer_after_the_end_of_its_call() {
     let (servers, edge) = two();
     let mut caller = Caller::connect(&edge);
     let asked = caller.setup("c", Some(0), 150);
@@ -117,7 +117,7 @@
 }
 
 #[test]
-fn a_call_id_in_use_is_refused_and_the_call_lives_on() {
+fn rejects_a_call_id_in_use_and_continues_the_first_call() {
     let (servers, edge) = two();
     let mut caller = Caller::connect(&edge);
     caller.setup("c", Some(0), 3_000);
@@ -138,7 +138,7 @@
 }
 
 #[test]
-fn a_release_before_the_answer() {
+fn ends_the_call_when_released_before_the_answer() {
     let (servers, edge) = two();
     let mut caller = Caller::connect(&edge);
     caller.setup("c", Some(0), 3_000);
@@ -156,7 +156,7 @@
 }
 
 #[test]
-fn a_server_says_rubbish() {
+fn survives_malformed_messages_of_a_server() {
     let (servers, edge) = two();
     let mut caller = Caller::connect(&edge);
     caller.setup("c", Some(0), 3_000);
@@ -183,7 +183,7 @@
 }
 
 #[test]
-fn a_server_accepts_and_never_upgrades() {
+fn survives_a_server_that_never_upgrades() {
     let servers = Servers::start(&[false, true]);
     let edge = Edge::start(&servers, "").ready(&servers, 1);
     let mut caller = Caller::connect(&edge);
@@ -201,7 +201,7 @@
 }
 
 #[test]
-fn a_connection_lost_is_made_again_after_the_list_could_have_told_of_a_start() {
+fn reconnects_after_the_endpoint_list_could_have_reported_a_restart() {
     let (servers, edge) = two();
     servers.all[0].reset(0);
     let lost = Instant::now();
@@ -212,7 +212,7 @@
 }
 
 #[test]
-fn the_pool_list_drops_a_server_with_calls_out() {
+fn moves_calls_when_the_list_removes_their_server() {
     let (servers, edge) = two();
     let mut caller = Caller::connect(&edge);
     caller.setup("standing", Some(0), 5_000);
@@ -251,7 +251,7 @@
 }
 
 #[test]
-fn a_pool_whose_servers_are_gone_at_the_start_is_known_by_the_settings() {
+fn knows_a_pool_of_the_settings_without_servers_at_the_start() {
     let servers = Servers::start(&[true]);
     let edge = Edge::start(&servers, "pools: [\"p7\"]").ready(&servers, 1);
     let mut caller = Caller::connect(&edge);
@@ -263,7 +263,7 @@
 }
 
 #[test]
-fn a_pool_list_that_cannot_be_read_leaves_the_one_in_hand() {
+fn retains_the_current_list_when_a_new_one_is_unreadable() {
     let (servers, edge) = two();
     for (count, text) in ["servers: [", "servers: [{name: 3}]", "\u{0}"].into_iter().enumerate() {
         edge.write_list(text);
@@ -278,7 +278,7 @@
 }
 
 #[test]
-fn the_front_stands_still_for_two_seconds() {
+fn answers_once_after_a_stall_of_two_seconds() {
     let (servers, edge) = two();
     let mut caller = Caller::connect(&edge);
     caller.setup("short", Some(0), 800);
@@ -306,7 +306,7 @@
 }
 
 #[test]
-fn what_waited_through_a_stall_has_less_time_left() {
+fn counts_a_stall_against_the_time_of_queued_calls() {
     // Found on a drawn day: a call sent to a front that stood still was given its whole time from the reading on.
     let (servers, edge) = two();
     let mut caller = Caller::connect(&edge);
@@ -326,7 +326,7 @@
 }
 
 #[test]
-fn a_caller_that_does_not_read_is_cut_off_and_others_do_not_feel_it() {
+fn disconnects_a_caller_that_does_not_read_without_delaying_others() {
     let servers = Servers::start(&[true]);
     let edge = Edge::start(&servers, "limits: queue: 8").ready(&servers, 1);
     let (mut deaf, _) = open(edge.callers);
@@ -380,7 +380,7 @@
 }
 
 #[test]
-fn bounds_on_callers_and_calls_hold() {
+fn enforces_limits_on_callers_and_calls() {
     let servers = Servers::start(&[true]);
     let more = "limits: {callers: 2, calls: 3, calls_per_caller: 2}";
     let edge = Edge::start(&servers, more).ready(&servers, 1);
@@ -401,7 +401,7 @@
 }
 
 #[test]
-fn a_stop_takes_no_new_calls_and_gives_what_stands_its_time() {
+fn rejects_new_calls_when_stopping_and_lets_active_calls_finish() {
     let (servers, mut edge) = two();
     let mut caller = Caller::connect(&edge);
     caller.setup("standing", Some(0), 3_000);
--- a/crates/lilacpitch-edge/tests/peers.rs
+++ b/crates/lilacpitch-edge/tests/peers.rs
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn fronts_find_each_other_and_notice_who_leaves_and_who_dies() {
+fn fronts_discover_each_other_and_notice_departures_and_deaths() {
     let folder = tempfile::tempdir().unwrap();
     let key = key_file(folder.path(), "key", &[1]);
     let at = ports(4);
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn a_new_front_is_told_of_a_silent_server_and_does_not_try_it_first() {
+fn new_front_learns_of_an_unresponsive_server_and_does_not_select_it_first() {
     let folder = tempfile::tempdir().unwrap();
     let key = key_file(folder.path(), "key", &[1]);
     let at = ports(4);
--- a/crates/lilacpitch-edge/tests/peers_hard.rs
+++ b/crates/lilacpitch-edge/tests/peers_hard.rs
@@ -185,7 +185,7 @@
 }
 
 #[test]
-fn facts_that_are_minutes_old_are_as_none() {
+fn ignores_reports_that_are_minutes_old() {
     let servers = Servers::start(&[true, true]);
     let old = vec![ServerReport { age_ms: 300_000, ..silent(0) }];
     let (edge, _fakes, _key) = asks(
@@ -237,7 +237,7 @@
 }
 
 #[test]
-fn peers_that_call_a_silent_server_fine_keep_no_call_there() {
+fn leaves_an_unresponsive_server_that_peers_report_well() {
     let servers = Servers::start(&[true, true]);
     let fine = || (vec![well(0), well(1)], Quirk::default());
     let (edge, _fakes, _key) = asks(&servers, &[fine(), fine(), fine()], 6);
@@ -265,7 +265,7 @@
 }
 
 #[test]
-fn a_peer_that_restarts_while_asked_is_asked_again() {
+fn requests_reports_again_from_a_peer_that_restarts() {
     let servers = Servers::start(&[true, true]);
     let dies = Quirk { dies_asked: true, ..Quirk::default() };
     let (edge, _fakes, _key) = asks(&servers, &[(vec![well(0), well(1)], dies)], 2);
@@ -274,7 +274,7 @@
 }
 
 #[test]
-fn twenty_that_start_at_once_and_ask_the_same_peer_are_all_seen_and_carry_calls() {
+fn twenty_fronts_that_start_at_once_discover_all_and_carry_calls() {
     let servers = Servers::start(&[true, true]);
     let (key, at) = (key_file(), ports(21));
     let warm = Edge::start(&servers, &peers(at[0], "", &at[..1], &path(&key))).ready(&servers, 2);
@@ -302,7 +302,7 @@
 }
 
 #[test]
-fn a_network_that_damages_half_of_all_datagrams_is_named_and_calls_do_not_feel_it() {
+fn counts_damaged_datagrams_and_carries_calls_all_the_same() {
     let servers = Servers::start(&[true, true]);
     let (edges, relay, _key) = behind_a_relay(&servers);
     relay.weather(Weather { damaged: 50, lost: 20, split: 0 });
@@ -322,7 +322,7 @@
 }
 
 #[test]
-fn with_all_messages_lost_a_front_starts_and_a_split_that_heals_is_whole_again() {
+fn starts_without_any_datagrams_and_recovers_from_a_healed_split() {
     let servers = Servers::start(&[true, true]);
     let (edges, relay, _key) = behind_a_relay(&servers);
     until(SOON * 2, "all see all", || edges.iter().all(|e| sees(e) == 2));
