--- a/crates/lilacpitch-edge/src/lib.rs
+++ b/crates/lilacpitch-edge/src/lib.rs
@@ -1,8 +1,8 @@
-//! The front of lilacpitch: carries calls between callers and signalling servers.
+//! The edge of lilacpitch: carries calls between callers and signalling servers over WebSocket.
 //!
-//! [`front`] is its core. It owns calls, attempts, links, timers and the decision module, does no I/O, and is
-//! handed time and randomness. [`net`] is the shell around it on tokio: sockets, queues and the clock; it decides
-//! nothing. [`cli`] is the program.
+//! [`core`] owns calls, attempts, upstream connections, timers and the decision module; it does no I/O, and time and
+//! randomness are arguments. [`net`] is the shell around it on tokio: sockets, queues and the clock; it decides
+//! nothing. `fleet` is the edge's agent in the fleet. [`cli`] is the program.
 #![forbid(unsafe_code)]
 
 pub mod cli;
--- a/crates/lilacpitch-location/src/summary.rs
+++ b/crates/lilacpitch-location/src/summary.rs
@@ -101,7 +101,7 @@
         self.changes.version
     }
 
-    /// The update for another process, as [`Changes::since`].
+    /// The update for another process, as [`ShardChanges::since`].
     pub fn since(&self, shard: u32, known: Option<u64>) -> Option<ShardUpdate> {
         self.changes.since(shard, known)
     }
--- a/crates/lilacpitch-node/src/net/mod.rs
+++ b/crates/lilacpitch-node/src/net/mod.rs
@@ -1,7 +1,7 @@
 //! The shell around [`NodeCore`](crate::core::NodeCore): sockets, queues, signals and the clock, on tokio. It decides
 //! nothing.
 //!
-//! Everything runs on one thread as tasks of a `LocalSet`: the [driver](driver) owns the core, one task owns each
+//! Everything runs on one thread as tasks of a `LocalSet`: the [`driver`] owns the core, one task owns each
 //! connection, and bounded queues join them. A connection that can't keep up is closed, and never waited for.
 
 mod codecs;
--- a/crates/lilacpitch-testbed/src/day.rs
+++ b/crates/lilacpitch-testbed/src/day.rs
@@ -158,7 +158,7 @@
     Restart,
     /// No datagram between fronts arrives.
     PeersLost,
-    /// This share of the datagrams between fronts, `size`, is damaged: see [`crate::network::damaged`].
+    /// This share of the datagrams between fronts, `size`, is damaged: see [`crate::simulated_network::damaged`].
     PeersDamaged,
     /// What the list tells in this span reaches fronts `wait` late. In virtual time only.
     ListLate,
--- a/crates/lilacpitch-testbed/src/fleet/mod.rs
+++ b/crates/lilacpitch-testbed/src/fleet/mod.rs
@@ -1,13 +1,13 @@
-//! The fleet in the laboratory: real processes by the dozen, faults between them, and the judge of the promises.
+//! The fleet in the testbed: clusters of real processes, faults between them, and the checker of the guarantees.
 //!
-//! - [`wire`]: the network between processes: every connection goes through a relay that holds, delays, doubles,
-//!   swaps, slows and resets, each direction by itself, and reads what crosses.
-//! - [`town`]: sites and fronts as processes, their settings, signals and pages.
+//! - [`fault_proxy`]: the network between processes: every connection goes through a proxy that holds, delays,
+//!   duplicates, reorders, slows and resets, each direction by itself, and records what crosses.
+//! - [`cluster`]: sites and fronts as processes, their settings, signals and pages.
 //! - [`caller`]: a handset on a socket.
-//! - [`scene`]: one thing after the other in a town.
-//! - [`day`]: handsets that move, people who look, faults drawn over both.
-//! - [`virtual_town`]: the same cores in virtual time, sites in tiers and fronts by the hundred.
-//! - [`judge`]: the eight promises, judged by what was seen at sockets alone.
+//! - [`scenario`]: steps in a cluster, one after the other.
+//! - [`day`]: handsets that move, operators' queries, faults drawn over both.
+//! - [`simulated_cluster`]: the same cores in simulated time, sites in tiers and fronts by the hundred.
+//! - [`promises_checker`]: the eight guarantees, checked by what was seen at sockets alone.
 
 pub mod caller;
 pub mod cluster;
--- a/crates/lilacpitch-testbed/src/lib.rs
+++ b/crates/lilacpitch-testbed/src/lib.rs
@@ -1,18 +1,19 @@
-//! The laboratory of lilacpitch.
+//! The testbed of lilacpitch: it runs edges, nodes and sites against simulated servers and callers, and checks what
+//! crossed the sockets.
 //!
-//! - [`model`]: simulated servers and callers, without I/O, in whatever time they are handed.
-//! - [`record`] and [`judge`]: what stand-ins saw at their sockets, and the verdict on the five rules from it.
-//! - [`day`]: a day as a typed record; [`play`] plays it with real edge processes on loopback,
-//!   [`virtual_day`] with the same front and the same models in virtual time.
+//! - [`simulation`]: simulated servers and callers, without I/O; time is an argument.
+//! - [`record`] and [`call_rules_checker`]: what the stand-ins saw at their sockets, and which of the five rules it violates.
+//! - [`day`]: a scenario as a typed record; [`runner`] runs it with real edge processes on loopback, [`simulated_run`]
+//!   with the same core and the same models in simulated time.
 //! - [`report`]: service by class, the worst ten seconds, latency.
-//! - [`newcomers`]: how a front that starts anew does beside warm ones.
-//! - [`relay`]: the network between real fronts, which loses, damages and cuts off.
-//! - [`network`]: fronts that know each other on a network that loses, delays and cuts off, and [`membership`]: how
-//!   they keep view of each other there, as they grow in number.
-//! - [`baseline`]: well-known policies in the module's place, [`bound`] what no front could do better, and
-//!   [`compare`] all of them on the same days.
-//! - [`fleet`]: sites and fronts as processes, faults between them, the judge of the eight promises.
-//! - [`load`]: how fast a front is, and what it costs.
+//! - [`newcomers`]: fronts that restart, compared with fronts that have run for a while.
+//! - [`datagram_relay`]: the network between real fronts, which loses, damages and cuts off.
+//! - [`simulated_network`]: gossip among fronts on a network that loses, delays and cuts off, and [`membership`]: how
+//!   soon they notice joins and failures there.
+//! - [`baseline`]: well-known policies in the module's place, [`bound`]: what no front could exceed, and
+//!   [`compare`]: all of them on the same scenarios.
+//! - [`fleet`]: sites and fronts as processes, faults between them, the checker of the eight guarantees.
+//! - [`load`]: how fast an edge is, and what it costs.
 //!
 //! All figures are figures of simulated servers.
 #![forbid(unsafe_code)]
