--- a/crates/lilacpitch-edge/src/core/attempts.rs
+++ b/crates/lilacpitch-edge/src/core/attempts.rs
@@ -1,25 +1,27 @@
 //! Attempts: a set-up forwarded to one server, resent while unanswered, cancelled or completed.
 //!
-//! Each attempt ends once, with an [`Outcome`] that the controller gets; its server is told where it may know of it.
+//! Each attempt ends once, with an [`Outcome`] that is reported to the controller. If its server may have
+//! received the set-up, it is informed of the end as well.
 
 use super::{AttemptId, EdgeCore, Effect, Timer, UpstreamId};
 use lilacpitch::interface::{LoadReport, Nanos, Outcome, ServerId};
 use lilacpitch::Event;
 use lilacpitch_protocol::message::signal::ToServer;
 
-/// How far an attempt has come.
+/// The progress of an attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum AttemptState {
-    /// Waits for a connection.
+    /// The set-up waits for a connection.
     Queued,
-    /// Given to a connection as its message of this number, and not answered yet.
+    /// The set-up was handed to a connection as its message of this number, and is not answered.
     InFlight { upstream: UpstreamId, message: u64 },
-    /// The call is established there.
+    /// The call is established at the server.
     Established,
 }
 
 impl AttemptState {
-    /// Whether the set-up was given to a connection, so that the server must be told of the attempt's end.
+    /// Whether the set-up was handed to a connection, so that the server must be informed of the attempt's
+    /// end.
     fn was_transmitted(self) -> bool {
         self != AttemptState::Queued
     }
@@ -30,17 +32,17 @@
 pub(super) struct Attempt {
     pub call: u64,
     pub server: ServerId,
-    /// Its number among the call's attempts, from 0.
+    /// Index among the call's attempts, from 0.
     pub index: u32,
     pub state: AttemptState,
-    /// How long until the set-up is sent again: doubled with each time.
+    /// Time until the set-up is sent again; doubled with each transmission.
     resend_interval_ns: Nanos,
-    /// How often the set-up was given to a connection.
+    /// Number of times that the set-up was handed to a connection.
     transmissions: u32,
 }
 
 impl EdgeCore {
-    /// Begins an attempt: the controller sends a call to a server.
+    /// Begins an attempt: forwards a call to a server that the controller selected.
     pub(super) fn forward_setup(
         &mut self,
         call_id: u64,
@@ -66,7 +68,7 @@
         if self.servers.is_connected(server) {
             self.transmit_setup(id, effects);
         } else if !self.servers.is_connecting(server) {
-            // Never reached: the next attempt to connect is the reconnect timer's.
+            // The server is unreachable; the reconnect timer will try to connect again.
             self.end_attempt(id, Outcome::Unreachable, LoadReport::default(), effects);
         }
         if !self.safeguards.one_attempt {
@@ -74,7 +76,8 @@
         }
     }
 
-    /// What an edge without [`Safeguards::one_attempt`](super::Safeguards) does: for tests of the checker.
+    /// Sends a second set-up of the same call, as an edge without
+    /// [`Safeguards::one_attempt`](super::Safeguards) does, for tests of the checker.
     fn send_second_setup(&mut self, call_id: u64, server: ServerId, effects: &mut Vec<Effect>) {
         let (Some(other), Some(call)) = (self.servers.connected_other_than(server), self.calls.get(&call_id))
         else {
@@ -92,7 +95,7 @@
         self.transmit(other, &message, None, effects);
     }
 
-    /// Gives an attempt's set-up to its server's connection, for the first time or again.
+    /// Sends the set-up of an attempt on its server's connection, for the first time or again.
     pub(super) fn transmit_setup(&mut self, id: AttemptId, effects: &mut Vec<Effect>) {
         let Some(attempt) = self.attempts.get(&id) else { return };
         let Some(call) = self.calls.get(&attempt.call) else { return };
@@ -120,18 +123,18 @@
         self.timers.set(Timer::Resend(id), self.now + interval_ns);
     }
 
-    /// How long a set-up may wait in a connection's queue: half of the grace after a drain, so that none leaves
-    /// past the grace even if it was queued just before the drain.
+    /// When a set-up that is queued now is discarded if it has not been written: after half of the drain
+    /// grace period, so that none is sent after the grace period even if it was queued just before the drain.
     fn setup_deadline_ns(&self) -> Nanos {
         self.now + self.settings.rules.drain_grace_ns / 2
     }
 
-    /// Sends an unanswered set-up again, but not to a server that drains: if the first was lost, this one would be
-    /// new work there.
+    /// Sends an unanswered set-up again, but not to a draining server: if the first one was lost, this one
+    /// would be new work there.
     pub(super) fn resend(&mut self, id: AttemptId, effects: &mut Vec<Effect>) {
         let Some(attempt) = self.attempts.get(&id) else { return };
         let is_in_flight = matches!(attempt.state, AttemptState::InFlight { .. });
-        // After a stall of this edge both timers may be due: what has timed out is not sent again.
+        // After a stall of this edge both timers may be due: an attempt that has timed out is not sent again.
         let has_timed_out = self.timers.at(Timer::AttemptTimeout(id)).is_none_or(|at| at <= self.now);
         let may_be_sent = self.servers.is_in_service(attempt.server) || !self.safeguards.drain_deadline;
         if is_in_flight && !has_timed_out && may_be_sent {
@@ -148,7 +151,8 @@
         }
     }
 
-    /// Ends an attempt that has no answer: its server is told if it may know of it, the controller in any case.
+    /// Ends an attempt that is not established. The controller is informed, and so is the server if it may
+    /// have received the set-up and does not know of the end.
     pub(super) fn end_attempt(
         &mut self,
         id: AttemptId,
@@ -175,7 +179,7 @@
         self.disconnect_if_removed(attempt.server, effects);
     }
 
-    /// Cancels the attempt of a call that is abandoned. The controller is told that no further one follows.
+    /// Cancels the attempt of an abandoned call, and informs the controller that no further attempt follows.
     pub(super) fn abandon_attempt(&mut self, id: AttemptId, effects: &mut Vec<Effect>) {
         let Some(attempt) = self.attempts.remove(&id) else { return };
         self.forget_attempt(id, attempt.server);
@@ -206,7 +210,7 @@
         self.timers.clear(Timer::Resend(id));
     }
 
-    /// Reports an attempt's end to the controller. `is_final`: its call has ended with it.
+    /// Reports the end of an attempt to the controller. `is_final`: its call has ended with it.
     pub(super) fn report_completion(
         &mut self,
         attempt: &Attempt,
--- a/crates/lilacpitch-edge/src/core/calls.rs
+++ b/crates/lilacpitch-edge/src/core/calls.rs
@@ -1,6 +1,6 @@
-//! Calls: accepted, answered once, established, released.
+//! The life cycle of calls: accepted, answered once, established, released.
 //!
-//! A call is in the tables until its one final answer is sent or, once established, until it is released.
+//! A call is in the tables until its one final answer is sent or, once established, until it ends.
 
 use super::attempts::AttemptState;
 use super::site::{hash_dialled_number, NO_POOL};
@@ -11,7 +11,7 @@
 use lilacpitch_protocol::message::signal::ReleaseCause;
 use thiserror::Error;
 
-/// A caller's request to set a call up.
+/// A caller's request to set up a call.
 pub(super) struct SetupRequest {
     pub call: String,
     pub class: String,
@@ -20,7 +20,7 @@
     pub budget_ms: u64,
 }
 
-/// Why a set-up gets an `error` and no final answer. The texts cross the wire.
+/// Why a set-up is answered by an `error` and not by a final answer. The texts are sent to callers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 enum SetupError {
     #[error("unknown caller")]
@@ -39,37 +39,37 @@
     UnknownPool,
 }
 
-/// A call that was accepted and has not ended.
+/// An accepted call that has not ended.
 #[derive(Debug)]
 pub(super) struct Call {
     pub caller: CallerId,
-    /// The id that the caller gave it.
+    /// The id that the caller gave the call.
     pub name: String,
-    /// The id by which servers and logs know it.
+    /// The id of the call in messages to servers and in logs.
     pub label: String,
     pub class: String,
     pub number: Option<String>,
     pub is_established: bool,
-    /// While the fleet looks its number up.
+    /// Set while the fleet looks up the call's number.
     pub pending_locate: Option<PendingLocate>,
-    /// The attempt that is queued, in flight or established.
+    /// The current attempt: queued, in flight or established.
     pub attempt: Option<AttemptId>,
-    /// How many attempts were begun.
+    /// Number of attempts begun so far.
     attempts: u32,
     span: tracing::Span,
 }
 
-/// A call that waits for the fleet.
+/// The state of a call that waits for a locate.
 #[derive(Debug)]
 pub(super) struct PendingLocate {
-    /// What the controller gets once the fleet has answered.
+    /// The call as it will be passed to the controller after the locate.
     pub call: interface::Call,
     /// When the wait began.
     pub since_ns: Nanos,
 }
 
 impl Call {
-    /// Notes a new attempt, and gives its number among the call's attempts.
+    /// Records a new attempt and returns its index among the call's attempts.
     pub(super) fn begin_attempt(&mut self, id: AttemptId, server: ServerId) -> u32 {
         let index = self.attempts;
         self.attempts += 1;
@@ -80,7 +80,7 @@
 }
 
 impl EdgeCore {
-    /// Accepts a call, or answers why not.
+    /// Accepts a call, or answers with the reason why it is not accepted.
     pub(super) fn handle_setup(&mut self, caller: CallerId, setup: SetupRequest, effects: &mut Vec<Effect>) {
         if self.has_withdrawn_settings() {
             return self.reject_setup(caller, setup, effects);
@@ -91,7 +91,7 @@
         }
     }
 
-    /// Checks a set-up against the limits, and gives the numbers of its class and of its pool.
+    /// Checks a set-up against the limits; returns the numbers of its class and of its pool.
     fn check_setup(&self, caller: CallerId, setup: &SetupRequest) -> Result<(usize, u32), SetupError> {
         let limits = &self.settings.limits;
         let own_calls = self.callers.get(&caller).ok_or(SetupError::UnknownCaller)?;
@@ -107,10 +107,10 @@
         if self.calls.len() >= limits.calls {
             return Err(SetupError::TooManyCalls);
         }
-        let class = self.site.class(&setup.class).ok_or(SetupError::UnknownClass)?;
+        let class = self.names.class(&setup.class).ok_or(SetupError::UnknownClass)?;
         let first_choice = match &setup.pool {
             None => NO_POOL,
-            Some(name) => self.site.pool(name).ok_or(SetupError::UnknownPool)?,
+            Some(name) => self.names.pool(name).ok_or(SetupError::UnknownPool)?,
         };
         Ok((class, first_choice))
     }
@@ -136,7 +136,8 @@
             id,
             class,
             first_choice,
-            // The caller's time began when it sent, which may be before a stall of this edge.
+            // The caller's budget began when it sent the set-up, which may have been before a stall of this
+            // edge.
             budget_ns: (setup.budget_ms * NS_PER_MS).saturating_sub(self.stall.span_ns(self.now)),
             dialled: setup.number.as_deref().map(hash_dialled_number),
             circuits: 1.0,
@@ -162,7 +163,7 @@
         self.calls.insert(id, call);
     }
 
-    /// A server has answered an attempt: its call is established.
+    /// Establishes the call of an attempt that a server has answered.
     pub(super) fn establish_call(&mut self, id: AttemptId, report: LoadReport, effects: &mut Vec<Effect>) {
         self.clear_attempt_timers(id);
         let Some(attempt) = self.attempts.get_mut(&id) else { return };
@@ -185,11 +186,11 @@
         }
     }
 
-    /// Answers a call that the controller rejects.
+    /// Sends the final answer of a call that the controller rejects.
     pub(super) fn reject_call(&mut self, id: u64, retry_after_ns: Option<Nanos>, effects: &mut Vec<Effect>) {
         let Some(call) = self.remove_call(id) else { return };
         self.counters.calls_rejected += 1;
-        // Rounded up: a caller that comes back a moment early would be rejected again.
+        // Rounded up: a caller that retries a moment early would be rejected again.
         let retry_after_ms = retry_after_ns.map(|ns| ns.div_ceil(NS_PER_MS));
         call.span.in_scope(|| tracing::debug!(retry_after_ms, "call rejected"));
         let answer = ToCaller::Final {
@@ -201,7 +202,7 @@
         effects.push(Effect::ToCaller(call.caller, answer.encode()));
     }
 
-    /// Answers a call that was accepted and could not be set up.
+    /// Sends the final answer of an accepted call that could not be set up.
     pub(super) fn fail_call(&mut self, id: u64, cause: &str, effects: &mut Vec<Effect>) {
         let Some(call) = self.remove_call(id) else { return };
         self.counters.calls_failed += 1;
@@ -211,7 +212,8 @@
         effects.push(Effect::ToCaller(call.caller, answer.encode()));
     }
 
-    /// Removes a call from the tables: whoever gets it owes its one answer, and nobody else can give it.
+    /// Removes a call from the tables. The code that removes it must send its final answer, if one is due; no
+    /// other code can send it afterwards.
     fn remove_call(&mut self, id: u64) -> Option<Call> {
         let call = self.calls.remove(&id)?;
         self.timers.clear(Timer::Locate(id));
@@ -222,7 +224,7 @@
         Some(call)
     }
 
-    /// A caller releases a call that is established, or gives up one that is not.
+    /// Handles a caller's release: ends an established call, abandons one that is not established.
     pub(super) fn release_call(&mut self, caller: CallerId, name: String, effects: &mut Vec<Effect>) {
         let Some(id) = self.callers.get(&caller).and_then(|own_calls| own_calls.get(&name)).copied() else {
             return self.send_error(caller, "no such call".into(), Some(name), effects);
@@ -235,7 +237,7 @@
         }
     }
 
-    /// A caller has disconnected: nothing more is owed to it, and nothing of its calls stays at servers.
+    /// Handles the disconnection of a caller: all its calls are released or cancelled at their servers.
     pub(super) fn handle_caller_closed(&mut self, caller: CallerId, effects: &mut Vec<Effect>) {
         let Some(own_calls) = self.callers.remove(&caller) else { return };
         self.remove_binding(caller);
@@ -254,13 +256,13 @@
         self.calls.get(&id).is_some_and(|call| call.is_established)
     }
 
-    /// Ends an established call from this side.
+    /// Releases an established call at its server.
     pub(super) fn close_call(&mut self, id: u64, effects: &mut Vec<Effect>) {
         let Some(attempt) = self.remove_call(id).and_then(|call| call.attempt) else { return };
         self.release_attempt(attempt, effects);
     }
 
-    /// An established call has ended at its server.
+    /// Ends an established call that its server has released, or whose connection was lost.
     pub(super) fn end_call(&mut self, id: AttemptId, cause: ReleaseCause, effects: &mut Vec<Effect>) {
         let Some(attempt) = self.attempts.remove(&id) else { return };
         self.servers.remove_attempt(attempt.server, id);
@@ -275,8 +277,8 @@
         self.report_completion(&attempt, outcome, true, LoadReport::default());
     }
 
-    /// Abandons a call at the caller's or the operator's request: its attempt is cancelled, and the controller told
-    /// that no answer is owed. The call stays in the tables.
+    /// Abandons a call at the caller's or the operator's request: its attempt is cancelled, and the
+    /// controller is informed that the call needs no answer. The call stays in the tables.
     pub(super) fn abandon_call(&mut self, id: u64, effects: &mut Vec<Effect>) {
         if self.calls.get(&id).is_some_and(|call| call.pending_locate.is_none()) {
             self.pending_events.push_back(Event::ClientDisconnected(id));
--- a/crates/lilacpitch-edge/src/core/counters.rs
+++ b/crates/lilacpitch-edge/src/core/counters.rs
@@ -1,19 +1,19 @@
-//! What an edge counts, and the page of metrics that shows it.
+//! The counters of an edge, and their text on the metrics page.
 //!
-//! The names of metrics and their help texts are read by collectors outside: they stay when a field is renamed.
+//! Collectors depend on the names of metrics and their help texts: they must stay when a field is renamed.
 
 use std::fmt::Write;
 
 macro_rules! counters {
     ($($field:ident as $metric:literal: $help:literal,)*) => {
-        /// Counts since the edge's start.
+        /// Counters since the start of the edge.
         #[derive(Debug, Clone, Default, PartialEq, Eq)]
         pub struct Counters {
             $(#[doc = concat!("`lilacpitch_", $metric, "_total`: ", $help)] pub $field: u64,)*
         }
 
         impl Counters {
-            /// Appends them in the text format of Prometheus.
+            /// Appends the counters in the Prometheus text format.
             pub fn append_page(&self, out: &mut String) {
                 // Writing to a String cannot fail.
                 $(let _ = writeln!(
--- a/crates/lilacpitch-edge/src/core/endpoint_list.rs
+++ b/crates/lilacpitch-edge/src/core/endpoint_list.rs
@@ -1,6 +1,7 @@
-//! The endpoint list: which servers there are, what has changed of them, and which attempts that ends.
+//! The endpoint list: adds, updates and removes servers, and ends the attempts that this affects.
 //!
-//! The list comes whole each time. A server that it names no more is removed; its id is never given to another name.
+//! Each version of the list is complete. A server that it no longer names is removed; its id is never reused
+//! for another name.
 
 use super::upstreams::Server;
 use super::{EdgeCore, Effect, NS_PER_MS};
@@ -9,21 +10,21 @@
 use lilacpitch_config::{Pools, ServerState};
 use std::collections::BTreeSet;
 
-/// A server as the edge knows it, for pages and tests.
+/// The state of a server, for pages and tests.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ListedServer {
-    /// Its name.
+    /// The name of the server.
     pub name: String,
-    /// Whether it may be used.
+    /// Whether the server may get set-ups.
     pub availability: Availability,
-    /// Whether a connection to it is ready.
+    /// Whether a connection to the server is established.
     pub is_connected: bool,
-    /// Attempts there: queued, in flight or established.
+    /// Number of attempts at the server: queued, in flight or established.
     pub attempts: usize,
 }
 
 impl EdgeCore {
-    /// The servers that the edge knows, removed ones too.
+    /// All servers that have been listed, including removed ones.
     pub fn servers(&self) -> impl Iterator<Item = ListedServer> + '_ {
         self.servers.by_id.values().map(|server| ListedServer {
             name: server.name.clone(),
@@ -58,7 +59,8 @@
         self.pending_events.push_back(Event::EndpointsUpdated(EndpointUpdate::Full(endpoints)));
     }
 
-    /// Connects to servers that have come into service, and withdraws what waits for those that have left it.
+    /// Connects to servers that have come into service, and withdraws queued set-ups for those that have left
+    /// it.
     fn apply_availability(&mut self, effects: &mut Vec<Effect>) {
         let ids: Vec<ServerId> = self.servers.by_id.keys().copied().collect();
         for id in ids {
@@ -74,10 +76,10 @@
         }
     }
 
-    /// Adds a server of the list, or applies what has changed of it.
+    /// Adds a server of the list, or applies its changes.
     fn update_server(&mut self, entry: &lilacpitch_config::Server, effects: &mut Vec<Effect>) -> ServerId {
-        let number = self.site.pool_or_insert(&entry.pool);
-        let zone = self.site.zone_or_insert(&entry.zone);
+        let number = self.names.pool_or_insert(&entry.pool);
+        let zone = self.names.zone_or_insert(&entry.zone);
         let availability = match entry.state {
             ServerState::Running => Availability::Ready,
             ServerState::Draining => Availability::Draining,
@@ -85,7 +87,8 @@
         };
         let id = self.servers.id_or_insert(&entry.name);
         let known = self.servers.by_id.get(&id);
-        // A start that the list puts into the future counts as one of just now: its clock or ours is off.
+        // A start time in the future is replaced by the current time: the clock of one of the machines is
+        // wrong.
         let up_since_ns = match known.filter(|server| server.started_ms == entry.started_ms) {
             Some(server) => server.endpoint.up_since_ns,
             None => entry.started_ms.saturating_mul(NS_PER_MS).min(self.now),
@@ -115,8 +118,8 @@
         id
     }
 
-    /// Ends set-ups that wait for a connection to a server that now drains, or that has restarted: the list binds
-    /// what is queued as well as what the controller decides.
+    /// Ends set-ups that wait for a connection to a server that is draining or has restarted: the list
+    /// applies to queued set-ups as well as to later decisions of the controller.
     fn withdraw_queued(&mut self, id: ServerId, effects: &mut Vec<Effect>) {
         for attempt in self.servers.queued_attempts(id) {
             self.end_attempt(attempt, Outcome::NotSent, LoadReport::default(), effects);
--- a/crates/lilacpitch-edge/src/core/fleet.rs
+++ b/crates/lilacpitch-edge/src/core/fleet.rs
@@ -1,7 +1,8 @@
-//! The edge's part in the fleet: calls that wait for a locate, location records, and whether the settings are in force.
+//! The core's part in the fleet: calls that wait for a locate, location records, and whether the settings are
+//! in force.
 //!
-//! Records are of the numbers reached through this edge and of its established calls. Without `fleet` in the settings
-//! nothing here has an effect.
+//! The edge has a location record for each number that is reached through it and for each of its established
+//! calls. Without `fleet` in the settings nothing in this module has an effect.
 
 use super::calls::{Call, PendingLocate, SetupRequest};
 use super::{CallerId, EdgeCore, Effect, Timer, NS_PER_MS};
@@ -12,44 +13,44 @@
 use lilacpitch_protocol::message::call::{Answer, ToCaller};
 use std::collections::BTreeMap;
 
-/// Why calls end when the settings version is withdrawn. Crosses the wire.
+/// The cause given for calls that end because the settings version is withdrawn. Sent to callers.
 const SETTINGS_WITHDRAWN: &str = "the front's settings are withdrawn";
 
-/// A location record of this edge that has appeared or ended.
+/// The addition or the removal of a location record of this edge.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RecordEvent {
-    /// Whether it is there now.
+    /// Whether the record was added; otherwise it was removed.
     pub is_present: bool,
-    /// What it records.
+    /// Whether the record is of a number that is reached or of an established call.
     pub kind: Kind,
-    /// Its number.
+    /// The recorded number.
     pub number: String,
-    /// The edge of a number that is reached, the server of an established call.
+    /// The owner: this edge for a number that is reached, the server for an established call.
     pub owner: String,
-    /// The number of the caller or of the call.
+    /// The number of the caller's connection or of the call within this edge.
     pub serial: u64,
-    /// The call's class; empty for a number that is reached.
+    /// The class of the call; empty for a number that is reached.
     pub class: String,
-    /// The pool.
+    /// The pool through which the number is reached, or which carries the call.
     pub trunk_group: String,
-    /// Since when, in milliseconds since 1970.
+    /// When the record was added, in milliseconds since 1970.
     pub since_ms: u64,
 }
 
-/// The core's state for the fleet.
+/// The fleet state of the core.
 #[derive(Debug)]
 pub(super) struct Fleet {
     pool: String,
     /// The fraction of a call's budget that a locate may take.
     locate_fraction: f64,
-    /// The longest that a locate may take.
+    /// Maximum duration of a locate.
     max_locate_ns: Nanos,
-    /// Records that are there, by kind and serial.
+    /// The current records, by kind and serial.
     records: BTreeMap<(Kind, u64), RecordEvent>,
-    /// Records that appeared or ended since effects were last emitted.
+    /// Changes of records since the last effects were emitted.
     changes: Vec<RecordEvent>,
     are_settings_in_force: bool,
-    /// Whether calls wait for a locate no longer than their part of the budget. Off only in tests of the checker.
+    /// Whether a locate may take only a fraction of the call's budget. Off only in tests of the checker.
     pub limits_locate_time: bool,
 }
 
@@ -79,7 +80,7 @@
 }
 
 impl EdgeCore {
-    /// Looks a call's number up in the fleet, if it has one and names no pool; `None`: the call waits for nothing.
+    /// Begins a locate for a call that has a number and names no pool. `None`: no locate is needed.
     pub(super) fn begin_locate(
         &mut self,
         setup: &SetupRequest,
@@ -89,13 +90,14 @@
         let fleet = self.fleet.as_ref().filter(|_| setup.pool.is_none())?;
         let number = setup.number.clone()?;
         let limit_ns = ((call.budget_ns as f64 * fleet.locate_fraction) as Nanos).min(fleet.max_locate_ns);
-        let patience_ns = if fleet.limits_locate_time { limit_ns } else { call.budget_ns };
-        self.timers.set(Timer::Locate(call.id), self.now + patience_ns);
-        effects.push(Effect::Locate { call: call.id, number, patience_ns });
+        let timeout_ns = if fleet.limits_locate_time { limit_ns } else { call.budget_ns };
+        self.timers.set(Timer::Locate(call.id), self.now + timeout_ns);
+        effects.push(Effect::Locate { call: call.id, number, timeout_ns });
         Some(PendingLocate { call, since_ns: self.now })
     }
 
-    /// The fleet has answered, or its time is up: the controller gets the call, with what is left of its budget.
+    /// Handles the result of a locate, or its time-out: passes the call to the controller with the rest of
+    /// its budget.
     pub(super) fn handle_located(&mut self, id: u64, pool: Option<&str>) {
         let Some(pending) = self.calls.get_mut(&id).and_then(|call| call.pending_locate.take()) else {
             return;
@@ -104,15 +106,15 @@
         self.counters.calls_located += u64::from(pool.is_some());
         self.counters.calls_not_located += u64::from(pool.is_none());
         let mut call = pending.call;
-        // A pool that this edge does not know is as good as none.
-        if let Some(number) = pool.and_then(|name| self.site.pool(name)) {
+        // A pool that this edge does not know is ignored.
+        if let Some(number) = pool.and_then(|name| self.names.pool(name)) {
             call.first_choice = number;
         }
         call.budget_ns = call.budget_ns.saturating_sub(self.now - pending.since_ns);
         self.pending_events.push_back(Event::CallArrived(call));
     }
 
-    /// Records that a number is reached through a caller's connection.
+    /// Adds a record that a number is reached through a caller's connection.
     pub(super) fn add_binding(&mut self, caller: CallerId, number: String) {
         let Some(fleet) = self.fleet.as_mut().filter(|_| self.callers.contains_key(&caller)) else { return };
         fleet.add_record(RecordEvent {
@@ -133,7 +135,7 @@
         }
     }
 
-    /// Records an established call, if it has a number.
+    /// Adds a record of an established call, if the call has a number.
     pub(super) fn add_active_call(&mut self, id: u64, server: ServerId) {
         let (Some(fleet), Some(call)) = (&mut self.fleet, self.calls.get(&id)) else { return };
         let Some(number) = call.number.clone() else { return };
@@ -145,7 +147,7 @@
             owner: server.name.clone(),
             serial: id,
             class: call.class.clone(),
-            trunk_group: self.site.pool_name(server.endpoint.number).unwrap_or_default().to_string(),
+            trunk_group: self.names.pool_name(server.endpoint.number).unwrap_or_default().to_string(),
             since_ms: self.now / NS_PER_MS,
         });
     }
@@ -156,7 +158,7 @@
         }
     }
 
-    /// Emits all records again.
+    /// Queues all records to be emitted again.
     pub(super) fn publish_all_records(&mut self) {
         if let Some(fleet) = &mut self.fleet {
             fleet.changes.extend(fleet.records.values().cloned());
@@ -173,7 +175,8 @@
         self.fleet.as_ref().is_some_and(|fleet| !fleet.are_settings_in_force)
     }
 
-    /// Rejects a set-up while the settings are withdrawn, and tells the caller when to retry.
+    /// Rejects a set-up while the settings version is withdrawn; the answer contains the delay before a
+    /// retry.
     pub(super) fn reject_setup(&mut self, caller: CallerId, setup: SetupRequest, effects: &mut Vec<Effect>) {
         self.counters.calls_rejected_without_settings += 1;
         let retry_after_ms = self.settings.timing.come_back_longest_ns / NS_PER_MS;
@@ -186,7 +189,7 @@
         effects.push(Effect::ToCaller(caller, answer.encode()));
     }
 
-    /// The settings version that this edge acts on was withdrawn, or is in force again.
+    /// Handles the withdrawal of this edge's settings version, or its reinstatement.
     pub(super) fn set_settings_in_force(&mut self, is_in_force: bool, effects: &mut Vec<Effect>) {
         let Some(fleet) = self.fleet.as_mut().filter(|fleet| fleet.are_settings_in_force != is_in_force)
         else {
--- a/crates/lilacpitch-edge/src/core/mod.rs
+++ b/crates/lilacpitch-edge/src/core/mod.rs
@@ -1,10 +1,10 @@
-//! The core of the edge, without I/O: an [`Input`] goes in with the time, [`Effect`]s come out.
+//! The core of the edge, without I/O: it takes an [`Input`] with the current time and returns [`Effect`]s.
 //!
-//! An input becomes an event of the controller, and the controller's actions become effects. [`EdgeCore`] is the sole
-//! owner of callers, calls, attempts, upstream connections and timers. It decides nothing about routing, admission or
-//! retries: the controller does. What it owes by itself are the rules on the wire: one final answer to each call and
-//! nothing sent for it afterwards, each attempt's end reported once, no circuit left behind at a server, and nothing
-//! queued for a server that drains.
+//! An input becomes an event of the controller, and the controller's actions become effects. [`EdgeCore`] is
+//! the sole owner of callers, calls, attempts, upstream connections and timers. It decides nothing about
+//! routing, admission or retries: the controller does. The core itself guarantees the rules of the protocol:
+//! each call gets one final answer, and nothing is sent for it afterwards; the end of each attempt is
+//! reported once; no circuit stays occupied at a server; and nothing is queued for a draining server.
 
 mod attempts;
 mod calls;
@@ -29,29 +29,31 @@
 use lilacpitch_protocol::message::call::{FromCaller, ToCaller};
 use rand_core::SeedableRng;
 use rand_pcg::Pcg32;
-use site::Site;
+use site::NameTable;
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
 use timers::Timer;
 use upstreams::Servers;
 
-/// A caller's connection, by the number the shell gives it. Never reused.
+/// The number of a caller's connection, assigned by the shell. Never reused.
 pub type CallerId = u64;
-/// A connection to a server, by the number the core gives it. Never reused.
+/// The number of a connection to a server, assigned by the core. Never reused.
 pub type UpstreamId = u64;
-/// An attempt, by the number that crosses the wire. Never reused within an incarnation of the edge.
+/// The number of an attempt, as sent to servers. Never reused within an incarnation of the edge.
 pub type AttemptId = u64;
 
-/// Mixed into the seed, so that the core's random numbers differ from those of the controller, which gets the seed.
+/// Mixed into the seed, so that the core's random numbers differ from those of the controller, which uses the
+/// seed itself.
 const RNG_STREAM: u64 = 0x6c69_6c61_6370;
-/// Attempt numbers that the clock sets aside for each millisecond: no edge sends that many in one.
+/// Attempt numbers reserved for each millisecond of the clock: no edge begins that many attempts in one
+/// millisecond.
 const ATTEMPTS_PER_MS: AttemptId = 1_000;
 /// Nanoseconds in a millisecond.
 const NS_PER_MS: Nanos = 1_000_000;
-/// Longest text of an error that is sent to a caller, in characters.
+/// Maximum length of an error text that is sent to a caller, in characters.
 const MAX_REASON_CHARS: usize = 80;
 
-/// What happens to an edge.
+/// An event that the shell reports to the core.
 #[derive(Debug)]
 pub enum Input {
     /// A caller has connected.
@@ -60,90 +62,98 @@
     CallerText(CallerId, String),
     /// A caller's connection has ended.
     CallerClosed(CallerId),
-    /// A connection that [`Effect::Connect`] requested is ready.
+    /// A connection that [`Effect::Connect`] requested is established.
     UpstreamConnected(UpstreamId),
     /// A server sent a text message.
     UpstreamText(UpstreamId, String),
-    /// A connection has ended or could not be made.
+    /// A connection to a server has ended or could not be established.
     UpstreamClosed {
-        /// The connection.
+        /// The number of the connection.
         upstream: UpstreamId,
-        /// How many of the messages given to it may have reached the server.
+        /// Number of messages on this connection that may have reached the server.
         written: u64,
     },
-    /// A set-up given to a connection was not written in time, and never will be.
+    /// A set-up for a connection was not written in time and has been discarded.
     NotWritten {
-        /// The connection.
+        /// The number of the connection.
         upstream: UpstreamId,
-        /// Which of its messages, from 0.
+        /// The number of the message on this connection, from 0.
         message: u64,
     },
-    /// The endpoint list was read, and has changed.
+    /// A new version of the endpoint list was read.
     PoolList(Pools),
-    /// Another edge, by its origin, reports what it knows of servers.
+    /// Another edge, identified by its origin, reports the state of servers.
     PeerReported(u64, Vec<lilacpitch_gossip::ServerReport>),
-    /// What other edges, by their origins, have lately met at servers.
+    /// Recent reports about servers that other edges spread by gossip, each with the origin of its edge.
     RumorsReceived(Vec<(u64, lilacpitch_gossip::ServerReport)>),
-    /// A caller stated, as it connected, the number at which it is reached.
+    /// A caller named the number at which it is reached when it connected.
     CallerNumber(CallerId, String),
-    /// The fleet's answer for a call that waits for it: the pool through which its number is reached, if any.
+    /// The result of a locate for a call that waits for it: the pool through which its number is reached, if
+    /// any.
     Located(u64, Option<String>),
-    /// Whether this edge may act on its settings version: if not, it accepts no new calls and ends those it has.
+    /// Whether the settings version of this edge is in force. If not, the edge ends its calls and accepts no
+    /// new ones.
     SettingsInForce(bool),
-    /// All location records of this edge are to be published again.
+    /// Requests that all location records of this edge be published again.
     RecordsRequested,
-    /// The operator asks the edge to stop.
+    /// The operator requests an orderly stop.
     Stop,
-    /// Time has passed.
+    /// A timer may be due.
     Timeout,
 }
 
-/// What the shell is to do.
+/// An operation that the core requests of the shell.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Effect {
     /// Send a caller a text message.
     ToCaller(CallerId, String),
-    /// Connect to a server, and answer with [`Input::UpstreamConnected`] or [`Input::UpstreamClosed`].
+    /// Connect to a server. Answered by [`Input::UpstreamConnected`] or [`Input::UpstreamClosed`].
     Connect(UpstreamId, SocketAddr),
-    /// Send a server a text message: the connection's messages are numbered from 0 in their order.
+    /// Send a server a text message. The messages of a connection are numbered from 0 in the order of
+    /// sending.
     ToServer {
-        /// The connection.
+        /// The number of the connection.
         upstream: UpstreamId,
-        /// Its number among the connection's messages.
+        /// The number of the message on this connection.
         message: u64,
-        /// The message.
+        /// The text of the message.
         text: String,
-        /// Not to be written after this moment; answered by [`Input::NotWritten`] then.
+        /// Discard the message if it has not been written by this time; answered by [`Input::NotWritten`]
+        /// then.
         not_after_ns: Option<Nanos>,
     },
-    /// End a connection to a server, once what was given to it is written. No [`Input::UpstreamClosed`] follows.
+    /// End a connection to a server once its queued messages are written. No [`Input::UpstreamClosed`]
+    /// follows.
     Disconnect(UpstreamId),
-    /// Look a number up in the fleet. Answered by [`Input::Located`]; an answer after the time limit is ignored.
+    /// Look up a number in the fleet. Answered by [`Input::Located`]; a later answer is ignored.
     Locate {
-        /// The call that waits.
+        /// The number of the waiting call.
         call: u64,
-        /// Its number.
+        /// The dialled number.
         number: String,
-        /// How long it waits.
-        patience_ns: Nanos,
+        /// How long the call waits for the result.
+        timeout_ns: Nanos,
     },
-    /// A location record of this edge has appeared or ended.
+    /// A location record of this edge was added or removed.
     RecordChanged(RecordEvent),
-    /// The edge has stopped: no call is left.
+    /// The edge has stopped and has no calls left.
     Stopped,
 }
 
-/// Safeguards that a test may switch off to see that the checker of the call rules notices. Always on in a program.
+/// Safeguards that a test may switch off to verify that the checker of the call rules detects the violation.
+/// All are on outside tests.
 #[doc(hidden)]
 #[derive(Debug, Clone, Copy)]
 pub struct Safeguards {
-    /// One attempt of a call at a time.
+    /// A call has at most one attempt at a time.
     pub one_attempt: bool,
-    /// Drains are reported to the controller.
+    /// Draining servers get no new set-ups: the controller is informed of them, and queued set-ups are
+    /// withdrawn.
     pub drain_deadline: bool,
-    /// A call gets one final answer.
+    /// A call gets only one final answer.
     pub one_answer: bool,
-    /// A call pauses after a time-out, reset or cancel, so that a server can release it.
+    /// A call waits after a time-out, a reset or a cancel, so that the server can release it before the next
+    /// attempt.
     pub release: bool,
 }
 
@@ -153,16 +163,16 @@
     }
 }
 
-/// The core of an edge. The same settings, seed and inputs give the same effects.
+/// The core of an edge. It is deterministic: equal settings, seeds and inputs give equal effects.
 pub struct EdgeCore {
     name: String,
     settings: Edge,
-    site: Site,
+    names: NameTable,
     safeguards: Safeguards,
     controller: Box<dyn Policy>,
     rng: Pcg32,
     now: Nanos,
-    /// Each caller's calls, by the id that the caller gave them.
+    /// The calls of each caller: from the id that the caller gave a call to the call's number.
     callers: BTreeMap<CallerId, BTreeMap<String, u64>>,
     calls: BTreeMap<u64, Call>,
     attempts: BTreeMap<AttemptId, Attempt>,
@@ -170,9 +180,9 @@
     timers: Timers<Timer>,
     next_call: u64,
     next_attempt: AttemptId,
-    /// Events that wait for the controller until the actions in hand are done.
+    /// Events for the controller that wait until its current actions are carried out.
     pending_events: VecDeque<Event>,
-    /// Empty between two events; kept for its capacity.
+    /// Buffer for the controller's actions, empty between events; kept to reuse its allocation.
     actions: Vec<Action>,
     is_stopping: bool,
     has_stopped: bool,
@@ -182,7 +192,7 @@
 }
 
 impl EdgeCore {
-    /// An edge without callers, calls and servers. `now`: nanoseconds since 1970, as all times here.
+    /// Creates an edge without callers, calls and servers. All times are in nanoseconds since 1970.
     pub fn new(settings: Edge, now: Nanos, seed: u64) -> Self {
         Self::with_safeguards(settings, now, seed, Safeguards::default())
     }
@@ -194,7 +204,7 @@
         })
     }
 
-    /// With another policy in the controller's place: for the testbed's baselines.
+    /// Creates an edge with another policy in place of the controller, for the testbed's baselines.
     #[doc(hidden)]
     pub fn with_policy(
         settings: Edge,
@@ -203,8 +213,8 @@
         safeguards: Safeguards,
         policy: &dyn Fn(Settings, u64) -> Box<dyn Policy>,
     ) -> Self {
-        let site = Site::new(&settings);
-        let mut controller_settings = site.controller_settings(&settings);
+        let names = NameTable::new(&settings);
+        let mut controller_settings = names.controller_settings(&settings);
         if !safeguards.release {
             controller_settings.release_ns = 0;
         }
@@ -212,7 +222,7 @@
             name: settings.name.clone(),
             controller: policy(controller_settings, seed),
             rng: Pcg32::seed_from_u64(seed ^ RNG_STREAM),
-            site,
+            names,
             safeguards,
             now,
             callers: BTreeMap::new(),
@@ -221,7 +231,7 @@
             servers: Servers::default(),
             timers: Timers::default(),
             next_call: 1,
-            // Above those of a former incarnation, which servers may still have.
+            // Higher than the numbers of the previous incarnation, which servers may still use.
             next_attempt: now / NS_PER_MS * ATTEMPTS_PER_MS,
             pending_events: VecDeque::new(),
             actions: Vec::new(),
@@ -234,11 +244,12 @@
         }
     }
 
-    /// Handles one input and appends what is to be done. A clock that runs backwards is taken to have stopped.
+    /// Handles one input and appends the resulting effects. If the clock runs backwards, the previous time is
+    /// used.
     pub fn handle(&mut self, now: Nanos, input: Input, effects: &mut Vec<Effect>) {
         self.now = self.now.max(now);
         self.stall.note(self.now, self.timers.first(), 2 * self.settings.timing.tick_ns);
-        // Due timers go first: an answer that arrives together with its time-out is late.
+        // Due timers fire first: an answer that arrives together with its time-out is late.
         self.fire_due_timers(effects);
         self.dispatch(input, effects);
         self.run_controller(effects);
@@ -274,7 +285,7 @@
         }
     }
 
-    /// Lets calls wait for the fleet for their whole budget: for tests of the fleet's checker.
+    /// Lets a locate take the whole budget of its call, for tests of the fleet's checker.
     #[doc(hidden)]
     pub fn disable_locate_limit(&mut self) {
         if let Some(fleet) = &mut self.fleet {
@@ -282,7 +293,7 @@
         }
     }
 
-    /// When [`Input::Timeout`] is due next.
+    /// When the next [`Input::Timeout`] is due.
     pub fn next_timeout(&self) -> Option<Nanos> {
         self.timers.first()
     }
@@ -297,18 +308,18 @@
         self.counters.callers_disconnected += 1;
     }
 
-    /// What has been counted since the start.
+    /// The counters since the start.
     pub fn counters(&self) -> &Counters {
         &self.counters
     }
 
-    /// How many calls have no answer yet, and how many are established.
+    /// The number of calls without an answer, and the number of established calls.
     pub fn call_counts(&self) -> (usize, usize) {
         let established = self.calls.values().filter(|call| call.is_established).count();
         (self.calls.len() - established, established)
     }
 
-    /// How many callers are connected.
+    /// The number of connected callers.
     pub fn caller_count(&self) -> usize {
         self.callers.len()
     }
@@ -329,7 +340,7 @@
         }
     }
 
-    /// Feeds the controller the events that wait for it, and carries its actions out, until there are none.
+    /// Passes pending events to the controller and carries out its actions, until no event is left.
     fn run_controller(&mut self, effects: &mut Vec<Effect>) {
         while let Some(event) = self.pending_events.pop_front() {
             let mut actions = std::mem::take(&mut self.actions);
@@ -369,7 +380,7 @@
         }
     }
 
-    /// Answers a message that cannot be acted on.
+    /// Answers a message that is rejected with an `error`.
     fn send_error(
         &mut self,
         caller: CallerId,
--- a/crates/lilacpitch-edge/src/core/server_reports.rs
+++ b/crates/lilacpitch-edge/src/core/server_reports.rs
@@ -1,6 +1,7 @@
-//! Reports about servers: this edge's own for its peers, and theirs for the controller.
+//! Reports about servers: this edge's own ones for its peers, and those of peers for the controller.
 //!
-//! The controller knows servers by id and counts nanoseconds; peers know them by name and count milliseconds.
+//! The controller identifies servers by id and uses nanoseconds; peers identify them by name and use
+//! milliseconds.
 
 use super::{EdgeCore, NS_PER_MS};
 use lilacpitch::interface::{self, Nanos};
@@ -10,7 +11,8 @@
 use std::collections::BTreeMap;
 
 impl EdgeCore {
-    /// What this edge knows of servers from its own set-ups, the most telling first.
+    /// This edge's reports about servers, from its own set-ups: unresponsive servers first, then those that
+    /// warm up, then the others, the most recent first.
     pub fn server_reports(&self) -> Vec<ServerReport> {
         let mut reports: Vec<ServerReport> = self
             .controller
@@ -18,9 +20,9 @@
             .into_iter()
             .filter_map(|report| self.report_for_peers(&report))
             .collect();
-        // What is too old for its field is not sent.
+        // A report whose age exceeds the range of its field is not sent.
         reports.retain(|report| report.check().is_ok());
-        // There may be more than fit into one datagram.
+        // The most important reports come first, as not all may fit into one datagram.
         reports.sort_by_key(|report| {
             (!report.is_unresponsive, report.warming_up_for_ms.is_none(), report.age_ms)
         });
@@ -28,24 +30,24 @@
     }
 
     fn report_for_peers(&self, report: &interface::ServerReport) -> Option<ServerReport> {
-        let ms = |ns: Nanos| u32::try_from(ns / NS_PER_MS).unwrap_or(u32::MAX);
+        let to_ms = |ns: Nanos| u32::try_from(ns / NS_PER_MS).unwrap_or(u32::MAX);
         Some(ServerReport {
             server: self.servers.by_id.get(&report.server)?.name.clone(),
-            age_ms: ms(report.age_ns),
-            wait_ms: ms(report.wait_ns),
+            age_ms: to_ms(report.age_ns),
+            wait_ms: to_ms(report.wait_ns),
             in_flight: report.in_flight.min(MAX_SETUPS),
             succeeded: report.succeeded.min(MAX_SETUPS),
             is_unresponsive: report.is_unresponsive,
-            // A server that has warmed up long ago is of no interest to peers.
+            // Peers need no report of a server that has finished warming up.
             warming_up_for_ms: report
                 .warming_up_for_ns
                 .filter(|ns| *ns < self.settings.rules.cold_span_ns)
-                .map(ms),
+                .map(to_ms),
             is_draining: report.is_draining,
         })
     }
 
-    /// Hands the controller what peers have lately met, grouped by origin.
+    /// Passes recent reports that peers spread by gossip to the controller, grouped by origin.
     pub(super) fn handle_rumors(&mut self, rumors: Vec<(u64, ServerReport)>) {
         let mut by_origin: BTreeMap<u64, Vec<ServerReport>> = BTreeMap::new();
         for (origin, report) in rumors {
@@ -56,8 +58,8 @@
         }
     }
 
-    /// Hands the controller a peer's reports of servers that this edge's own list names. The peer is known by its
-    /// origin, whether it answered a request or sent rumors, so that it counts once.
+    /// Passes a peer's reports about servers of this edge's own list to the controller. A peer is identified
+    /// by its origin, whether it answered a request or sent rumors, so that it counts once.
     pub(super) fn handle_peer_report(&mut self, origin: u64, reports: Vec<ServerReport>) {
         let server_reports: Vec<interface::ServerReport> =
             reports.iter().filter_map(|report| self.report_for_controller(report)).collect();
--- a/crates/lilacpitch-edge/src/core/site.rs
+++ b/crates/lilacpitch-edge/src/core/site.rs
@@ -1,38 +1,38 @@
-//! Names and their numbers: classes, pools, zones and dialled numbers as the controller knows them.
+//! Numbers for names: the controller identifies classes, pools, zones and dialled numbers by number.
 //!
-//! Numbers are given in the order in which names become known, and never given to another name.
+//! Numbers are assigned in the order in which names become known, and are never reused for another name.
 
 use lilacpitch::interface::{Class, Idempotency, Settings};
 use lilacpitch_config::Edge;
 use std::collections::BTreeMap;
 use std::hash::{DefaultHasher, Hash, Hasher};
 
-/// The first choice of a call that names no pool: no pool has this number.
+/// The preferred pool of a call that names none: no pool has this number.
 pub(super) const NO_POOL: u32 = u32::MAX;
 
-/// The numbers of names.
+/// The numbers of classes, pools and zones by name.
 #[derive(Debug, Default)]
-pub(super) struct Site {
+pub(super) struct NameTable {
     classes: BTreeMap<String, usize>,
     pools: BTreeMap<String, u32>,
     zones: BTreeMap<String, u32>,
 }
 
-impl Site {
+impl NameTable {
     pub(super) fn new(settings: &Edge) -> Self {
-        let mut site = Site::default();
-        // Pools are known from the start: an edge that starts while a pool's servers are removed must not reject its
-        // calls as being for an unknown pool.
+        let mut names = NameTable::default();
+        // The pools of the settings are known from the start: an edge that starts while a pool has no servers
+        // must not reject calls for it as calls for an unknown pool.
         for pool in &settings.pools {
-            site.pool_or_insert(pool);
+            names.pool_or_insert(pool);
         }
         for (index, class) in settings.classes.iter().enumerate() {
-            site.classes.insert(class.name.clone(), index);
+            names.classes.insert(class.name.clone(), index);
             for pool in &class.pools {
-                site.pool_or_insert(pool);
+                names.pool_or_insert(pool);
             }
         }
-        site
+        names
     }
 
     pub(super) fn class(&self, name: &str) -> Option<usize> {
@@ -43,29 +43,30 @@
         self.pools.get(name).copied()
     }
 
-    /// The number of a pool; a new one gets the next.
+    /// The number of a pool. A new pool gets the next free number.
     pub(super) fn pool_or_insert(&mut self, name: &str) -> u32 {
         number_or_insert(&mut self.pools, name)
     }
 
-    /// The name of a pool's number.
+    /// The name of the pool with this number.
     pub(super) fn pool_name(&self, number: u32) -> Option<&str> {
         self.pools.iter().find(|(_, known)| **known == number).map(|(name, _)| name.as_str())
     }
 
-    /// The number of a zone; a new one gets the next.
+    /// The number of a zone. A new zone gets the next free number.
     pub(super) fn zone_or_insert(&mut self, name: &str) -> u32 {
         number_or_insert(&mut self.zones, name)
     }
 
-    /// The controller's settings.
+    /// The settings of the controller, derived from those of the edge.
     pub(super) fn controller_settings(&self, edge: &Edge) -> Settings {
         let class = |class: &lilacpitch_config::Class| Class {
             latency_objective_ns: class.aim_ns,
             deadline_ns: class.give_up_ns,
             priority_weight: class.worth,
             late_weight: class.late_worth,
-            // A set-up that ran twice occupies a circuit until it is released: it may be sent again.
+            // A set-up may be sent again: if it is executed twice, the extra circuit is occupied only until
+            // it is released.
             idempotency: Idempotency::Idempotent,
             key_retention_ns: 0,
             pools: class.pools.iter().filter_map(|name| self.pool(name)).collect(),
@@ -92,7 +93,7 @@
     *known.entry(name.to_string()).or_insert(next)
 }
 
-/// A dialled number as the controller compares it: equal digits have equal hashes.
+/// Hashes a dialled number for the controller, which only compares numbers: equal numbers have equal hashes.
 pub(super) fn hash_dialled_number(number: &str) -> u64 {
     let mut hash = DefaultHasher::new();
     number.hash(&mut hash);
--- a/crates/lilacpitch-edge/src/core/timers.rs
+++ b/crates/lilacpitch-edge/src/core/timers.rs
@@ -1,21 +1,21 @@
-//! What the core's timers are for.
+//! The timers of the core.
 
 use super::AttemptId;
 use lilacpitch::interface::ServerId;
 
-/// A timer of the core. The order of variants breaks ties between timers due at one moment.
+/// A timer of the core. Timers that are due at the same time fire in the order of the variants.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum Timer {
-    /// The controller asked to be called.
+    /// A timer that the controller set.
     Controller,
-    /// An attempt's time is up.
+    /// An attempt times out.
     AttemptTimeout(AttemptId),
-    /// An unanswered set-up is to be sent again.
+    /// An unanswered set-up is sent again.
     Resend(AttemptId),
-    /// A connection to a server is to be tried again.
+    /// A connection to a server is attempted again.
     Reconnect(ServerId),
-    /// A call has waited for the fleet long enough.
+    /// The locate of a call times out.
     Locate(u64),
-    /// The time granted for an orderly stop is up.
+    /// The time limit of an orderly stop is reached.
     Stop,
 }
--- a/crates/lilacpitch-edge/src/core/upstreams.rs
+++ b/crates/lilacpitch-edge/src/core/upstreams.rs
@@ -1,7 +1,7 @@
-//! Upstream connections: connecting, reconnecting after growing random delays, and messages on them.
+//! Upstream connections: connecting, reconnecting after growing random delays, and the messages on them.
 //!
-//! A connection that is lost ends its attempts: what never left never ran, what left may have run, and what was
-//! established is cut.
+//! The loss of a connection ends its attempts: a set-up that was not written was not executed, one that was
+//! written may have been executed, and an established call is cut.
 
 use super::attempts::AttemptState;
 use super::{AttemptId, EdgeCore, Effect, Timer, UpstreamId, NS_PER_MS};
@@ -11,36 +11,37 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
-/// Largest exponent of the reconnect delay's doubling; the settings' maximum takes over long before.
+/// Maximum number of times that the reconnect delay is doubled. The maximum delay in the settings is reached
+/// long before.
 const MAX_RECONNECT_DOUBLINGS: u32 = 16;
 
-/// A server's connection.
+/// The state of the connection to a server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum UpstreamState {
-    /// Never tried.
+    /// No connection was attempted since the server was added, or since it was removed.
     NeverTried,
-    /// Lost or not made; a timer tries again.
+    /// Lost or not established; a timer tries again while the server is in service.
     Lost,
     Connecting(UpstreamId),
     Connected {
         upstream: UpstreamId,
-        /// How many messages were given to it.
+        /// Number of messages handed to the connection.
         messages: u64,
     },
 }
 
-/// A server of the endpoint list, and its connection.
+/// A server of the endpoint list with its connection.
 #[derive(Debug)]
 pub(super) struct Server {
     pub name: String,
     pub address: SocketAddr,
     pub endpoint: Endpoint,
-    /// When it started, in milliseconds since 1970, as the list has it.
+    /// When the server started, according to the list, in milliseconds since 1970.
     pub started_ms: u64,
     state: UpstreamState,
-    /// Connections lost or not made in succession.
+    /// Number of consecutive connections that were lost or not established.
     failures: u32,
-    /// Attempts there: queued, in flight or established.
+    /// Attempts at this server: queued, in flight or established.
     pub attempts: BTreeSet<AttemptId>,
 }
 
@@ -57,7 +58,7 @@
         }
     }
 
-    /// Its connection, if that is ready.
+    /// The connection, if it is established.
     pub(super) fn connected_upstream(&self) -> Option<UpstreamId> {
         match self.state {
             UpstreamState::Connected { upstream, .. } => Some(upstream),
@@ -65,7 +66,7 @@
         }
     }
 
-    /// Its connection, ready or not.
+    /// The connection, whether it is established or being established.
     fn upstream(&self) -> Option<UpstreamId> {
         match self.state {
             UpstreamState::Connecting(upstream) | UpstreamState::Connected { upstream, .. } => Some(upstream),
@@ -78,7 +79,7 @@
     }
 }
 
-/// Servers by id, and the ids of names and connections.
+/// The servers by id, and lookups of their ids by name and by connection.
 #[derive(Debug, Default)]
 pub(super) struct Servers {
     pub by_id: BTreeMap<ServerId, Server>,
@@ -88,13 +89,13 @@
 }
 
 impl Servers {
-    /// The id of a name; a new name gets the next. Ids are never given to another name.
+    /// The id of a server name. A new name gets the next free id. Ids are never reused for another name.
     pub(super) fn id_or_insert(&mut self, name: &str) -> ServerId {
         let next = self.ids.len() as ServerId;
         *self.ids.entry(name.to_string()).or_insert(next)
     }
 
-    /// The id of a name that was listed.
+    /// The id of a server name that has been listed.
     pub(super) fn id(&self, name: &str) -> Option<ServerId> {
         self.ids.get(name).copied()
     }
@@ -111,13 +112,13 @@
         self.by_id.get(&id).is_some_and(|server| matches!(server.state, UpstreamState::Connecting(_)))
     }
 
-    /// The first connected server but one.
+    /// The first connected server other than this one.
     pub(super) fn connected_other_than(&self, id: ServerId) -> Option<ServerId> {
         let mut others = self.by_id.iter().filter(|(other, _)| **other != id);
         others.find(|(_, server)| server.connected_upstream().is_some()).map(|(other, _)| *other)
     }
 
-    /// Attempts that wait for a connection to this server.
+    /// The attempts that wait for a connection to this server.
     pub(super) fn queued_attempts(&self, id: ServerId) -> Vec<AttemptId> {
         match self.by_id.get(&id) {
             Some(server) if server.connected_upstream().is_none() => {
@@ -127,7 +128,7 @@
         }
     }
 
-    /// The server of a connection that is still in use.
+    /// The server of a connection, if the connection is still in use.
     fn id_of_upstream(&self, upstream: UpstreamId) -> Option<ServerId> {
         self.by_upstream.get(&upstream).copied()
     }
@@ -146,7 +147,7 @@
 }
 
 impl EdgeCore {
-    /// Connects to a server that is in service and has no connection.
+    /// Connects to a server if it is in service and has no connection.
     pub(super) fn connect(&mut self, id: ServerId, effects: &mut Vec<Effect>) {
         let is_in_service = self.servers.is_in_service(id);
         let Some(server) = self.servers.by_id.get_mut(&id) else { return };
@@ -173,7 +174,8 @@
         }
     }
 
-    /// Gives a message to a server's connection, if that is ready; the connection, and the message's number there.
+    /// Sends a message to a server if its connection is established. Returns the connection and the message's
+    /// number on it.
     pub(super) fn transmit(
         &mut self,
         id: ServerId,
@@ -189,7 +191,8 @@
         Some((upstream, number))
     }
 
-    /// A connection is lost, or could not be made. `written`: how many of its messages may have left.
+    /// Handles the end of a connection, or a failure to establish it. `written`: how many of its messages may
+    /// have been sent.
     pub(super) fn handle_upstream_closed(
         &mut self,
         upstream: UpstreamId,
@@ -215,8 +218,9 @@
             self.end_lost_attempt(attempt, written, effects);
         }
         if self.servers.is_in_service(id) {
-            // A server that restarts ends all its connections at once, and the list tells of its start only later:
-            // edges that reconnect before they can have read of it overload it while it warms up.
+            // A server that restarts ends all its connections at once, and the endpoint list shows the
+            // restart only later. Edges that reconnect before they have read it would overload the server
+            // while it warms up.
             let list_delay_ns = self.settings.rules.drain_grace_ns + self.settings.look_ns;
             let extra_ns = if was_connected { list_delay_ns } else { 0 };
             let delay_ns = self.reconnect_delay_ns(failures) + extra_ns;
@@ -225,7 +229,8 @@
         self.disconnect_if_removed(id, effects);
     }
 
-    /// Ends an attempt whose connection is lost. `written`: how many of its messages may have left.
+    /// Ends an attempt whose connection is lost. `written`: how many messages of the connection may have been
+    /// sent.
     fn end_lost_attempt(&mut self, id: AttemptId, written: u64, effects: &mut Vec<Effect>) {
         let Some(attempt) = self.attempts.get(&id) else { return };
         let no_report = LoadReport::default();
@@ -240,7 +245,8 @@
         }
     }
 
-    /// Doubled with each failure in succession, half of it random: edges must not reconnect in step.
+    /// The delay before the next connection attempt: doubled with each consecutive failure, and half of it
+    /// random so that edges do not reconnect at the same time.
     fn reconnect_delay_ns(&mut self, failures: u32) -> Nanos {
         let timing = &self.settings.timing;
         let doubled_ns = timing.reconnect_first_ns.saturating_mul(1 << failures.min(MAX_RECONNECT_DOUBLINGS));
@@ -248,8 +254,8 @@
         delay_ns / 2 + (delay_ns / 2).saturating_mul(u64::from(self.rng.next_u32())) / u64::from(u32::MAX)
     }
 
-    /// Ends the connection to a server whose address has changed, and connects anew: its attempts end as with a
-    /// connection lost.
+    /// Reconnects to a server whose address has changed. Its attempts end as they do when a connection is
+    /// lost.
     pub(super) fn reconnect_now(&mut self, id: ServerId, effects: &mut Vec<Effect>) {
         let Some(upstream) = self.servers.by_id.get(&id).and_then(Server::upstream) else { return };
         effects.push(Effect::Disconnect(upstream));
@@ -258,7 +264,7 @@
         self.connect(id, effects);
     }
 
-    /// Ends the connection to a removed server once the last attempt there has ended.
+    /// Ends the connection to a server that was removed from the list, once the last attempt there has ended.
     pub(super) fn disconnect_if_removed(&mut self, id: ServerId, effects: &mut Vec<Effect>) {
         let Some(server) = self.servers.by_id.get_mut(&id) else { return };
         if server.endpoint.availability != Availability::Removed || !server.attempts.is_empty() {
@@ -273,7 +279,7 @@
         self.timers.clear(Timer::Reconnect(id));
     }
 
-    /// A set-up waited too long for its connection to be written: it never left.
+    /// Ends the attempt of a set-up that was discarded because it could not be written in time.
     pub(super) fn handle_not_written(
         &mut self,
         upstream: UpstreamId,
@@ -288,7 +294,7 @@
             let state = self.attempts.get(id).map(|attempt| attempt.state);
             matches!(state, Some(AttemptState::InFlight { message: first, .. }) if first == message)
         };
-        // If it was a resent set-up that was not written, the first one is still in flight.
+        // No attempt is found if a resent set-up was discarded: the first one is still in flight.
         let Some(attempt) = server.attempts.iter().find(is_setup).copied() else { return };
         self.counters.setups_not_sent += 1;
         self.end_attempt(attempt, Outcome::NotSent, LoadReport::default(), effects);
@@ -316,7 +322,7 @@
             (FromServer::Answer { .. }, Some(AttemptState::InFlight { .. })) => {
                 self.establish_call(id, report, effects);
             }
-            // The attempt has ended here: its circuit must not stay occupied there.
+            // The attempt has ended at this edge: its circuit must not stay occupied at the server.
             (FromServer::Answer { .. }, None) => {
                 self.counters.answers_late += 1;
                 self.transmit(server, &ToServer::Release { attempt: id }, None, effects);
@@ -329,7 +335,8 @@
                 Some(outcome) => self.end_attempt(id, outcome, report, effects),
                 None => self.count_server_error(server, "released before its answer"),
             },
-            // Crossed with this edge's own cancel or release; or a resent set-up's answer, crossed with the first.
+            // The answer crossed this edge's cancel or release; or a set-up that was sent again is answered
+            // again.
             (_, None) | (FromServer::Answer { .. }, Some(AttemptState::Established)) => {
                 self.counters.answers_crossed += 1;
             }
@@ -344,7 +351,7 @@
     }
 }
 
-/// How an answer other than one that establishes the call ends its attempt.
+/// The outcome of an attempt that is answered without establishing the call.
 fn outcome_of(message: &FromServer) -> Option<Outcome> {
     Some(match message {
         FromServer::Full { wait_ms, .. } => {
--- a/crates/lilacpitch-edge/src/net/driver.rs
+++ b/crates/lilacpitch-edge/src/net/driver.rs
@@ -250,8 +250,8 @@
             Effect::Connect(upstream, address) => self.connect(upstream, address),
             // The queue's end ends the task, once what it holds is written.
             Effect::Disconnect(upstream) => drop(self.upstreams.remove(&upstream)),
-            Effect::Locate { call, number, patience_ns } => {
-                let patience = Duration::from_nanos(patience_ns);
+            Effect::Locate { call, number, timeout_ns } => {
+                let patience = Duration::from_nanos(timeout_ns);
                 let agent = self.agent.as_ref();
                 if !agent.is_some_and(|agent| agent.send(ToAgent::Locate { call, number, patience })) {
                     // The agent does not keep up: the call goes on without it.
