--- a/crates/lilacpitch-edge/src/net/connection.rs
+++ b/crates/lilacpitch-edge/src/net/connection.rs
@@ -1,7 +1,7 @@
-//! One WebSocket connection: bytes to messages and messages to bytes, in one task that owns both halves.
+//! A WebSocket connection: one task decodes received bytes to messages and encodes messages to be sent.
 //!
-//! Messages are encoded only once what was encoded before has been written, so that no more than one batch is
-//! beyond recall, and a message that has waited too long can still be left out.
+//! A batch of messages is encoded only after the previous batch has been written. Until then a message that
+//! has waited too long can still be discarded.
 
 use super::Clock;
 use lilacpitch::interface::Nanos;
@@ -18,41 +18,41 @@
 use tokio::net::TcpStream;
 use tokio::sync::mpsc;
 
-/// Messages written at once.
-const BATCH: usize = 64;
-/// Bytes read at once.
+/// Maximum number of messages that are encoded at once.
+const MAX_BATCH: usize = 64;
+/// Number of bytes read at once. No more is read while at least as many bytes wait to be written.
 const READ_BYTES: usize = 16 * 1024;
-/// How long the other end may take to read what is left once the connection is being closed.
+/// How long the other end may take to read the remaining bytes once the connection is being closed.
 const LINGER: Duration = Duration::from_secs(1);
 
-/// A message to write.
+/// A message to be sent.
 #[derive(Debug)]
 pub struct Outgoing {
     /// Its number among the connection's messages.
     pub number: u64,
-    /// The text.
+    /// The text of the message.
     pub text: String,
-    /// Not to be written after this moment.
+    /// The message is discarded if it has not been encoded by this time.
     pub not_after_ns: Option<Nanos>,
 }
 
-/// What happens on a connection.
+/// An event of a connection.
 #[derive(Debug)]
 pub enum ConnectionEvent {
     /// The other end sent a text message.
     Text(String),
-    /// A message was too old to be written, by its number.
+    /// The message with this number was discarded because it had waited too long.
     NotWritten(u64),
 }
 
 /// Why a connection ended.
 #[derive(Debug, Error)]
 pub enum EndCause {
-    /// What takes its events has ended.
-    #[error("nobody listens")]
+    /// The receiver of its events has ended.
+    #[error("event receiver closed")]
     ReceiverClosed,
-    /// Its queue of outgoing messages has ended.
-    #[error("done")]
+    /// Its queue of outgoing messages was closed.
+    #[error("outgoing queue closed")]
     QueueClosed,
     /// The other end closed the stream.
     #[error("closed by the other end")]
@@ -66,35 +66,36 @@
     /// The stream could not be written.
     #[error("writing: {0}")]
     Write(std::io::Error),
-    /// Nothing came, and no answer to a ping.
-    #[error("quiet for too long")]
+    /// The other end sent nothing for too long, and no answer to a ping.
+    #[error("no answer to a ping")]
     Unresponsive,
     /// The other end sent a binary message.
     #[error("binary message")]
     BinaryMessage,
-    /// The other end broke the framing.
-    #[error("broken framing: {0}")]
+    /// The other end violated the framing rules or a limit.
+    #[error("framing: {0}")]
     Framing(FrameError),
 }
 
-/// How a connection ended, and what may have left of the messages given to it.
+/// How a connection ended, and how many of its messages may have been sent.
 #[derive(Debug)]
 pub struct ConnectionEnd {
-    /// So many of the messages given to it may have left.
+    /// Number of messages that may have reached the other end, counted from the first.
     pub written: u64,
-    /// Why it ended.
+    /// Why the connection ended.
     pub cause: EndCause,
 }
 
-/// Encoded bytes, and how far they and their messages are written.
+/// Encoded bytes, and how many bytes and messages of them have been written.
 #[derive(Default)]
 struct WriteBuffer {
     bytes: Vec<u8>,
-    /// Of `bytes`, so many are written.
+    /// Number of bytes at the start of `bytes` that have been written.
     sent: usize,
-    /// Messages that may have left.
+    /// Number of messages of the connection that may have been sent.
     written: u64,
-    /// Messages that may have left once one more byte is written.
+    /// Number of messages of the connection that are encoded. All of them may have been sent once another
+    /// byte is written.
     encoded: u64,
 }
 
@@ -103,7 +104,7 @@
         &self.bytes[self.sent..]
     }
 
-    fn note_written(&mut self, count: usize) {
+    fn record_written(&mut self, count: usize) {
         self.written = self.encoded;
         self.sent += count;
         if self.sent == self.bytes.len() {
@@ -113,39 +114,41 @@
     }
 }
 
-/// A WebSocket connection whose handshake is done: carries text messages both ways.
+/// A WebSocket connection after its handshake: exchanges text messages.
 pub struct WebSocketConnection {
-    /// The connection.
+    /// The stream, after the handshake.
     pub stream: TcpStream,
-    /// Which end this is.
+    /// The role of this end.
     pub role: Role,
-    /// For messages that grow too old.
+    /// The clock that the deadlines of messages refer to.
     pub clock: Clock,
-    /// Masks of a client's frames.
+    /// The source of a client's frame masks.
     pub rng: StdRng,
-    /// After so long without a byte a ping is sent; after as long again the connection ends.
+    /// After this time without a received byte a ping is sent; after the same time again, the connection
+    /// ends. `None`: no pings are sent.
     pub quiet: Option<Duration>,
 }
 
 impl WebSocketConnection {
-    /// Carries messages both ways until the connection ends or `out` does. `rest`: bytes that came behind the
-    /// handshake. While `on_event` is busy, nothing more is read; once it returns `false`, the connection ends.
+    /// Exchanges messages until the connection ends or `out` is closed. `received` are the bytes that
+    /// followed the handshake. Nothing is read while `on_event` is pending; once it returns `false`, the
+    /// connection ends.
     pub async fn run(
         mut self,
-        rest: &[u8],
+        received: &[u8],
         out: &mut mpsc::Receiver<Outgoing>,
         mut on_event: impl AsyncFnMut(ConnectionEvent) -> bool,
     ) -> ConnectionEnd {
         let _ = self.stream.set_nodelay(true);
         let mut decoder = Decoder::new(self.role);
-        decoder.feed(rest);
+        decoder.feed(received);
         let mut buffer = WriteBuffer::default();
-        let cause = self.carry(&mut decoder, &mut buffer, out, &mut on_event).await;
+        let cause = self.exchange_messages(&mut decoder, &mut buffer, out, &mut on_event).await;
         if matches!(cause, EndCause::QueueClosed) {
             let mask = self.mask();
             Encoder::close(&mut buffer.bytes, CloseCode::AWAY, "", mask);
         }
-        // What is left goes out if the other end reads at all; whoever wanted a close frame has appended it.
+        // The remaining bytes, including any close frame, are sent if the other end still reads.
         let flush = tokio::time::timeout(LINGER, async {
             self.stream.write_all(buffer.unwritten()).await?;
             self.stream.shutdown().await
@@ -155,7 +158,7 @@
         ConnectionEnd { written, cause }
     }
 
-    async fn carry(
+    async fn exchange_messages(
         &mut self,
         decoder: &mut Decoder,
         buffer: &mut WriteBuffer,
@@ -165,9 +168,9 @@
         let (mut incoming, mut batch) = (Vec::with_capacity(READ_BYTES), Vec::new());
         let mut is_ping_pending = false;
         loop {
-            // A peer that floods pings and reads no pongs makes the buffer grow no further: nothing is read
-            // while more than one batch waits to be written.
-            if let Err(cause) = self.take(decoder, &mut buffer.bytes, on_event).await {
+            // Nothing is read while too many bytes wait to be written, so that a peer that floods pings and
+            // reads no pongs cannot make the buffer grow.
+            if let Err(cause) = self.deliver_messages(decoder, &mut buffer.bytes, on_event).await {
                 return cause;
             }
             let (mut reader, mut writer) = self.stream.split();
@@ -182,11 +185,13 @@
                     }
                     Err(error) => return EndCause::Read(error),
                 },
-                wrote = writer.write(&buffer.bytes[buffer.sent..]), if !buffer.unwritten().is_empty() => match wrote {
-                    Ok(count) => buffer.note_written(count),
-                    Err(error) => return EndCause::Write(error),
-                },
-                count = out.recv_many(&mut batch, BATCH), if buffer.bytes.is_empty() => {
+                result = writer.write(&buffer.bytes[buffer.sent..]), if !buffer.unwritten().is_empty() => {
+                    match result {
+                        Ok(count) => buffer.record_written(count),
+                        Err(error) => return EndCause::Write(error),
+                    }
+                }
+                count = out.recv_many(&mut batch, MAX_BATCH), if buffer.bytes.is_empty() => {
                     if count == 0 {
                         return EndCause::QueueClosed;
                     }
@@ -204,7 +209,7 @@
         }
     }
 
-    /// Encodes messages, but for those that have grown too old.
+    /// Encodes messages, except for those that have waited too long.
     async fn encode(
         &mut self,
         batch: &mut Vec<Outgoing>,
@@ -214,7 +219,7 @@
         let now = self.clock.now();
         for message in batch.drain(..) {
             buffer.encoded = message.number + 1;
-            if message.not_after_ns.is_some_and(|at| now > at) {
+            if message.not_after_ns.is_some_and(|not_after| now > not_after) {
                 on_event(ConnectionEvent::NotWritten(message.number)).await;
             } else {
                 let mask = self.mask();
@@ -223,8 +228,9 @@
         }
     }
 
-    /// Hands on all messages that are whole. An error is the reason to end; its close frame is in `bytes`.
-    async fn take(
+    /// Passes all messages that have arrived whole to `on_event`. On an error the connection must end; its
+    /// close frame, if any, has been appended to `bytes`.
+    async fn deliver_messages(
         &mut self,
         decoder: &mut Decoder,
         bytes: &mut Vec<u8>,
@@ -252,10 +258,10 @@
                     Encoder::pong(bytes, &payload, mask);
                 }
                 Message::Pong(_) => {}
-                Message::Close(why) => {
+                Message::Close(close) => {
                     let mask = self.mask();
                     Encoder::close(bytes, CloseCode::NORMAL, "", mask);
-                    return Err(EndCause::CloseFrame(format!("{why:?}")));
+                    return Err(EndCause::CloseFrame(format!("{close:?}")));
                 }
             }
         }
@@ -281,21 +287,21 @@
     /// The stream could not be read.
     #[error("reading: {0}")]
     Read(std::io::Error),
-    /// The other end closed the stream before its head was whole.
-    #[error("closed within its head")]
+    /// The other end closed the stream before its head was complete.
+    #[error("closed before the head was complete")]
     ClosedInHead,
-    /// The other end's head is wrong.
+    /// The head of the other end's request or response is invalid.
     #[error("{0}")]
     Head(#[from] HeadError),
-    /// The request is for a target that is not served.
+    /// The requested target is not served.
     #[error("no such target: {0}")]
     NoSuchTarget(String),
-    /// The other end refuses the handshake, or its handshake is wrong.
+    /// The other end refuses the handshake, or its handshake is invalid.
     #[error("{0}")]
     Handshake(#[from] HandshakeError),
 }
 
-/// Reads until a head is whole. Returns it with the bytes that came behind it.
+/// Reads until a head is complete. Returns it with the bytes that follow it.
 pub(super) async fn read_head<T>(
     stream: &mut TcpStream,
     parse: impl Fn(&[u8]) -> Result<Option<(T, usize)>, HeadError>,
@@ -313,17 +319,17 @@
     }
 }
 
-/// The server's side of an opening handshake, for targets that are `target` or lie below it. Returns the target
-/// and the bytes that came behind the head; a request that is refused gets its answer.
+/// Performs the server's side of an opening handshake, for `target` and the targets below it. Returns the
+/// requested target and the bytes that follow the head. A request that is refused gets an error response.
 ///
 /// # Errors
-/// A head or a handshake that is refused, or a socket that failed.
+/// The head or the handshake is refused, or the socket failed.
 pub async fn serve_handshake(
     stream: &mut TcpStream,
     target: &str,
     protocol: &'static str,
 ) -> Result<(String, Vec<u8>), OpenError> {
-    let (request, rest) = match read_head(stream, http::request).await {
+    let (request, received) = match read_head(stream, http::request).await {
         Ok(head) => head,
         Err(error) => {
             let body = format!("{error}\n");
@@ -331,8 +337,10 @@
             return Err(error);
         }
     };
-    let is_below =
-        request.target.strip_prefix(target).is_some_and(|more| more.is_empty() || more.starts_with('/'));
+    let is_below = request
+        .target
+        .strip_prefix(target)
+        .is_some_and(|suffix| suffix.is_empty() || suffix.starts_with('/'));
     if !is_below {
         let body = format!("connect to {target}\n");
         let _ = stream.write_all(&handshake::plain_response("404 Not Found", "", &body)).await;
@@ -341,7 +349,7 @@
     match handshake::server_answer(&request, protocol) {
         Ok(answer) => {
             stream.write_all(&answer).await?;
-            Ok((request.target, rest))
+            Ok((request.target, received))
         }
         Err(error) => {
             let _ = stream.write_all(&handshake::refusal(&error)).await;
@@ -350,10 +358,11 @@
     }
 }
 
-/// The client's side: a connection with its handshake done, and the bytes that came behind it.
+/// Opens a connection and performs the client's side of the handshake. Returns the stream and the bytes that
+/// follow the handshake.
 ///
 /// # Errors
-/// An address that can't be reached, or a handshake that the server refused.
+/// The address cannot be reached, or the server refused the handshake.
 pub async fn open(
     address: SocketAddr,
     target: &str,
@@ -366,7 +375,7 @@
     let key = handshake::key(random);
     let request = handshake::client_request(&address.to_string(), target, &key, protocol);
     stream.write_all(&request).await?;
-    let (answer, rest) = read_head(&mut stream, http::response).await?;
+    let (answer, received) = read_head(&mut stream, http::response).await?;
     handshake::check_answer(&answer, &key, protocol)?;
-    Ok((stream, rest))
+    Ok((stream, received))
 }
--- a/crates/lilacpitch-edge/src/net/connections.rs
+++ b/crates/lilacpitch-edge/src/net/connections.rs
@@ -1,4 +1,5 @@
-//! Tasks of connections: a caller's, which is accepted, and a server's, which is opened. Each ends with an event.
+//! The tasks of connections: accepted ones of callers, and opened ones to servers. Each task reports the end
+//! of its connection to the driver.
 
 use super::connection::{open, serve_handshake, ConnectionEvent, Outgoing, WebSocketConnection};
 use super::driver::Driver;
@@ -15,16 +16,16 @@
 use tokio::sync::mpsc;
 use tokio::task::AbortHandle;
 
-/// How long a caller may take over its handshake.
+/// Time limit for the handshake of a caller.
 const HANDSHAKE_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// A connection's queue and its task.
+/// The driver's handle of a connection: its outgoing queue and its task.
 pub(super) struct ConnectionHandle {
     pub out: mpsc::Sender<Outgoing>,
     pub task: AbortHandle,
 }
 
-/// What a connection's task needs of the driver.
+/// The driver's resources that a connection's task uses.
 struct ConnectionContext {
     events: mpsc::Sender<DriverEvent>,
     clock: Clock,
@@ -33,15 +34,15 @@
 }
 
 impl ConnectionContext {
-    /// Whether the driver has taken the input.
+    /// Sends an input to the driver. Returns whether the driver is still running.
     async fn send(&self, input: Input) -> bool {
         self.events.send(DriverEvent::Input(input)).await.is_ok()
     }
 }
 
 impl Driver {
-    /// Accepts a caller's connection, unless there are too many.
-    pub(super) fn accept(&mut self, mut stream: TcpStream, from: SocketAddr) {
+    /// Accepts a caller's connection, unless the limit of callers is reached.
+    pub(super) fn accept(&mut self, mut stream: TcpStream, remote_address: SocketAddr) {
         if self.callers.len() >= self.settings.limits.callers {
             tokio::task::spawn_local(async move {
                 let refusal = handshake::plain_response("503 Service Unavailable", "", "too many callers\n");
@@ -53,7 +54,7 @@
         self.next_caller += 1;
         let (out, context) = self.connection_context();
         let quiet = Duration::from_nanos(self.settings.timing.quiet_ns);
-        let task = tokio::task::spawn_local(serve_caller(caller, stream, from, quiet, context));
+        let task = tokio::task::spawn_local(serve_caller(caller, stream, remote_address, quiet, context));
         self.callers.insert(caller, ConnectionHandle { out, task: task.abort_handle() });
         self.feed(Input::CallerOpened(caller));
     }
@@ -77,26 +78,27 @@
 async fn serve_caller(
     caller: CallerId,
     mut stream: TcpStream,
-    from: SocketAddr,
+    remote_address: SocketAddr,
     quiet: Duration,
     context: ConnectionContext,
 ) {
     let handshake = serve_handshake(&mut stream, "/call", handshake::CALL_PROTOCOL);
     match tokio::time::timeout(HANDSHAKE_TIMEOUT, handshake).await {
-        Ok(Ok((target, rest))) => {
-            return carry_caller(caller, stream, &target, &rest, quiet, context).await;
+        Ok(Ok((target, received))) => {
+            return run_caller_connection(caller, stream, &target, &received, quiet, context).await;
         }
-        Ok(Err(error)) => tracing::debug!(%from, %error, "caller handshake failed"),
-        Err(_) => tracing::debug!(%from, "caller handshake timed out"),
+        Ok(Err(error)) => tracing::debug!(from = %remote_address, %error, "caller handshake failed"),
+        Err(_) => tracing::debug!(from = %remote_address, "caller handshake timed out"),
     }
     context.send(Input::CallerClosed(caller)).await;
 }
 
-async fn carry_caller(
+/// Exchanges messages with a caller after its handshake, until the connection ends.
+async fn run_caller_connection(
     caller: CallerId,
     stream: TcpStream,
     target: &str,
-    rest: &[u8],
+    received: &[u8],
     quiet: Duration,
     mut context: ConnectionContext,
 ) {
@@ -112,7 +114,7 @@
         }
         ConnectionEvent::NotWritten(_) => true,
     };
-    let end = connection.run(rest, &mut context.queue, on_event).await;
+    let end = connection.run(received, &mut context.queue, on_event).await;
     tracing::debug!(caller, cause = %end.cause, "caller connection ended");
     context.send(Input::CallerClosed(caller)).await;
 }
@@ -127,23 +129,24 @@
     let mut written = 0;
     let opening = open(address, &target, handshake::SIGNAL_PROTOCOL, &mut context.rng);
     match tokio::time::timeout(timeout, opening).await {
-        Ok(Ok((stream, rest))) => {
+        Ok(Ok((stream, received))) => {
             if !context.send(Input::UpstreamConnected(upstream)).await {
                 return;
             }
-            written = carry_upstream(upstream, stream, &rest, &mut context).await;
+            written = run_upstream_connection(upstream, stream, &received, &mut context).await;
         }
-        Ok(Err(error)) => tracing::debug!(upstream, %address, %error, "upstream connection not made"),
+        Ok(Err(error)) => tracing::debug!(upstream, %address, %error, "upstream connection not established"),
         Err(_) => tracing::debug!(upstream, %address, "upstream connection timed out"),
     }
     context.send(Input::UpstreamClosed { upstream, written }).await;
 }
 
-/// Carries messages until the connection ends: how many may have left.
-async fn carry_upstream(
+/// Exchanges messages with a server after the handshake, until the connection ends. Returns how many messages
+/// may have been sent.
+async fn run_upstream_connection(
     upstream: UpstreamId,
     stream: TcpStream,
-    rest: &[u8],
+    received: &[u8],
     context: &mut ConnectionContext,
 ) -> u64 {
     let (clock, rng) = (context.clock, context.rng.clone());
@@ -156,12 +159,13 @@
         };
         events.send(DriverEvent::Input(input)).await.is_ok()
     };
-    let end = connection.run(rest, &mut context.queue, on_event).await;
+    let end = connection.run(received, &mut context.queue, on_event).await;
     tracing::debug!(upstream, cause = %end.cause, "upstream connection ended");
     end.written
 }
 
-/// The number at which a caller is reached, by its target: `/call/NUMBER`, with `%23` for `#`.
+/// The number at which a caller is reached, from its request target `/call/NUMBER`, in which `#` is written
+/// as `%23`.
 fn caller_number(target: &str) -> Option<String> {
     let number = target.strip_prefix("/call/")?.replace("%23", "#");
     lilacpitch_location::Number::new(&number).ok().map(String::from)
--- a/crates/lilacpitch-edge/src/net/driver.rs
+++ b/crates/lilacpitch-edge/src/net/driver.rs
@@ -1,4 +1,5 @@
-//! The driver: the one task that owns the core. It feeds the core what happens, and carries out what the core wants.
+//! The driver: the one task that owns the core. It passes events to the core and carries out the core's
+//! effects.
 
 use super::connection::Outgoing;
 use super::connections::ConnectionHandle;
@@ -17,15 +18,16 @@
 use tokio::task::AbortHandle;
 use tokio::time::Instant;
 
-/// Events handled in one round.
+/// Maximum number of events handled in one round.
 const EVENTS_PER_ROUND: usize = 256;
-/// How long the driver pauses after a connection that it could not accept.
+/// How long the driver waits after it could not accept a connection.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(10);
-/// How often, and how many times, connections are checked for their end when the edge stops.
+/// The interval between checks whether all connections have ended when the edge stops.
 const CLOSE_POLL: Duration = Duration::from_millis(20);
+/// Maximum number of these checks.
 const MAX_CLOSE_POLLS: usize = 100;
 
-/// The core and what stands around it.
+/// The state of the driver: the core, the connections, the gossip with peers and the fleet's agent.
 pub(super) struct Driver {
     core: EdgeCore,
     pub clock: Clock,
@@ -35,7 +37,7 @@
     pub callers: BTreeMap<CallerId, ConnectionHandle>,
     pub upstreams: BTreeMap<UpstreamId, ConnectionHandle>,
     pub next_caller: CallerId,
-    /// Empty between two inputs; kept for its capacity.
+    /// Buffer for the core's effects, empty between inputs; kept to reuse its allocation.
     effects: Vec<Effect>,
     gossip: Option<GossipSocket>,
     agent: Option<fleet::Handle>,
@@ -43,7 +45,7 @@
 }
 
 impl Driver {
-    /// A driver without connections.
+    /// Creates a driver without connections.
     pub(super) fn new(
         core: EdgeCore,
         clock: Clock,
@@ -69,7 +71,7 @@
         }
     }
 
-    /// Connects to the servers of the list, and joins the peers.
+    /// Connects to the servers of the list, and starts the gossip with peers.
     pub(super) fn begin(&mut self, list: Pools) {
         self.apply_endpoint_list(list);
         self.with_gossip(|gossip, now, effects| gossip.peers.start(now, effects));
@@ -89,13 +91,13 @@
             let due = self.next_timeout();
             tokio::select! {
                 count = inbox.recv_many(&mut round, EVENTS_PER_ROUND) => {
-                    debug_assert!(count > 0, "the driver holds a sender itself");
+                    debug_assert!(count > 0, "the driver itself holds a sender");
                     round.drain(..).for_each(|event| self.handle(event));
                 }
                 accepted = listener.accept(), if !is_stopping => match accepted {
-                    Ok((stream, from)) => self.accept(stream, from),
+                    Ok((stream, remote_address)) => self.accept(stream, remote_address),
                     Err(error) => {
-                        // Out of descriptors, most likely: what is connected goes on.
+                        // Most likely there is no free file descriptor. Existing connections continue.
                         tracing::warn!(%error, "caller connection not accepted");
                         tokio::time::sleep(ACCEPT_PAUSE).await;
                     }
@@ -116,7 +118,7 @@
         self.close().await;
     }
 
-    /// When the core, the peers or the agent's records want the driver next.
+    /// When the next timeout of the core, the gossip or the agent's records is due.
     fn next_timeout(&self) -> Option<Instant> {
         let gossip = self.gossip.as_ref().and_then(|gossip| gossip.peers.next_timeout());
         let records = self.agent.as_ref().and_then(fleet::Handle::due_ns);
@@ -146,7 +148,7 @@
             DriverEvent::KeysRejected(error) => {
                 tracing::error!(%error, "peer keys rejected, keeping the current ones");
             }
-            // Readers may have disconnected meanwhile.
+            // The client of a page may have disconnected meanwhile.
             DriverEvent::PeersPage(reply) => {
                 let page = self.gossip.as_ref().map_or_else(String::new, GossipSocket::page);
                 drop(reply.send(page));
@@ -164,9 +166,9 @@
 
     fn handle_agent_message(&mut self, message: FromAgent) {
         match message {
-            FromAgent::Located { call, pool, good_until_ns } => {
-                // Checked here again: this task may have stalled since the agent checked.
-                let is_current = lilacpitch_rpc::steady_ns() < good_until_ns;
+            FromAgent::Located { call, pool, good_until_ns: valid_until_ns } => {
+                // Checked again: this task may have stalled since the agent's check.
+                let is_current = lilacpitch_rpc::steady_ns() < valid_until_ns;
                 self.feed(Input::Located(call, pool.filter(|_| is_current)));
             }
             FromAgent::SettingsInForce(is_in_force) => self.feed(Input::SettingsInForce(is_in_force)),
@@ -174,7 +176,7 @@
         }
     }
 
-    /// Hands the core an input, and carries out its effects.
+    /// Passes an input to the core, and carries out the core's effects.
     pub(super) fn feed(&mut self, input: Input) {
         let mut effects = std::mem::take(&mut self.effects);
         self.core.handle(self.clock.now(), input, &mut effects);
@@ -187,11 +189,14 @@
         }
     }
 
-    /// Lets the gossip with peers act, and carries out its effects. Without peers nothing happens.
-    fn with_gossip(&mut self, act: impl FnOnce(&mut GossipSocket, u64, &mut Vec<lilacpitch_gossip::Effect>)) {
+    /// Runs an operation on the gossip with peers and carries out its effects. Does nothing without peers.
+    fn with_gossip(
+        &mut self,
+        operation: impl FnOnce(&mut GossipSocket, u64, &mut Vec<lilacpitch_gossip::Effect>),
+    ) {
         let Some(gossip) = &mut self.gossip else { return };
         let mut effects = Vec::new();
-        act(gossip, self.clock.now(), &mut effects);
+        operation(gossip, self.clock.now(), &mut effects);
         self.carry_out_gossip(effects);
     }
 
@@ -215,7 +220,8 @@
                     });
                 }
                 GossipEffect::RumorsReceived(rumors) => self.feed(Input::RumorsReceived(rumors)),
-                // By its origin, of which its address is part: two edges with one name by mistake are two peers.
+                // A peer is identified by its origin, which includes its address, so that two edges that have
+                // the same name by mistake are different peers.
                 GossipEffect::ReportsReceived(peer, reports) => {
                     self.feed(Input::PeerReported(peer.origin(), reports));
                 }
@@ -248,13 +254,13 @@
                 }
             }
             Effect::Connect(upstream, address) => self.connect(upstream, address),
-            // The queue's end ends the task, once what it holds is written.
+            // Closing the queue ends the connection's task once the queued messages are written.
             Effect::Disconnect(upstream) => drop(self.upstreams.remove(&upstream)),
             Effect::Locate { call, number, timeout_ns } => {
-                let patience = Duration::from_nanos(timeout_ns);
+                let timeout = Duration::from_nanos(timeout_ns);
                 let agent = self.agent.as_ref();
-                if !agent.is_some_and(|agent| agent.send(ToAgent::Locate { call, number, patience })) {
-                    // The agent does not keep up: the call goes on without it.
+                if !agent.is_some_and(|agent| agent.send(ToAgent::Locate { call, number, patience: timeout })) {
+                    // The agent does not keep up: the call continues without a locate.
                     self.feed_later(Input::Located(call, None));
                 }
             }
@@ -269,7 +275,8 @@
         }
     }
 
-    /// Queues a message for a caller; one that does not read is disconnected, so that others are not delayed.
+    /// Queues a message for a caller. A caller that does not read is disconnected, so that others are not
+    /// delayed.
     fn send_to_caller(&mut self, caller: CallerId, text: String) {
         let Some(handle) = self.callers.get(&caller) else { return };
         if handle.out.try_send(Outgoing { number: 0, text, not_after_ns: None }).is_ok() {
@@ -282,7 +289,8 @@
         self.feed_later(Input::CallerClosed(caller));
     }
 
-    /// Feeds an input that an effect causes, by a task of its own: the core is in use.
+    /// Queues an input that results from an effect. A separate task sends it, as the core is handling another
+    /// input and the queue may be full.
     fn feed_later(&self, input: Input) {
         let events = self.events.clone();
         tokio::task::spawn_local(async move {
@@ -290,12 +298,12 @@
         });
     }
 
-    /// A random generator for a connection.
+    /// Creates a random number generator for a connection.
     pub(super) fn fork_rng(&mut self) -> StdRng {
         StdRng::from_rng(&mut self.rng)
     }
 
-    /// Ends all connections: what was queued for them is written if they read it soon.
+    /// Closes all connections. Queued messages are written if the other ends read them within a short time.
     async fn close(mut self) {
         let handles = self.callers.values().chain(self.upstreams.values());
         let tasks: Vec<AbortHandle> = handles.map(|handle| handle.task.clone()).collect();
@@ -310,7 +318,7 @@
     }
 }
 
-/// The agent's next message; without an agent, or once it has ended, never.
+/// Returns the agent's next message. Pending for ever without an agent, or once the agent has ended.
 async fn next_message(agent: &mut Option<mpsc::Receiver<FromAgent>>) -> FromAgent {
     if let Some(agent) = agent {
         if let Some(message) = agent.recv().await {
--- a/crates/lilacpitch-edge/src/net/driver_event.rs
+++ b/crates/lilacpitch-edge/src/net/driver_event.rs
@@ -1,4 +1,4 @@
-//! What the tasks of the shell report to its driver.
+//! The events that the tasks of the shell send to the driver.
 
 use super::watched_file::ReadError;
 use crate::core::Input;
@@ -10,16 +10,16 @@
 pub(super) enum DriverEvent {
     /// An input for the core.
     Input(Input),
-    /// The endpoint list has changed.
+    /// The endpoint list has changed, and was read.
     ListRead(Pools),
-    /// The endpoint list has changed, and cannot be read.
+    /// The endpoint list has changed and cannot be read.
     ListRejected(ReadError),
-    /// The peers' key file has changed.
+    /// The peers' key file has changed, and was read.
     KeysRead(Keys),
-    /// The peers' key file has changed, and cannot be read.
+    /// The peers' key file has changed and cannot be read.
     KeysRejected(ReadError),
-    /// A reader wants the page of metrics.
+    /// An HTTP client requests the metrics page.
     MetricsPage(oneshot::Sender<String>),
-    /// A reader wants the page of peers.
+    /// An HTTP client requests the peers page.
     PeersPage(oneshot::Sender<String>),
 }
--- a/crates/lilacpitch-edge/src/net/gossip_socket.rs
+++ b/crates/lilacpitch-edge/src/net/gossip_socket.rs
@@ -1,6 +1,6 @@
-//! The UDP socket of the gossip among edges, and the page that shows what this edge sees of its peers.
+//! The UDP socket of the gossip among edges, and the page that shows this edge's view of its peers.
 //!
-//! [`Peers`] decides what is sent; here are the socket, and the key file, which is watched.
+//! [`Peers`] implements the gossip protocol; this module does the I/O, and watches the key file.
 
 use super::driver_event::DriverEvent;
 use super::startup::RunError;
@@ -15,14 +15,14 @@
 use tokio::net::UdpSocket;
 use tokio::sync::mpsc;
 
-/// The gossip with peers.
+/// The gossip protocol with its socket.
 pub(super) struct GossipSocket {
     pub peers: Peers,
     socket: UdpSocket,
 }
 
 impl GossipSocket {
-    /// Opens the socket, reads the keys, and watches their file.
+    /// Opens the socket, reads the keys, and starts to watch the key file.
     pub(super) async fn open(
         name: &str,
         settings: &PeersOf,
@@ -45,7 +45,7 @@
         ));
         let failed = |error| RunError::Listen(settings.listen, error);
         let socket = UdpSocket::bind(settings.listen).await.map_err(failed)?;
-        // Datagrams sent before the socket is known to be writable would be dropped.
+        // `try_send_to` fails, and the datagram is dropped, until tokio has found the socket writable.
         socket.writable().await.map_err(failed)?;
         let settings = Settings {
             name: name.to_string(),
@@ -57,48 +57,53 @@
         Ok(GossipSocket { peers: Peers::new(settings, now, seed), socket })
     }
 
-    /// The next datagram; one byte more than is allowed shows that it is too long. Without peers: never.
+    /// Returns the next datagram. The buffer is one byte longer than allowed, so that datagrams that are too
+    /// long can be recognized. Pending for ever without peers.
     pub(super) async fn receive(gossip: &Option<GossipSocket>) -> Vec<u8> {
         let Some(gossip) = gossip else { return std::future::pending().await };
         let mut buffer = [0; MAX_DATAGRAM_BYTES + 1];
         loop {
             match gossip.socket.recv_from(&mut buffer).await {
                 Ok((length, _)) => return buffer[..length].to_vec(),
-                // A peer's port was closed, which the kernel reports here. Membership notices by itself.
+                // The kernel reports here that a peer's port is closed. The failure detector handles peers
+                // that are gone.
                 Err(error) => tracing::trace!(%error, "peer datagram not received"),
             }
         }
     }
 
-    /// Sends if the socket takes it now: a datagram may be lost in any case.
+    /// Sends a datagram, or drops it if the socket is not writable: datagrams may be lost in any case.
     pub(super) fn send(&self, to: SocketAddr, bytes: &[u8]) {
         if let Err(error) = self.socket.try_send_to(bytes, to) {
             tracing::trace!(%to, %error, "peer datagram not sent");
         }
     }
 
-    /// The peers that this edge sees, and what was counted: a page for people.
+    /// The page for operators: the peers that this edge sees, and its counters.
     pub(super) fn page(&self) -> String {
         let mut out = String::new();
         // Writing to a String cannot fail.
         for peer in self.peers.members() {
             let _ = writeln!(out, "{}\t{}\tsince {}", peer.name, peer.address, peer.epoch / 1_000_000);
         }
-        let counted = self.peers.counters();
+        let counters = self.peers.counters();
         let _ = writeln!(
             out,
             "# sent {} datagrams, {} bytes; taken {}",
-            counted.sent_datagrams, counted.sent_bytes, counted.accepted
+            counters.sent_datagrams, counters.sent_bytes, counters.accepted
         );
         let _ = writeln!(
             out,
             "# asked {}, answers taken {}, answered {}",
-            counted.requests_sent, counted.responses_accepted, counted.requests_answered
+            counters.requests_sent, counters.responses_accepted, counters.requests_answered
         );
-        let _ =
-            writeln!(out, "# news told {}, voices heard {}", counted.rumor_batches_sent, counted.new_rumors);
-        for (refused, count) in &counted.rejected {
-            let _ = writeln!(out, "# refused {count}: {refused}");
+        let _ = writeln!(
+            out,
+            "# news told {}, voices heard {}",
+            counters.rumor_batches_sent, counters.new_rumors
+        );
+        for (reason, count) in &counters.rejected {
+            let _ = writeln!(out, "# refused {count}: {reason}");
         }
         out
     }
--- a/crates/lilacpitch-edge/src/net/metrics.rs
+++ b/crates/lilacpitch-edge/src/net/metrics.rs
@@ -1,4 +1,5 @@
-//! Pages on an address of their own: `GET /metrics`, `/peers`, and those of the fleet's agent.
+//! Serves the operators' pages over HTTP on a separate address: `/metrics`, `/peers`, and those of the
+//! fleet's agent.
 
 use super::connection::read_head;
 use super::driver_event::DriverEvent;
@@ -12,10 +13,10 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::{mpsc, oneshot};
 
-/// How long one reader may take.
-const READER_TIMEOUT: Duration = Duration::from_secs(5);
+/// Time limit for one request, and the wait after a connection could not be accepted.
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Serves readers until the driver has ended.
+/// Serves requests until the driver has ended.
 pub(super) async fn serve(
     listener: TcpListener,
     events: mpsc::Sender<DriverEvent>,
@@ -25,15 +26,16 @@
         match listener.accept().await {
             Ok((stream, _)) => {
                 let (events, agent) = (events.clone(), agent.clone());
-                // A search in the fleet may take a while: other readers are served meanwhile.
+                // Each request has a task of its own: a search in the fleet may take long, and must not delay
+                // others.
                 tokio::task::spawn_local(async move {
                     let _ =
-                        tokio::time::timeout(READER_TIMEOUT, answer(stream, &events, agent.as_ref())).await;
+                        tokio::time::timeout(REQUEST_TIMEOUT, answer(stream, &events, agent.as_ref())).await;
                 });
             }
             Err(error) => {
                 tracing::warn!(%error, "metrics connection not accepted");
-                tokio::time::sleep(READER_TIMEOUT).await;
+                tokio::time::sleep(REQUEST_TIMEOUT).await;
             }
         }
         if events.is_closed() {
@@ -73,7 +75,7 @@
     stream.shutdown().await.ok()
 }
 
-/// The page of metrics.
+/// The metrics page.
 pub(super) fn page(core: &EdgeCore) -> String {
     let mut out = String::new();
     core.counters().append_page(&mut out);
--- a/crates/lilacpitch-edge/src/net/mod.rs
+++ b/crates/lilacpitch-edge/src/net/mod.rs
@@ -1,7 +1,9 @@
-//! The shell around [`EdgeCore`](crate::core::EdgeCore): sockets, queues and the clock, on tokio. It decides nothing.
+//! The shell around [`EdgeCore`](crate::core::EdgeCore): sockets, queues and the clock, on tokio. It makes no
+//! routing decisions.
 //!
-//! Everything runs on one thread as tasks of a `LocalSet`; the driver owns the core, each connection has a task,
-//! and bounded queues are between them. A connection that can't keep up is ended, and never waited for.
+//! Everything runs on one thread as tasks of a `LocalSet`. The driver owns the core, each connection has a
+//! task, and bounded queues connect them. A connection that cannot keep up is closed; the driver never waits
+//! for it.
 
 mod connection;
 mod connections;
--- a/crates/lilacpitch-edge/src/net/startup.rs
+++ b/crates/lilacpitch-edge/src/net/startup.rs
@@ -1,4 +1,4 @@
-//! Start-up: reads files, opens sockets, starts the tasks around the driver, and runs it.
+//! Start-up: reads files, opens sockets, starts the tasks of the shell, and runs the driver.
 
 use super::driver::Driver;
 use super::driver_event::DriverEvent;
@@ -17,40 +17,40 @@
 use tokio::net::TcpListener;
 use tokio::sync::mpsc;
 
-/// Events that may wait for the driver; what brings them is read no further meanwhile.
+/// Capacity of the driver's event queue. While it is full, connections are not read.
 const EVENT_QUEUE: usize = 4096;
 
-/// Where an edge that has started can be reached.
+/// The addresses of an edge that has started.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Ready {
-    /// The callers' address.
+    /// The address for callers.
     pub callers: SocketAddr,
-    /// The address of metrics, if there is one.
+    /// The address of the metrics page, if one is configured.
     pub metrics: Option<SocketAddr>,
 }
 
 /// Why an edge could not start.
 #[derive(Debug, Error)]
 pub enum RunError {
-    /// An address could not be listened on.
+    /// The edge cannot listen on an address.
     #[error("listening on {0}: {1}")]
     Listen(SocketAddr, std::io::Error),
-    /// The endpoint list can't be read.
+    /// The endpoint list cannot be read.
     #[error("{0}")]
     PoolList(#[from] ConfigError),
-    /// The file of the endpoint list can't be watched.
+    /// The file of the endpoint list cannot be watched.
     #[error("{0}: {1}")]
     PoolFile(String, std::io::Error),
-    /// The key file of peers can't be read.
+    /// The key file of peers cannot be read.
     #[error("{0}")]
     Keys(#[from] ReadError),
-    /// The agent of the fleet can't start.
+    /// The fleet's agent cannot start.
     #[error("fleet: {0}")]
     Fleet(#[from] fleet::StartError),
-    /// The machine gave no signal handler.
+    /// A signal handler cannot be installed.
     #[error("signals: {0}")]
     Signals(std::io::Error),
-    /// The machine gave no random numbers.
+    /// The operating system provides no random numbers.
     #[error("no randomness: {0}")]
     Randomness(std::io::Error),
 }
@@ -58,7 +58,8 @@
 /// Runs an edge until it has stopped after `stop`. Must run within a `LocalSet`.
 ///
 /// # Errors
-/// If a file cannot be read, an address cannot be listened on, or the machine refuses a thread or random numbers.
+/// A file cannot be read, an address cannot be listened on, or the operating system provides no thread or no
+/// random numbers.
 pub async fn run(
     settings: Edge,
     safeguards: Safeguards,
@@ -68,7 +69,7 @@
     run_with(settings, safeguards, lilacpitch_fleet::Safeguards::default(), ready, stop).await
 }
 
-/// With safeguards of the fleet switched off too: for the testbed.
+/// Like [`run`], with safeguards of the fleet that may be switched off, for the testbed.
 #[doc(hidden)]
 pub async fn run_with(
     settings: Edge,
@@ -110,10 +111,10 @@
     Duration::from_nanos(settings.look_ns)
 }
 
-/// Reads the endpoint list, and watches its file.
+/// Reads the endpoint list, and starts to watch its file.
 fn watch_endpoint_list(settings: &Edge, events: &mpsc::Sender<DriverEvent>) -> Result<Pools, RunError> {
     let path = settings.pool_list.clone();
-    // Taken before the file is read: a change in between is noticed.
+    // Determined before the file is read, so that a change in between is detected.
     let version = FileVersion::read(&path).map_err(|error| RunError::PoolFile(path.clone(), error))?;
     let list = Pools::load(Path::new(&path))?.value;
     let read = |path: &str| Ok(DriverEvent::ListRead(Pools::load(Path::new(path))?.value));
@@ -139,6 +140,7 @@
     GossipSocket::open(&settings.name, peers, now, seed, interval, events).await.map(Some)
 }
 
+/// The handle of the agent and the receiver of its messages; both `None` without a fleet in the settings.
 type AgentChannels = (Option<fleet::Handle>, Option<mpsc::Receiver<FromAgent>>);
 
 fn start_agent(
--- a/crates/lilacpitch-edge/src/net/watched_file.rs
+++ b/crates/lilacpitch-edge/src/net/watched_file.rs
@@ -1,4 +1,4 @@
-//! Files that are polled, and read again when they have changed: the endpoint list, and the key file of peers.
+//! Polls files and reads them again when they have changed: the endpoint list, and the key file of peers.
 
 use super::driver_event::DriverEvent;
 use lilacpitch_config::ConfigError;
@@ -7,21 +7,21 @@
 use thiserror::Error;
 use tokio::sync::mpsc;
 
-/// Why a file cannot be read. The text names the file.
+/// Why a file cannot be read. The error text names the file.
 #[derive(Debug, Error)]
 pub enum ReadError {
-    /// The file is missing, or may not be read.
+    /// The file is missing or not readable.
     #[error("{0}: {1}")]
     File(String, std::io::Error),
-    /// A key file's text is wrong.
+    /// The content of a key file is invalid.
     #[error("{0}: {1}")]
     Keys(String, lilacpitch_gossip::KeyError),
-    /// A configuration's text is wrong.
+    /// The content of a configuration file is invalid.
     #[error("{0}")]
     Config(#[from] ConfigError),
 }
 
-/// What tells one version of a file from another.
+/// The properties that identify a version of a file.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) struct FileVersion {
     modified: Option<SystemTime>,
@@ -30,18 +30,18 @@
 }
 
 impl FileVersion {
-    /// The version of the file now.
+    /// Determines the current version of a file.
     pub(super) fn read(path: &str) -> std::io::Result<Self> {
-        Ok(Self::of(&std::fs::metadata(path)?))
+        Ok(Self::from_metadata(&std::fs::metadata(path)?))
     }
 
-    fn of(metadata: &std::fs::Metadata) -> Self {
+    fn from_metadata(metadata: &std::fs::Metadata) -> Self {
         FileVersion { modified: metadata.modified().ok(), length: metadata.len(), inode: metadata.ino() }
     }
 }
 
-/// Polls a file until the driver has ended. `current`: the version that was read at the start. `read` gives the event
-/// of a file that has changed; `rejected` that of one that cannot be read.
+/// Polls a file until the driver has ended. `current` is the version that was read at the start. `read`
+/// returns the event for a file that has changed, `rejected` the event for a file that cannot be read.
 pub(super) async fn watch(
     path: String,
     poll_interval: Duration,
@@ -54,8 +54,8 @@
     loop {
         tokio::time::sleep(poll_interval).await;
         let version = match tokio::fs::metadata(&path).await {
-            Ok(metadata) => FileVersion::of(&metadata),
-            // A file that is replaced by unlinking it first may be missing for a moment; reported once.
+            Ok(metadata) => FileVersion::from_metadata(&metadata),
+            // A file that is unlinked before it is replaced may be missing for a moment. Reported once.
             Err(error) => {
                 let was_missing = std::mem::replace(&mut is_missing, true);
                 if !was_missing && events.send(rejected(ReadError::File(path.clone(), error))).await.is_err()
