--- a/crates/lilacpitch-edge/src/fleet/admin_pages.rs
+++ b/crates/lilacpitch-edge/src/fleet/admin_pages.rs
@@ -1,9 +1,12 @@
-//! Pages of the agent, beside the front's metrics: `/fleet` and `/locate`.
+//! The agent's pages for operators: `/fleet` shows its state, `/locate` looks up numbers and searches for
+//! records.
+//!
+//! Operators' tools read the pages by their names and words, which must stay as they are.
 
 use super::Agent;
 use lilacpitch_fleet::error::LocateError;
 use lilacpitch_fleet::locate::{LocateAnswer, SiteOutcome, MAX_LIMIT};
-use lilacpitch_location::{Key, Kind, LocationError, Number, Query, QueryTarget};
+use lilacpitch_location::{Key, Kind, LocationError, Number, Owner, Query, QueryTarget};
 use lilacpitch_rpc::steady_ns;
 use std::fmt::Write;
 use std::sync::atomic::Ordering::Relaxed;
@@ -11,16 +14,17 @@
 use std::time::Duration;
 use thiserror::Error;
 
-/// How long an operator's search may take.
-const SEARCH: Duration = Duration::from_secs(2);
-/// Records on a page unless `limit` names another number.
+/// Time limit of an operator's search.
+const SEARCH_TIMEOUT: Duration = Duration::from_secs(2);
+/// Number of records on a page unless `limit` is given.
 const DEFAULT_LIMIT: usize = 100;
-/// The longest prefix that is searched for: a number with its plus sign.
+/// Maximum length of a prefix to search for, in bytes: a number with its plus sign.
 const MAX_PREFIX_BYTES: usize = 33;
+/// The usage text of `/locate`, shown after an error.
 const USAGE: &str = "/locate?number=N, or /locate?search=PREFIX&kind=reached|standing&class=C&trunk_group=T&\
                      from_ms=A&to_ms=B&limit=L&cursor=CURSOR\n";
 
-/// Why a page of `/locate` shows no records. Each text is followed by the page's usage.
+/// Why `/locate` shows no records. The page shows the text and then the usage.
 #[derive(Debug, Error)]
 enum LocatePageError {
     #[error(transparent)]
@@ -37,7 +41,7 @@
     Field { name: &'static str, value: String },
 }
 
-/// The arguments of a page, `name=value` joined by `&`.
+/// The query arguments of a page: `name=value` pairs joined by `&`.
 struct PageArguments<'a>(&'a str);
 
 impl PageArguments<'_> {
@@ -52,7 +56,7 @@
     }
 }
 
-/// A search for location records by prefix.
+/// The parameters of a search for location records by prefix.
 struct Search {
     query: Query,
     after: Option<Key>,
@@ -89,89 +93,90 @@
     }
 
     fn parse_cursor(value: String) -> Result<Key, LocatePageError> {
-        read_cursor(&value).ok_or(LocatePageError::Field { name: "cursor", value })
+        key_from_cursor(&value).ok_or(LocatePageError::Field { name: "cursor", value })
     }
 }
 
 impl Agent {
-    /// A page by its target; `None`: there is none.
+    /// Returns the page for a request target, or `None` if it does not exist.
     pub(super) async fn page(self: &Arc<Self>, target: &str) -> Option<String> {
-        let (path, asked) = target.split_once('?').unwrap_or((target, ""));
+        let (path, arguments) = target.split_once('?').unwrap_or((target, ""));
         match path {
-            "/fleet" => Some(self.state()),
-            "/locate" => Some(match self.locate(asked).await {
+            "/fleet" => Some(self.fleet_page()),
+            "/locate" => Some(match self.locate_page(arguments).await {
                 Ok(page) => page,
-                Err(what) => format!("error: {what}\n{USAGE}"),
+                Err(error) => format!("error: {error}\n{USAGE}"),
             }),
             _ => None,
         }
     }
 
-    async fn locate(self: &Arc<Self>, arguments: &str) -> Result<String, LocatePageError> {
+    async fn locate_page(self: &Arc<Self>, arguments: &str) -> Result<String, LocatePageError> {
         let arguments = PageArguments(arguments);
         if let Some(number) = arguments.field("number") {
             return self.locate_number(&Number::new(&number)?).await;
         }
         let search = Search::parse(&arguments)?;
-        let found = self.search(search.query, search.after, search.limit, SEARCH).await;
-        Ok(written(&found))
+        let answer = self.search(search.query, search.after, search.limit, SEARCH_TIMEOUT).await;
+        Ok(format_answer(&answer))
     }
 
-    /// As for a call: from the cache where that may be used, and judged as it would be there.
+    /// Looks up a number in the same way as for a call: from the cache if the cached answer may be used, and
+    /// with a check of the lease after the lookup.
     async fn locate_number(self: &Arc<Self>, number: &Number) -> Result<String, LocatePageError> {
-        let timeout = Duration::from_nanos(self.of.locate_longest_ns * 2);
-        let (answer, until_ns) = self.number(number, timeout).await?;
-        if steady_ns() >= until_ns && self.guards.cache_leases {
+        let timeout = Duration::from_nanos(self.settings.locate_longest_ns * 2);
+        let (answer, valid_until_ns) = self.look_up(number, timeout).await?;
+        if steady_ns() >= valid_until_ns && self.safeguards.cache_leases {
             return Err(LocatePageError::LeaseExpired);
         }
-        Ok(written(&answer))
+        Ok(format_answer(&answer))
     }
 
-    fn state(&self) -> String {
+    fn fleet_page(&self) -> String {
         let now = steady_ns();
-        let (position, usable, in_force) = {
-            let holder = self.holder.lock();
+        let (position, lease, is_in_force) = {
+            let holder = self.lease_holder.lock();
             (holder.position(), holder.valid_until(now), !holder.is_withdrawn())
         };
         let mut out = String::new();
-        let _ = writeln!(out, "home {} at {}", self.of.home, self.home_dialer().address);
-        let _ = writeln!(out, "life {}", self.me.incarnation);
-        let _ = writeln!(out, "settings {:016x}", self.settings);
-        let _ = writeln!(out, "in-force {in_force}");
+        let _ = writeln!(out, "home {} at {}", self.settings.home, self.home_dialer().address);
+        let _ = writeln!(out, "life {}", self.identity.incarnation);
+        let _ = writeln!(out, "settings {:016x}", self.settings_digest);
+        let _ = writeln!(out, "in-force {is_in_force}");
         let position = position.map_or("none".into(), |position| position.to_string());
-        let lease = match usable {
-            Ok(until_ns) => format!("for {} ms", until_ns.saturating_sub(now) / 1_000_000),
+        let lease = match lease {
+            Ok(valid_until_ns) => format!("for {} ms", valid_until_ns.saturating_sub(now) / 1_000_000),
             Err(error) => format!("none: {error}"),
         };
         let _ = writeln!(out, "position {position}\nlease {lease}");
-        let unknown = self.catalogue.read().stale_sites(now);
-        let _ = writeln!(out, "summaries unknown {}: {}", unknown.len(), unknown.join(" "));
-        let _ = writeln!(out, "rows waiting {}", self.record_publisher.lock().waiting());
-        let backlog = self.recorder.lock().backlog();
+        let stale_sites = self.catalogue.read().stale_sites(now);
+        let _ = writeln!(out, "summaries unknown {}: {}", stale_sites.len(), stale_sites.join(" "));
+        let _ = writeln!(out, "rows waiting {}", self.publish_queue.lock().len());
+        let backlog = self.audit_recorder.lock().backlog();
         let _ = writeln!(out, "audit waiting {}, joined {}", backlog.pending, backlog.merged);
-        let c = &self.counters;
-        let all = [
+        let counters = &self.counters;
+        let values = [
             ("cached", self.cache.len() as u64),
-            ("located_total", c.located.load(Relaxed)),
-            ("from_cache_total", c.from_cache.load(Relaxed)),
-            ("sites_asked_total", c.asked.load(Relaxed)),
-            ("incomplete_total", c.incomplete.load(Relaxed)),
-            ("joined_total", c.joined.load(Relaxed)),
-            ("not_filled_total", c.not_filled.load(Relaxed)),
-            ("orders_total", c.orders.load(Relaxed)),
-            ("fresh_starts_total", c.fresh_starts.load(Relaxed)),
-            ("writes_total", c.written.load(Relaxed)),
-            ("summaries_refused_total", c.summaries_refused.load(Relaxed)),
+            ("located_total", counters.lookups.load(Relaxed)),
+            ("from_cache_total", counters.cache_hits.load(Relaxed)),
+            ("sites_asked_total", counters.site_queries.load(Relaxed)),
+            ("incomplete_total", counters.incomplete_answers.load(Relaxed)),
+            ("joined_total", counters.joined_lookups.load(Relaxed)),
+            ("not_filled_total", counters.rejected_cache_fills.load(Relaxed)),
+            ("orders_total", counters.applied_commands.load(Relaxed)),
+            ("fresh_starts_total", counters.lease_resets.load(Relaxed)),
+            ("writes_total", counters.acknowledged_writes.load(Relaxed)),
+            ("summaries_refused_total", counters.rejected_summaries.load(Relaxed)),
         ];
-        for (name, value) in all {
+        for (name, value) in values {
             let _ = writeln!(out, "{name} {value}");
         }
         out
     }
 }
 
-/// A cursor as it is written on a page: the key's parts, in an order that reads back.
-fn read_cursor(text: &str) -> Option<Key> {
+/// Parses a cursor from a page: the parts of the key, separated by `|`.
+fn key_from_cursor(text: &str) -> Option<Key> {
     let mut parts = text.split('|');
     let number = Number::new(parts.next()?).ok()?;
     let kind = match parts.next()? {
@@ -180,16 +185,16 @@
         _ => return None,
     };
     let (name, front) = (parts.next()?.to_string(), parts.next()?.to_string());
-    let (life, serial) = (parts.next()?.parse().ok()?, parts.next()?.parse().ok()?);
-    let holder = lilacpitch_location::Owner { name, front, incarnation: life, serial };
-    Some(Key { number, kind, owner: holder })
+    let (incarnation, serial) = (parts.next()?.parse().ok()?, parts.next()?.parse().ok()?);
+    Some(Key { number, kind, owner: Owner { name, front, incarnation, serial } })
 }
 
-fn written(answer: &LocateAnswer) -> String {
+/// The text of an answer on the page `/locate`.
+fn format_answer(answer: &LocateAnswer) -> String {
     let mut out = format!("complete {}\ncached {}\n", answer.is_complete, answer.is_cached);
     let now = steady_ns();
-    for (site, said) in &answer.sites {
-        let _ = match said {
+    for (site, outcome) in &answer.sites {
+        let _ = match outcome {
             SiteOutcome::RuledOut { incarnation, total, as_of_ns } => {
                 let age_ms = now.saturating_sub(*as_of_ns) / 1_000_000;
                 writeln!(out, "site {site} ruled-out version {incarnation}/{total} age-ms {age_ms}")
@@ -197,30 +202,30 @@
             SiteOutcome::Queried { process, records } => {
                 writeln!(out, "site {site} asked {process} rows {records}")
             }
-            SiteOutcome::Unreachable(why) => writeln!(out, "site {site} not-reached {why}"),
+            SiteOutcome::Unreachable(error) => writeln!(out, "site {site} not-reached {error}"),
         };
     }
-    for row in &answer.records {
-        let (key, kind) = (&row.key, row.key.kind.as_str());
+    for record in &answer.records {
+        let (key, kind) = (&record.key, record.key.kind.as_str());
         let _ = writeln!(
             out,
             "row {} {kind} class {:?} trunk-group {} holder {} front {} life {} serial {} since {}",
             key.number,
-            row.class,
-            row.trunk_group,
+            record.class,
+            record.trunk_group,
             key.owner.name,
             key.owner.front,
             key.owner.incarnation,
             key.owner.serial,
-            row.since_ms
+            record.since_ms
         );
     }
     if let Some(key) = &answer.cursor {
-        let (kind, holder) = (key.kind.as_str(), &key.owner);
+        let (kind, owner) = (key.kind.as_str(), &key.owner);
         let _ = writeln!(
             out,
             "cursor {}|{kind}|{}|{}|{}|{}",
-            key.number, holder.name, holder.front, holder.incarnation, holder.serial
+            key.number, owner.name, owner.front, owner.incarnation, owner.serial
         );
     }
     out
--- a/crates/lilacpitch-edge/src/fleet/lease_client.rs
+++ b/crates/lilacpitch-edge/src/fleet/lease_client.rs
@@ -1,26 +1,28 @@
-//! The lease from the home site, its purge commands, and the summaries of all sites.
+//! The client of the home site: renews the lease, applies purge commands, and fetches the summaries of all
+//! sites.
 
 use super::{wall_ms, Agent, Counters, FromAgent};
-use lilacpitch_fleet::lease_holder::LeaseUpdate;
-use lilacpitch_fleet::message::{FleetCommand, Request, Response};
+use lilacpitch_fleet::lease_holder::{LeaseHolder, LeaseUpdate};
+use lilacpitch_fleet::message::{FleetCommand, RejectReason, Request, Response};
 use lilacpitch_rpc::{steady_ns, Dialer, RpcConnection};
 use std::sync::Arc;
 use std::time::Duration;
 
 /// Renews the lease for as long as the agent runs.
-pub(super) async fn follow(agent: Arc<Agent>) {
+pub(super) async fn renew_lease(agent: Arc<Agent>) {
     loop {
-        let (requested_ns, applied) = (steady_ns(), agent.holder.lock().position());
+        let (requested_ns, position) = (steady_ns(), agent.lease_holder.lock().position());
         let home = agent.home_dialer();
-        let again = match home.request(Request::RenewLease(applied), agent.patience()).await {
-            Ok(Response::Rejected(why)) => {
-                tracing::debug!(%why, "lease refused");
+        let is_due_at_once = match home.request(Request::RenewLease(position), agent.request_timeout()).await
+        {
+            Ok(Response::Rejected(reason)) => {
+                tracing::debug!(why = %reason, "lease rejected");
                 agent.home_selection.lock().record_failure();
                 false
             }
             Ok(response) => {
                 agent.home_selection.lock().record_success();
-                agent.renewed(requested_ns, response)
+                agent.handle_renewal(requested_ns, response)
             }
             Err(error) => {
                 tracing::debug!(%error, "lease not renewed");
@@ -28,119 +30,127 @@
                 false
             }
         };
-        agent.note_version();
+        agent.record_version();
         agent.report_version(&home).await;
-        if !again {
-            let gap_ns = agent.home_selection.lock().next_renewal_delay_ns(&agent.terms);
-            tokio::time::sleep(Duration::from_nanos(gap_ns)).await;
+        if !is_due_at_once {
+            let delay_ns = agent.home_selection.lock().next_renewal_delay_ns(&agent.lease_terms);
+            tokio::time::sleep(Duration::from_nanos(delay_ns)).await;
         }
     }
 }
 
-/// Polls the home site for summaries.
-pub(super) async fn poll(agent: Arc<Agent>) {
-    let gap = Duration::from_nanos(agent.of.terms.poll_ns);
+/// Polls the home site for summaries for as long as the agent runs.
+pub(super) async fn poll_summaries(agent: Arc<Agent>) {
+    let poll_interval = Duration::from_nanos(agent.settings.terms.poll_ns);
     loop {
         let (requested_ns, known) = (steady_ns(), agent.catalogue.read().known_summaries());
-        let said = agent.home_dialer().request(Request::Summaries(known), agent.patience()).await;
-        let more = match said {
-            Ok(Response::Summaries(news)) => {
-                let applied = agent.catalogue.write().apply_updates(requested_ns, news);
+        let response = agent.home_dialer().request(Request::Summaries(known), agent.request_timeout()).await;
+        let has_more = match response {
+            Ok(Response::Summaries(updates)) => {
+                let applied = agent.catalogue.write().apply_updates(requested_ns, updates);
                 for error in applied.errors {
-                    Counters::one(&agent.counters.summaries_refused);
+                    Counters::increment(&agent.counters.rejected_summaries);
                     tracing::warn!(%error, "summary rejected");
                 }
                 applied.has_more
             }
             _ => false,
         };
-        if !more {
-            tokio::time::sleep(gap).await;
+        if !has_more {
+            tokio::time::sleep(poll_interval).await;
         }
     }
 }
 
 impl Agent {
-    /// The connection to the process of the home site that is in use.
+    /// The connection to the selected process of the home site.
     pub(super) fn home_dialer(&self) -> Arc<Dialer> {
-        self.home[self.home_selection.lock().selected_index(self.home.len())].clone()
+        self.home_dialers[self.home_selection.lock().selected_index(self.home_dialers.len())].clone()
     }
 
-    pub(super) fn patience(&self) -> Duration {
-        Duration::from_nanos(self.of.terms.ask_ns * 5)
+    /// The timeout of a request to the home site.
+    pub(super) fn request_timeout(&self) -> Duration {
+        Duration::from_nanos(self.settings.terms.ask_ns * 5)
     }
 
-    fn renewed(&self, requested_ns: u64, response: Response) -> bool {
+    /// Handles the response to a renewal. Returns whether the next renewal is due at once.
+    fn handle_renewal(&self, requested_ns: u64, response: Response) -> bool {
         if let Response::LeaseGranted { store_id, .. } = &response {
-            self.note_store(*store_id);
+            self.handle_store_id(*store_id);
         }
-        let granted = matches!(response, Response::LeaseGranted { .. });
+        let is_granted = matches!(response, Response::LeaseGranted { .. });
         // Locked until the commands are applied: two responses must not apply one command twice.
-        let mut holder = self.holder.lock();
+        let mut holder = self.lease_holder.lock();
         match holder.handle_response(requested_ns, response) {
-            LeaseUpdate::Commands(orders) => self.apply(&mut holder, orders),
+            LeaseUpdate::Commands(commands) => self.apply(&mut holder, commands),
             LeaseUpdate::Reset => {
                 self.cache.clear(steady_ns());
-                Counters::one(&self.counters.fresh_starts);
+                Counters::increment(&self.counters.lease_resets);
                 tracing::info!(position = ?holder.position(), "lease reset, cache dropped");
             }
             LeaseUpdate::Unchanged => {}
         }
-        let again = !granted || holder.valid_until(steady_ns()).is_err();
-        let in_force = !holder.is_withdrawn();
+        let is_incomplete = !is_granted || holder.valid_until(steady_ns()).is_err();
+        let is_in_force = !holder.is_withdrawn();
         drop(holder);
-        self.report_in_force(in_force);
-        // After a reset, or while a lease waits for more commands to be applied, the next renewal follows at once.
-        again && in_force
+        self.report_in_force(is_in_force);
+        // After a reset, or while the lease requires commands that are not applied yet, the next renewal is
+        // due at once.
+        is_incomplete && is_in_force
     }
 
     /// Reports to the driver whether the settings are in force, when that has changed.
-    fn report_in_force(&self, in_force: bool) {
-        let mut said = self.reported_in_force.lock();
-        if *said != in_force && self.front.try_send(FromAgent::SettingsInForce(in_force)).is_ok() {
-            *said = in_force;
+    fn report_in_force(&self, is_in_force: bool) {
+        let mut reported = self.reported_in_force.lock();
+        if *reported != is_in_force
+            && self.to_driver.try_send(FromAgent::SettingsInForce(is_in_force)).is_ok()
+        {
+            *reported = is_in_force;
         }
     }
 
-    fn apply(&self, holder: &mut lilacpitch_fleet::lease_holder::LeaseHolder, orders: Vec<FleetCommand>) {
+    /// Applies commands to the cache in their order. The caller holds the lock of the lease holder.
+    fn apply(&self, holder: &mut LeaseHolder, commands: Vec<FleetCommand>) {
         let now = steady_ns();
-        for order in orders {
-            self.cache.apply(now, &order);
-            holder.record_applied(&order);
-            Counters::one(&self.counters.orders);
+        for command in commands {
+            self.cache.apply(now, &command);
+            holder.record_applied(&command);
+            Counters::increment(&self.counters.applied_commands);
         }
     }
 
     /// Answers a request of the home site.
-    pub(super) fn answer(&self, _from: &RpcConnection, ask: Request) -> Response {
-        let Request::Commands { log, commands } = ask else {
-            return Response::Rejected(lilacpitch_fleet::message::RejectReason::Unsupported);
+    pub(super) fn answer(&self, _connection: &RpcConnection, request: Request) -> Response {
+        let Request::Commands { log, commands } = request else {
+            return Response::Rejected(RejectReason::Unsupported);
         };
-        let mut holder = self.holder.lock();
+        let mut holder = self.lease_holder.lock();
         match holder.select_next_commands(log, commands) {
-            Ok(next) => self.apply(&mut holder, next),
+            Ok(next_commands) => self.apply(&mut holder, next_commands),
             Err(error) => tracing::debug!(%error, "purge commands rejected"),
         }
-        let (position, in_force) = (holder.position().unwrap_or_default(), !holder.is_withdrawn());
+        let (position, is_in_force) = (holder.position().unwrap_or_default(), !holder.is_withdrawn());
         drop(holder);
-        self.report_in_force(in_force);
-        self.note_version();
+        self.report_in_force(is_in_force);
+        self.record_version();
         Response::Applied(position)
     }
 
-    /// Reports the version that this edge acts on to the home site, until it is acknowledged.
+    /// Reports the version that this edge acts on to the home site. It is reported again with each renewal
+    /// until it is acknowledged.
     async fn report_version(&self, home: &Dialer) {
-        let record = self.recorder.lock().pending_record(wall_ms());
+        let record = self.audit_recorder.lock().pending_record(wall_ms());
         if let Ok(Response::Written) =
-            home.request(Request::Audit(vec![record.clone()]), self.patience() * 3).await
+            home.request(Request::Audit(vec![record.clone()]), self.request_timeout() * 3).await
         {
-            self.recorder.lock().acknowledge(&record);
+            self.audit_recorder.lock().acknowledge(&record);
         }
     }
 
-    /// The edge stops: the cache is dropped, and the home site need not wait for the lease to expire.
+    /// Drops the cache and releases the lease when the edge stops, so that the home site need not wait for
+    /// its expiry.
     pub(super) async fn release_lease(&self) {
         self.cache.clear(steady_ns());
-        let _ = self.home_dialer().request(Request::ReleaseLease, self.patience()).await;
+        let _ = self.home_dialer().request(Request::ReleaseLease, self.request_timeout()).await;
     }
 }
--- a/crates/lilacpitch-edge/src/fleet/locate_dispatcher.rs
+++ b/crates/lilacpitch-edge/src/fleet/locate_dispatcher.rs
@@ -1,9 +1,10 @@
-//! The dispatch of queries to the processes of sites: one task owns the controller, and others wait for responses.
+//! Dispatches queries to the processes of sites: one task owns the controller; a task for each attempt waits
+//! for the response.
 //!
-//! The controller picks a process for each query, retries, and leaves unresponsive processes alone until they answer
-//! a probe.
+//! The controller selects a process for each query, retries, and sends no queries to unresponsive processes
+//! until they answer a probe.
 
-use super::{Agent, CONNECT};
+use super::{Agent, CONNECT_TIMEOUT};
 use lilacpitch::interface::Outcome;
 use lilacpitch_fleet::error::LocateError;
 use lilacpitch_fleet::message::{RejectReason, Request, Response};
@@ -16,16 +17,17 @@
 use std::time::Duration;
 use tokio::sync::{mpsc, oneshot};
 
-/// Events that may wait for the task.
+/// Capacity of the task's event queue.
 const EVENT_QUEUE: usize = 16_384;
-/// Events handled in one round.
+/// Maximum number of events handled in one round.
 const EVENTS_PER_ROUND: usize = 256;
 
-/// A page of records, and the process that found it.
+/// A page of records, and the name of the process that answered.
 type Found = (Page, String);
+/// The records that a query found, or why there are none.
 type QueryResult = Result<Found, LocateError>;
 
-/// A query to a site.
+/// A query to a site, with the channel for its result.
 pub(super) struct SiteQuery {
     site: usize,
     is_urgent: bool,
@@ -34,18 +36,20 @@
     reply: oneshot::Sender<QueryResult>,
 }
 
+/// An event for the dispatcher's task.
 enum DispatcherEvent {
+    /// A new query.
     Query(Box<SiteQuery>),
-    /// An attempt has ended: how, and what it found.
+    /// An attempt has ended with this outcome, and with these records if there was an answer.
     AttemptEnded(DispatchAction, Outcome, Option<Found>),
-    /// A process of a site that was unresponsive answers again.
+    /// An unresponsive process has answered a probe; the indices of its site and of the process.
     Recovered(usize, usize),
 }
 
-/// Where queries are handed in.
+/// Sends queries to the dispatcher's task.
 pub(super) struct QuerySender(mpsc::Sender<DispatcherEvent>);
 
-/// The dispatcher before its task runs.
+/// The dispatcher, until [`run`] starts its task.
 pub(super) struct LocateDispatcher {
     dispatcher: Mutex<QueryDispatcher>,
     events: mpsc::Sender<DispatcherEvent>,
@@ -53,14 +57,15 @@
 }
 
 impl QuerySender {
-    /// The sender, and the dispatcher that [`run`] takes. `processes`: how many each site has.
-    pub(super) fn new(processes: &[usize], timing: Timing, seed: u64) -> (Self, LocateDispatcher) {
+    /// Creates the sender and the dispatcher for [`run`]. `process_counts`: the number of processes of each
+    /// site.
+    pub(super) fn new(process_counts: &[usize], timing: Timing, seed: u64) -> (Self, LocateDispatcher) {
         let (events, inbox) = mpsc::channel(EVENT_QUEUE);
-        let dispatcher = Mutex::new(QueryDispatcher::new(processes, timing, steady_ns(), seed));
+        let dispatcher = Mutex::new(QueryDispatcher::new(process_counts, timing, steady_ns(), seed));
         (QuerySender(events.clone()), LocateDispatcher { dispatcher, events, inbox })
     }
 
-    /// Queries a site: what it found, or why there is no answer within the budget.
+    /// Queries a site. Returns the records found, or why there is no answer within the budget.
     pub(super) async fn query(
         &self,
         site: usize,
@@ -81,28 +86,29 @@
     }
 }
 
-/// A query that is with the controller.
+/// A query that the controller has not completed.
 struct PendingQuery {
     request: Request,
     reply: oneshot::Sender<QueryResult>,
-    until_ns: u64,
-    /// Why its last attempt found nothing.
+    deadline_ns: u64,
+    /// Why the last attempt failed.
     last_error: LocateError,
 }
 
-/// The task's state.
+/// The state of the dispatcher's task.
 struct DispatcherTask {
     agent: Arc<Agent>,
     dispatcher: QueryDispatcher,
     events: mpsc::Sender<DispatcherEvent>,
     pending: HashMap<u64, PendingQuery>,
     actions: Vec<DispatchAction>,
-    wake_ns: Option<u64>,
-    /// Processes, by site and index, that left a query unanswered and are probed until they answer.
+    next_timer_ns: Option<u64>,
+    /// Processes that did not answer a query and are probed until they answer, by the indices of site and
+    /// process.
     unresponsive: HashSet<(usize, usize)>,
 }
 
-/// Feeds the controller and carries its actions out, until no query can come any more.
+/// Passes events to the controller and carries out its actions, until all senders are closed.
 pub(super) async fn run(agent: Arc<Agent>, dispatcher: LocateDispatcher) {
     let LocateDispatcher { dispatcher, events, mut inbox } = dispatcher;
     let mut task = DispatcherTask {
@@ -111,12 +117,12 @@
         events,
         pending: HashMap::new(),
         actions: Vec::new(),
-        wake_ns: None,
+        next_timer_ns: None,
         unresponsive: HashSet::new(),
     };
     let mut round = Vec::new();
     loop {
-        let wait = task.wake_ns.map(|at| Duration::from_nanos(at.saturating_sub(steady_ns())));
+        let wait = task.next_timer_ns.map(|at| Duration::from_nanos(at.saturating_sub(steady_ns())));
         tokio::select! {
             count = inbox.recv_many(&mut round, EVENTS_PER_ROUND) => {
                 if count == 0 {
@@ -132,11 +138,12 @@
 
 impl DispatcherTask {
     fn handle_timer(&mut self) {
-        self.wake_ns = None;
+        self.next_timer_ns = None;
         self.dispatcher.handle_timer(steady_ns(), &mut self.actions);
-        // Queries that nobody waits for are cancelled, so that nothing more is sent for them.
+        // Queries whose caller no longer waits are cancelled, so that nothing more is sent for them.
         let now = steady_ns();
-        let abandoned = self.pending.iter().filter(|(_, q)| q.reply.is_closed() || q.until_ns <= now);
+        let abandoned =
+            self.pending.iter().filter(|(_, query)| query.reply.is_closed() || query.deadline_ns <= now);
         let abandoned: Vec<u64> = abandoned.map(|(id, _)| *id).collect();
         for id in abandoned {
             self.pending.remove(&id);
@@ -153,7 +160,7 @@
                 self.dispatcher.mark_recovered(now, site, process, &mut self.actions);
             }
             DispatcherEvent::AttemptEnded(attempt, outcome, found) => {
-                self.complete(&attempt, outcome, found);
+                self.handle_attempt_end(&attempt, outcome, found);
                 self.dispatcher.complete_attempt(now, attempt, outcome, &mut self.actions);
             }
         }
@@ -163,13 +170,14 @@
         let SiteQuery { site, is_urgent, budget_ns, request, reply } = query;
         let mut actions = Vec::new();
         let id = self.dispatcher.submit(now, site, is_urgent, budget_ns, &mut actions);
-        let until_ns = now + budget_ns;
-        self.pending.insert(id, PendingQuery { request, reply, until_ns, last_error: LocateError::Late });
+        let deadline_ns = now + budget_ns;
+        self.pending.insert(id, PendingQuery { request, reply, deadline_ns, last_error: LocateError::Late });
         self.actions.append(&mut actions);
     }
 
-    /// Answers an attempt's query, or notes why there is no answer, and probes a process that does not respond.
-    fn complete(&mut self, attempt: &DispatchAction, outcome: Outcome, found: Option<Found>) {
+    /// Answers the query of an attempt that has ended, or records why there is no answer. Starts to probe a
+    /// process that does not respond.
+    fn handle_attempt_end(&mut self, attempt: &DispatchAction, outcome: Outcome, found: Option<Found>) {
         let DispatchAction::Send { query_id, site, process, .. } = attempt else { return };
         let is_unresponsive = matches!(outcome, Outcome::TimedOut | Outcome::Unreachable | Outcome::Cut);
         if is_unresponsive && self.unresponsive.insert((*site, *process)) {
@@ -180,7 +188,7 @@
                 let _ = query.reply.send(Ok(found));
             }
         } else if let Some(query) = self.pending.get_mut(query_id) {
-            query.last_error = error_of(outcome);
+            query.last_error = error_for(outcome);
         }
     }
 
@@ -189,7 +197,7 @@
             match action {
                 DispatchAction::Send { query_id, site, process, timeout_ns, .. } => {
                     let Some(query) = self.pending.get(&query_id) else {
-                        // Nobody waits for it: nothing is sent, and the controller is told.
+                        // The query was cancelled: nothing is sent, and the attempt ends.
                         self.dispatcher.complete_attempt(
                             steady_ns(),
                             action,
@@ -202,7 +210,7 @@
                         (self.agent.sites[site].1[process].clone(), query.request.clone());
                     let (events, timeout) = (self.events.clone(), Duration::from_nanos(timeout_ns));
                     tokio::spawn(async move {
-                        let (outcome, found) = outcome_of(dialer.request(request, timeout).await);
+                        let (outcome, found) = outcome_from(dialer.request(request, timeout).await);
                         let _ = events.send(DispatcherEvent::AttemptEnded(action, outcome, found)).await;
                     });
                 }
@@ -212,27 +220,27 @@
                     }
                 }
                 DispatchAction::SetTimer(at) => {
-                    self.wake_ns = Some(self.wake_ns.map_or(at, |set| set.min(at)));
+                    self.next_timer_ns = Some(self.next_timer_ns.map_or(at, |earlier| earlier.min(at)));
                 }
             }
         }
     }
 }
 
-/// Probes a process after growing delays, until it answers.
+/// Probes a process with growing delays until it answers.
 async fn probe(agent: Arc<Agent>, site: usize, process: usize, events: mpsc::Sender<DispatcherEvent>) {
     for attempt in 0.. {
         tokio::time::sleep(Duration::from_nanos(poll_delay_ns(attempt))).await;
         let dialer = &agent.sites[site].1[process];
-        if dialer.request(Request::Summaries(Vec::new()), CONNECT).await.is_ok() {
+        if dialer.request(Request::Summaries(Vec::new()), CONNECT_TIMEOUT).await.is_ok() {
             let _ = events.send(DispatcherEvent::Recovered(site, process)).await;
             return;
         }
     }
 }
 
-/// The error of a query whose last attempt ended so.
-fn error_of(outcome: Outcome) -> LocateError {
+/// The error of a query whose last attempt had this outcome.
+fn error_for(outcome: Outcome) -> LocateError {
     match outcome {
         Outcome::Overloaded(retry_after) => {
             let wait_ms = retry_after.map_or(0, |ns| (ns / 1_000_000) as u32);
@@ -244,14 +252,14 @@
     }
 }
 
-/// How an attempt ended, in the controller's terms, and what was found.
-fn outcome_of(response: Result<Response, RpcError>) -> (Outcome, Option<Found>) {
+/// The outcome of an attempt, in the controller's terms, and the records found.
+fn outcome_from(response: Result<Response, RpcError>) -> (Outcome, Option<Found>) {
     match response {
         Ok(Response::Found { page, process }) => (Outcome::Completed, Some((page, process))),
         Ok(Response::Rejected(RejectReason::Overloaded { wait_ms })) => {
             (Outcome::Overloaded(Some(u64::from(wait_ms) * 1_000_000)), None)
         }
-        // It runs and has no answer: as a server without a free circuit.
+        // The process runs but has no answer: reported like a server without a free circuit.
         Ok(Response::Rejected(_)) => (Outcome::NoCircuit, None),
         Ok(_) => (Outcome::Fault, None),
         Err(RpcError::TimedOut) => (Outcome::TimedOut, None),
--- a/crates/lilacpitch-edge/src/fleet/mod.rs
+++ b/crates/lilacpitch-edge/src/fleet/mod.rs
@@ -1,9 +1,12 @@
-//! The agent of a front in the fleet: on threads of its own, beside the front's one loop, with bounded channels
-//! between. It holds the cache, asks sites, takes purges, keeps the lease, writes the front's rows and says which
-//! version the front acts on.
+//! The agent of an edge in the fleet. It runs on threads of its own and exchanges messages with the edge's
+//! driver over bounded channels.
 //!
-//! **Locks.** The holder, then a shard of the cache, then its list of recent purges; the catalogue, the recorder, the
-//! rows and the flights each alone. None is held across an await.
+//! The agent looks up numbers at the sites, caches the answers, applies purge commands, renews the lease,
+//! publishes the edge's location records and reports the version of the settings that the edge acts on.
+//!
+//! **Lock order.** The lease holder is locked before a shard of the cache, and that before the cache's list
+//! of recent purges. A shard of the pending lookups is locked before the catalogue. The audit recorder and
+//! the publish queue are never locked together with another. No lock is held across an await.
 
 mod admin_pages;
 mod lease_client;
@@ -34,167 +37,190 @@
 use thiserror::Error;
 use tokio::sync::{mpsc, oneshot, watch, Semaphore};
 
-/// Messages of the front that may wait for the agent.
-const QUEUE: usize = 4_096;
-/// How long a connection may take to be made and greeted.
-const CONNECT: Duration = Duration::from_millis(500);
+/// Capacity of each of the two channels between the driver and the agent, in messages.
+const CHANNEL_CAPACITY: usize = 4_096;
+/// Time limit for connecting to a process of a site, including the handshake.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// What the front's loop says to the agent.
+/// A message from the driver to the agent.
 #[derive(Debug)]
 pub(crate) enum ToAgent {
-    /// Where is this number?
-    Locate { call: u64, number: String, patience: Duration },
-    /// Rows came or went, in this order.
+    /// Look up the number of a call, within a time limit.
+    Locate { call: u64, number: String, timeout: Duration },
+    /// Location records were added or removed, in this order.
     RecordsChanged(Vec<RecordEvent>),
-    /// Rows were lost on the way: all that there are follow.
+    /// Earlier changes of records could not be sent: drop what is pending, and request all records again.
     RecordsLost,
-    /// The pool list that the front follows now.
+    /// The digest of the endpoint list that the edge uses now.
     EndpointList(u64),
-    /// A page for people, by its target.
+    /// A request for a page for operators, by its target. The reply is `None` for a target that does not
+    /// exist.
     Page(String, oneshot::Sender<Option<String>>),
 }
 
-/// What the agent says to the front's loop.
+/// A message from the agent to the driver.
 #[derive(Debug)]
 pub(crate) enum FromAgent {
-    /// The pool through which a call's number is reached, good until a moment of the steady clock.
-    Located { call: u64, pool: Option<String>, good_until_ns: u64 },
-    /// Whether the settings version is in force.
+    /// The pool through which a call's number is reached, and the time of the steady clock until which this
+    /// is valid.
+    Located { call: u64, pool: Option<String>, valid_until_ns: u64 },
+    /// Whether the settings version of the edge is in force.
     SettingsInForce(bool),
-    /// The rows are wanted, all of them.
+    /// Request to publish all location records again.
     RecordsRequested,
 }
 
-/// What is counted.
+/// Counters of the agent since its start, shown on the page `/fleet`.
 #[derive(Debug, Default)]
 pub(crate) struct Counters {
-    located: AtomicU64,
-    from_cache: AtomicU64,
-    asked: AtomicU64,
-    incomplete: AtomicU64,
-    joined: AtomicU64,
-    not_filled: AtomicU64,
-    orders: AtomicU64,
-    fresh_starts: AtomicU64,
-    written: AtomicU64,
-    summaries_refused: AtomicU64,
+    /// Lookups for calls.
+    lookups: AtomicU64,
+    /// Lookups answered from the cache.
+    cache_hits: AtomicU64,
+    /// Queries to sites.
+    site_queries: AtomicU64,
+    /// Lookups and searches in which not all sites answered.
+    incomplete_answers: AtomicU64,
+    /// Lookups that joined one in flight for the same number.
+    joined_lookups: AtomicU64,
+    /// Complete answers that the cache did not accept.
+    rejected_cache_fills: AtomicU64,
+    /// Purge and settings commands applied.
+    applied_commands: AtomicU64,
+    /// Times that the lease was reset and the cache dropped.
+    lease_resets: AtomicU64,
+    /// Batches of record changes that the home site acknowledged.
+    acknowledged_writes: AtomicU64,
+    /// Summaries of sites that were rejected.
+    rejected_summaries: AtomicU64,
 }
 
 impl Counters {
-    fn one(counter: &AtomicU64) {
+    fn increment(counter: &AtomicU64) {
         counter.fetch_add(1, Ordering::Relaxed);
     }
 }
 
+/// The state that the agent's tasks share.
 pub(crate) struct Agent {
-    of: FleetOf,
-    me: LocalIdentity,
-    guards: Safeguards,
-    settings: u64,
-    list: AtomicU64,
-    home: Vec<Arc<Dialer>>,
-    /// All sites, in the settings' order, and the ways to their processes.
+    settings: FleetOf,
+    identity: LocalIdentity,
+    safeguards: Safeguards,
+    settings_digest: u64,
+    endpoint_list_digest: AtomicU64,
+    /// Connections to the processes of the home site.
+    home_dialers: Vec<Arc<Dialer>>,
+    /// All sites in the order of the settings, with the connections to their processes.
     sites: Vec<(String, Vec<Arc<Dialer>>)>,
-    /// Which process of the home site is followed now.
+    /// Selects the process of the home site that requests are sent to.
     home_selection: Mutex<UpstreamSelection>,
-    /// What the front's loop was told last of its settings; it begins with them in force.
+    /// What was last reported to the driver: whether the settings are in force. The driver starts with
+    /// `true`.
     reported_in_force: Mutex<bool>,
-    terms: LeaseTerms,
-    holder: Mutex<LeaseHolder>,
+    lease_terms: LeaseTerms,
+    lease_holder: Mutex<LeaseHolder>,
     cache: Cache,
     catalogue: RwLock<Catalogue>,
-    recorder: Mutex<AuditRecorder>,
-    record_publisher: Mutex<record_publisher::PublishQueue>,
+    audit_recorder: Mutex<AuditRecorder>,
+    publish_queue: Mutex<record_publisher::PublishQueue>,
+    /// Wakes the task that publishes records; the value counts the notifications.
     records_changed: watch::Sender<u64>,
     pending_lookups: locate::PendingLookups,
     queries: locate_dispatcher::QuerySender,
+    /// Limits the number of lookups and searches in flight.
     query_slots: Semaphore,
-    front: mpsc::Sender<FromAgent>,
+    to_driver: mpsc::Sender<FromAgent>,
     counters: Counters,
 }
 
-/// Answers requests on connections that are made before the agent is complete.
+/// Answers requests of sites. The connections need the handler before the agent exists, so it is set later.
 #[derive(Default)]
 struct AgentRequestHandler(OnceLock<Weak<Agent>>);
 
 impl RequestHandler for AgentRequestHandler {
     fn handle(
         self: Arc<Self>,
-        from: Arc<lilacpitch_rpc::RpcConnection>,
+        connection: Arc<lilacpitch_rpc::RpcConnection>,
         request: lilacpitch_fleet::message::Request,
     ) -> lilacpitch_rpc::ResponseFuture {
         match self.0.get().and_then(Weak::upgrade) {
-            Some(agent) => Box::pin(async move { agent.answer(&from, request) }),
+            Some(agent) => Box::pin(async move { agent.answer(&connection, request) }),
             None => Box::pin(std::future::pending()),
         }
     }
 }
 
-/// The front's end of the channels to its agent.
+/// The driver's handle of the agent.
 pub(crate) struct Handle {
     sender: mpsc::Sender<ToAgent>,
-    /// Rows were lost for want of room: they are all said again once there is some.
+    /// Changes of records were lost because the channel was full: all records are sent again once it has
+    /// room.
     has_lost_records: bool,
-    held: WriteBatcher<RecordEvent>,
+    batcher: WriteBatcher<RecordEvent>,
 }
 
 impl Handle {
-    /// Says something that may be lost; whether it was taken.
-    pub(crate) fn send(&self, what: ToAgent) -> bool {
-        self.sender.try_send(what).is_ok()
+    /// Sends a message, or drops it if the channel is full. Returns whether it was sent.
+    pub(crate) fn send(&self, message: ToAgent) -> bool {
+        self.sender.try_send(message).is_ok()
     }
 
-    /// Says a row: with the next [`Handle::say_due`], or soon where it is of a call. If the agent does not keep up, all
-    /// rows are wanted again later.
+    /// Queues a change of a record. A change of where a number is reached is sent with the next
+    /// [`Handle::send_due_records`], together with all that are queued; a change of a call may wait for
+    /// others. If the agent does not keep up, all records are requested again later.
     pub(crate) fn publish_record(&mut self, now: Nanos, record: RecordEvent) {
-        let may_wait = record.kind == Kind::Binding;
-        let full = self.held.push(now, record, may_wait);
-        self.changed(full);
+        let is_urgent = record.kind == Kind::Binding;
+        let full_batch = self.batcher.push(now, record, is_urgent);
+        self.send_batch(full_batch);
     }
 
-    /// When rows are due to be said.
+    /// When the queued changes of records are due to be sent.
     pub(crate) fn due_ns(&self) -> Option<Nanos> {
-        self.held.due_ns()
+        self.batcher.due_ns()
     }
 
-    /// Says the rows that are due.
+    /// Sends the queued changes of records if they are due.
     pub(crate) fn send_due_records(&mut self, now: Nanos) {
-        let due = self.held.take_due(now);
-        self.changed(due);
+        let due_batch = self.batcher.take_due(now);
+        self.send_batch(due_batch);
     }
 
-    fn changed(&mut self, rows: Option<Vec<RecordEvent>>) {
-        self.has_lost_records |= rows.is_some_and(|rows| !self.send(ToAgent::RecordsChanged(rows)));
+    fn send_batch(&mut self, batch: Option<Vec<RecordEvent>>) {
+        self.has_lost_records |= batch.is_some_and(|records| !self.send(ToAgent::RecordsChanged(records)));
     }
 
-    /// Whether rows were lost and there is room again: then all are to be said.
+    /// Whether changes were lost and the channel has room again. Then all records must be published again,
+    /// and the agent has been informed.
     pub(crate) fn take_republish_due(&mut self) -> bool {
-        let due =
-            self.has_lost_records && self.sender.capacity() > QUEUE / 2 && self.send(ToAgent::RecordsLost);
-        self.has_lost_records &= !due;
-        due
+        let is_due = self.has_lost_records
+            && self.sender.capacity() > CHANNEL_CAPACITY / 2
+            && self.send(ToAgent::RecordsLost);
+        self.has_lost_records &= !is_due;
+        is_due
     }
 
-    /// For pages.
+    /// A sender for page requests.
     pub(crate) fn pages(&self) -> mpsc::Sender<ToAgent> {
         self.sender.clone()
     }
 }
 
-/// The digest of what a front's decisions rest on in its settings: the same for all fronts of one version.
+/// The digest of the settings that an edge's decisions depend on. It is equal for all edges with the same
+/// version of the settings. The debug text is hashed: a renamed type, field or variant changes the digest.
 pub(crate) fn settings_digest(edge: &Edge) -> u64 {
     let text =
         format!("{:?} {:?} {:?} {:?} {:?}", edge.classes, edge.rules, edge.timing, edge.limits, edge.pools);
     xxhash_rust::xxh3::xxh3_64(text.as_bytes())
 }
 
-/// The digest of a pool list.
+/// The digest of an endpoint list, by its debug text as well.
 pub(crate) fn list_digest(pools: &Pools) -> u64 {
     let mut hash = xxhash_rust::xxh3::Xxh3::new();
     hash.write(format!("{:?}", pools.servers).as_bytes());
     hash.finish()
 }
 
+/// The wall clock, in milliseconds since 1970.
 fn wall_ms() -> u64 {
     SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |since| since.as_millis() as u64)
 }
@@ -205,22 +231,26 @@
     /// The key file cannot be read.
     #[error("{0}: {1}")]
     KeyFile(String, std::io::Error),
-    /// The key file's text is wrong.
+    /// The content of the key file is invalid.
     #[error("{0}: {1}")]
     Keys(String, KeyError),
-    /// The machine refuses worker threads.
+    /// The worker threads of the agent cannot be created.
     #[error("no threads for the fleet: {0}")]
     Workers(std::io::Error),
-    /// The machine refuses the agent's thread.
+    /// The main thread of the agent cannot be created.
     #[error("no thread for the fleet: {0}")]
     Thread(std::io::Error),
 }
 
-/// Starts the agent on threads of its own; it ends with the process. Its messages come out of the receiver.
+/// Starts the agent on threads of its own, which end with the process. Returns its handle and the receiver of
+/// its messages.
+///
+/// # Errors
+/// The key file cannot be read or is invalid, or a thread cannot be created.
 pub(crate) fn start(
     edge: &Edge,
     settings: &FleetOf,
-    guards: Safeguards,
+    safeguards: Safeguards,
     seed: u64,
 ) -> Result<(Handle, mpsc::Receiver<FromAgent>), StartError> {
     let identity = local_identity(edge, settings)?;
@@ -230,16 +260,17 @@
         .enable_all()
         .build()
         .map_err(StartError::Workers)?;
-    let (front, from_agent) = mpsc::channel(QUEUE);
-    let (to_agent, from_front) = mpsc::channel(QUEUE);
-    let (agent, dispatcher) = build_agent(edge, settings, guards, seed, identity, front);
+    let (to_driver, from_agent) = mpsc::channel(CHANNEL_CAPACITY);
+    let (to_agent, from_driver) = mpsc::channel(CHANNEL_CAPACITY);
+    let (agent, dispatcher) = build_agent(edge, settings, safeguards, seed, identity, to_driver);
     std::thread::Builder::new()
         .name("fleet".into())
-        .spawn(move || runtime.block_on(run_tasks(agent, dispatcher, from_front)))
+        .spawn(move || runtime.block_on(run_tasks(agent, dispatcher, from_driver)))
         .map_err(StartError::Thread)?;
-    Ok((Handle { sender: to_agent, has_lost_records: false, held: WriteBatcher::default() }, from_agent))
+    Ok((Handle { sender: to_agent, has_lost_records: false, batcher: WriteBatcher::default() }, from_agent))
 }
 
+/// This edge's name, incarnation and keys for connections to sites.
 fn local_identity(edge: &Edge, settings: &FleetOf) -> Result<LocalIdentity, StartError> {
     let path = &settings.key_file;
     let text = std::fs::read_to_string(path).map_err(|error| StartError::KeyFile(path.clone(), error))?;
@@ -251,91 +282,96 @@
 fn build_agent(
     edge: &Edge,
     settings: &FleetOf,
-    guards: Safeguards,
+    safeguards: Safeguards,
     seed: u64,
-    me: LocalIdentity,
-    front: mpsc::Sender<FromAgent>,
+    identity: LocalIdentity,
+    to_driver: mpsc::Sender<FromAgent>,
 ) -> (Arc<Agent>, locate_dispatcher::LocateDispatcher) {
     let handler = Arc::new(AgentRequestHandler::default());
     let dial = |address: &std::net::SocketAddr| {
-        Arc::new(Dialer::new(*address, me.clone(), handler.clone() as Arc<dyn RequestHandler>, CONNECT))
+        Arc::new(Dialer::new(
+            *address,
+            identity.clone(),
+            handler.clone() as Arc<dyn RequestHandler>,
+            CONNECT_TIMEOUT,
+        ))
     };
     let dial_site = |site: &lilacpitch_config::SiteAt| {
         (site.name.clone(), site.processes.iter().map(dial).collect::<Vec<_>>())
     };
     let sites: Vec<(String, Vec<Arc<Dialer>>)> = settings.sites.iter().map(dial_site).collect();
-    let home = sites.iter().find(|(name, _)| *name == settings.home);
-    let home = home.map_or(Vec::new(), |(_, dialers)| dialers.clone());
-    let digest = settings_digest(edge);
-    let names = settings.sites.iter().map(|site| site.name.as_str());
-    let processes: Vec<usize> = sites.iter().map(|(_, dialers)| dialers.len()).collect();
+    let home_site = sites.iter().find(|(name, _)| *name == settings.home);
+    let home_dialers = home_site.map_or(Vec::new(), |(_, dialers)| dialers.clone());
+    let settings_digest = settings_digest(edge);
+    let site_names = settings.sites.iter().map(|site| site.name.as_str());
+    let process_counts: Vec<usize> = sites.iter().map(|(_, dialers)| dialers.len()).collect();
     let timing = Timing { latency_objective_ns: settings.terms.ask_ns, tick_ns: edge.timing.tick_ns };
-    let terms = LeaseTerms {
+    let lease_terms = LeaseTerms {
         lease_ns: settings.terms.lease_ns,
         clock_allowance: settings.terms.clock_allowance,
         lagging_after_ns: settings.terms.straggler_ns,
     };
-    let (queries, dispatcher) = locate_dispatcher::QuerySender::new(&processes, timing, seed);
+    let (queries, dispatcher) = locate_dispatcher::QuerySender::new(&process_counts, timing, seed);
     let agent = Arc::new(Agent {
-        guards,
-        settings: digest,
-        list: AtomicU64::new(0),
-        home,
+        safeguards,
+        settings_digest,
+        endpoint_list_digest: AtomicU64::new(0),
+        home_dialers,
         sites,
         home_selection: Mutex::new(UpstreamSelection::new(seed as usize)),
         reported_in_force: Mutex::new(true),
-        terms,
-        holder: Mutex::new(LeaseHolder::new(digest)),
-        cache: Cache::new(settings.cache, guards),
-        catalogue: RwLock::new(Catalogue::new(names, settings.terms.settle_ns, terms, guards)),
-        recorder: Mutex::new(AuditRecorder::new(&edge.name, me.incarnation)),
-        record_publisher: Mutex::new(record_publisher::PublishQueue::default()),
+        lease_terms,
+        lease_holder: Mutex::new(LeaseHolder::new(settings_digest)),
+        cache: Cache::new(settings.cache, safeguards),
+        catalogue: RwLock::new(Catalogue::new(site_names, settings.terms.settle_ns, lease_terms, safeguards)),
+        audit_recorder: Mutex::new(AuditRecorder::new(&edge.name, identity.incarnation)),
+        publish_queue: Mutex::new(record_publisher::PublishQueue::default()),
         records_changed: watch::Sender::new(0),
         pending_lookups: locate::PendingLookups::default(),
         queries,
         query_slots: Semaphore::new(settings.questions),
-        front,
+        to_driver,
         counters: Counters::default(),
-        me,
-        of: settings.clone(),
+        identity,
+        settings: settings.clone(),
     });
     let _ = handler.0.set(Arc::downgrade(&agent));
     (agent, dispatcher)
 }
 
-/// The agent's tasks; ends once the front has.
+/// Runs the tasks of the agent until the driver has ended.
 async fn run_tasks(
     agent: Arc<Agent>,
     dispatcher: locate_dispatcher::LocateDispatcher,
-    from_front: mpsc::Receiver<ToAgent>,
+    from_driver: mpsc::Receiver<ToAgent>,
 ) {
-    tokio::spawn(lease_client::follow(agent.clone()));
-    tokio::spawn(lease_client::poll(agent.clone()));
-    tokio::spawn(record_publisher::write(agent.clone()));
+    tokio::spawn(lease_client::renew_lease(agent.clone()));
+    tokio::spawn(lease_client::poll_summaries(agent.clone()));
+    tokio::spawn(record_publisher::publish(agent.clone()));
     tokio::spawn(locate_dispatcher::run(agent.clone(), dispatcher));
-    listen(agent, from_front).await;
+    handle_messages(agent, from_driver).await;
 }
 
-/// Takes what the front says, until it is gone.
-async fn listen(agent: Arc<Agent>, mut from_front: mpsc::Receiver<ToAgent>) {
-    while let Some(said) = from_front.recv().await {
-        match said {
-            ToAgent::Locate { call, number, patience } => {
-                if agent.locate_at_once(call, &number) {
+/// Handles the driver's messages until the driver has ended, then releases the lease.
+async fn handle_messages(agent: Arc<Agent>, mut from_driver: mpsc::Receiver<ToAgent>) {
+    while let Some(message) = from_driver.recv().await {
+        match message {
+            ToAgent::Locate { call, number, timeout } => {
+                if agent.locate_from_cache(call, &number) {
                     continue;
                 }
                 let agent = agent.clone();
-                tokio::spawn(async move { agent.locate_for_call(call, &number, patience).await });
+                tokio::spawn(async move { agent.locate_for_call(call, &number, timeout).await });
             }
-            ToAgent::RecordsChanged(rows) => agent.changed(rows),
+            ToAgent::RecordsChanged(records) => agent.queue_changes(records),
             ToAgent::RecordsLost => agent.republish_records(),
             ToAgent::EndpointList(digest) => {
-                agent.list.store(digest, Ordering::Relaxed);
-                agent.note_version();
+                agent.endpoint_list_digest.store(digest, Ordering::Relaxed);
+                agent.record_version();
             }
-            ToAgent::Page(target, give) => {
+            ToAgent::Page(target, reply) => {
                 let agent = agent.clone();
-                tokio::spawn(async move { drop(give.send(agent.page(&target).await)) });
+                tokio::spawn(async move { drop(reply.send(agent.page(&target).await)) });
             }
         }
     }
@@ -343,22 +379,23 @@
 }
 
 impl Agent {
-    /// Notes what the front acts on now, if that has changed.
-    fn note_version(&self) {
-        let (position, usable, in_force) = {
-            let holder = self.holder.lock();
-            let usable = holder.valid_until(steady_ns()).is_ok();
-            (holder.position().unwrap_or_default(), usable, !holder.is_withdrawn())
+    /// Records the version and the purge position that the edge acts on now in the audit log, if they have
+    /// changed.
+    fn record_version(&self) {
+        let (position, uses_cache, is_in_force) = {
+            let holder = self.lease_holder.lock();
+            let uses_cache = holder.valid_until(steady_ns()).is_ok();
+            (holder.position().unwrap_or_default(), uses_cache, !holder.is_withdrawn())
         };
         let version = Version {
-            settings: self.settings,
-            endpoint_list: self.list.load(Ordering::Relaxed),
+            settings: self.settings_digest,
+            endpoint_list: self.endpoint_list_digest.load(Ordering::Relaxed),
             build: env!("CARGO_PKG_VERSION").into(),
-            uses_cache: usable,
-            accepts_calls: in_force,
+            uses_cache,
+            accepts_calls: is_in_force,
         };
-        if self.guards.audit_records || self.recorder.lock().latest().is_none() {
-            self.recorder.lock().record_version(wall_ms(), version, position);
+        if self.safeguards.audit_records || self.audit_recorder.lock().latest().is_none() {
+            self.audit_recorder.lock().record_version(wall_ms(), version, position);
         }
     }
 }
--- a/crates/lilacpitch-edge/src/fleet/record_publisher.rs
+++ b/crates/lilacpitch-edge/src/fleet/record_publisher.rs
@@ -1,5 +1,5 @@
-//! Publishes the edge's location records at its home site: each change is sent until it is acknowledged, and all
-//! records again when the site has a new store.
+//! Publishes the edge's location records at its home site. Each change is sent until it is acknowledged, and
+//! all records are sent again when the site has a new store.
 
 use super::{Agent, Counters, FromAgent};
 use crate::core::RecordEvent;
@@ -9,99 +9,105 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Changes in one message.
-const BATCH: usize = 512;
-/// Changes that may wait; beyond, they are dropped and all records requested again.
+/// Maximum number of changes in one message.
+const MAX_BATCH: usize = 512;
+/// Maximum number of pending changes. Beyond it they are dropped, and all records are requested again.
 const MAX_PENDING: usize = 65_536;
-/// The delay between retries.
+/// Delay before a write is retried.
 const RETRY_DELAY: Duration = Duration::from_millis(50);
 
+/// Changes of records that the home site has not acknowledged. Changes are numbered from 1 in their order.
 #[derive(Default)]
 pub(super) struct PublishQueue {
-    waiting: VecDeque<RecordChange>,
-    /// Changes that no longer wait: those that do are numbered from here on.
-    done: u64,
-    store: Option<u64>,
+    pending: VecDeque<RecordChange>,
+    /// Number of changes that were acknowledged or dropped: the first pending change has the next number.
+    completed: u64,
+    /// The id of the home site's store that has the acknowledged changes.
+    store_id: Option<u64>,
 }
 
 impl PublishQueue {
-    /// Removes acknowledged changes, but for those dropped meanwhile. `first`: the number of the first one.
+    /// Removes acknowledged changes that were not dropped meanwhile. `first`: the number of the first of
+    /// them.
     fn acknowledge(&mut self, first: u64, count: usize) {
-        let done = (first + count as u64 - 1).saturating_sub(self.done) as usize;
-        let done = done.min(self.waiting.len());
-        self.waiting.drain(..done);
-        self.done += done as u64;
+        let acknowledged = (first + count as u64 - 1).saturating_sub(self.completed) as usize;
+        let acknowledged = acknowledged.min(self.pending.len());
+        self.pending.drain(..acknowledged);
+        self.completed += acknowledged as u64;
     }
 
-    /// Drops what waits; what was sent of it may arrive yet, so its numbers are not used again.
+    /// Drops all pending changes. Their numbers are not reused, as changes that were already sent may still
+    /// arrive.
     fn drop_pending(&mut self) {
-        self.done += self.waiting.len() as u64;
-        self.waiting.clear();
+        self.completed += self.pending.len() as u64;
+        self.pending.clear();
     }
 
-    pub(super) fn waiting(&self) -> usize {
-        self.waiting.len()
+    /// The number of pending changes.
+    pub(super) fn len(&self) -> usize {
+        self.pending.len()
     }
 }
 
 impl Agent {
     /// Queues changes of the edge's records, in their order.
-    pub(super) fn changed(&self, news: Vec<RecordEvent>) {
-        let changes = news.into_iter().filter_map(|news| self.change(news));
-        let mut queue = self.record_publisher.lock();
-        queue.waiting.extend(changes);
-        if queue.waiting.len() > MAX_PENDING {
+    pub(super) fn queue_changes(&self, events: Vec<RecordEvent>) {
+        let changes = events.into_iter().filter_map(|event| self.change_for(event));
+        let mut queue = self.publish_queue.lock();
+        queue.pending.extend(changes);
+        if queue.pending.len() > MAX_PENDING {
             // The site has been unreachable for long: all records are published once it is reachable.
             queue.drop_pending();
-            queue.store = None;
+            queue.store_id = None;
         }
         drop(queue);
         self.records_changed.send_modify(|count| *count += 1);
     }
 
-    fn change(&self, news: RecordEvent) -> Option<RecordChange> {
-        // The front checked it: what is not a number never was one of a call.
-        let number = Number::new(&news.number).ok()?;
-        let (front, life) = (self.me.name.clone(), self.me.incarnation);
-        let holder = Owner { name: news.owner, front, incarnation: life, serial: news.serial };
-        let key = Key { number, kind: news.kind, owner: holder };
-        if !news.is_present {
+    fn change_for(&self, event: RecordEvent) -> Option<RecordChange> {
+        // Numbers of calls and callers are validated when they are received.
+        let number = Number::new(&event.number).ok()?;
+        let (front, incarnation) = (self.identity.name.clone(), self.identity.incarnation);
+        let owner = Owner { name: event.owner, front, incarnation, serial: event.serial };
+        let key = Key { number, kind: event.kind, owner };
+        if !event.is_present {
             return Some(RecordChange::Withdraw(key));
         }
-        let (class, trunk_group, since_ms) = (news.class, news.trunk_group, news.since_ms);
+        let (class, trunk_group, since_ms) = (event.class, event.trunk_group, event.since_ms);
         Some(RecordChange::Upsert(LocationRecord { key, class, trunk_group, since_ms }))
     }
 
-    /// Changes were lost on the way from the core: all records are requested again. What ended meanwhile stays at the
-    /// site until it removes the records of this incarnation.
+    /// Requests all records again, after changes from the driver were lost. A record whose removal was lost
+    /// stays at the site until the site removes the records of this incarnation.
     pub(super) fn republish_records(&self) {
-        self.record_publisher.lock().drop_pending();
-        let _ = self.front.try_send(FromAgent::RecordsRequested);
+        self.publish_queue.lock().drop_pending();
+        let _ = self.to_driver.try_send(FromAgent::RecordsRequested);
     }
 
-    /// Notes the home site's store, which it names with each lease.
-    pub(super) fn note_store(&self, register: u64) {
-        let mut queue = self.record_publisher.lock();
-        if queue.store != Some(register) {
-            let first = queue.store.is_none() && queue.waiting.len() < MAX_PENDING;
-            queue.store = Some(register);
+    /// Handles the id of the home site's store, which each granted lease contains: requests all records for a
+    /// new store.
+    pub(super) fn handle_store_id(&self, store_id: u64) {
+        let mut queue = self.publish_queue.lock();
+        if queue.store_id != Some(store_id) {
+            let is_first = queue.store_id.is_none() && queue.pending.len() < MAX_PENDING;
+            queue.store_id = Some(store_id);
             drop(queue);
-            if !first {
+            if !is_first {
                 tracing::info!("home site has a new store, all records published again");
             }
-            let _ = self.front.try_send(FromAgent::RecordsRequested);
+            let _ = self.to_driver.try_send(FromAgent::RecordsRequested);
         }
     }
 }
 
-/// Publishes the changes that wait, in their order.
-pub(super) async fn write(agent: Arc<Agent>) {
+/// Publishes pending changes in their order, for as long as the agent runs.
+pub(super) async fn publish(agent: Arc<Agent>) {
     let mut changed = agent.records_changed.subscribe();
     loop {
         changed.borrow_and_update();
         let (first, batch): (u64, Vec<RecordChange>) = {
-            let queue = agent.record_publisher.lock();
-            (queue.done + 1, queue.waiting.iter().take(BATCH).cloned().collect())
+            let queue = agent.publish_queue.lock();
+            (queue.completed + 1, queue.pending.iter().take(MAX_BATCH).cloned().collect())
         };
         if batch.is_empty() {
             if changed.changed().await.is_err() {
@@ -111,18 +117,19 @@
         }
         let count = batch.len();
         let write = Request::Write { first, changes: batch };
-        match agent.home_dialer().request(write, agent.patience() * 2).await {
+        match agent.home_dialer().request(write, agent.request_timeout() * 2).await {
             Ok(Response::Written) => {
-                Counters::one(&agent.counters.written);
-                agent.record_publisher.lock().acknowledge(first, count);
+                Counters::increment(&agent.counters.acknowledged_writes);
+                agent.publish_queue.lock().acknowledge(first, count);
             }
-            Ok(Response::Rejected(RejectReason::Malformed(why))) => {
-                // It would always be rejected: drop one at a time, so that only the malformed one is lost.
-                tracing::error!(why, "location record rejected");
-                agent.record_publisher.lock().acknowledge(first, 1);
+            Ok(Response::Rejected(RejectReason::Malformed(reason))) => {
+                // A malformed change would be rejected each time. Drop one change at a time, so that only the
+                // malformed one is lost.
+                tracing::error!(why = reason, "location record rejected");
+                agent.publish_queue.lock().acknowledge(first, 1);
             }
-            Ok(other) => {
-                tracing::debug!(?other, "records not published yet");
+            Ok(response) => {
+                tracing::debug!(other = ?response, "records not published yet");
                 tokio::time::sleep(RETRY_DELAY).await;
             }
             Err(error) => {
--- a/crates/lilacpitch-edge/src/lib.rs
+++ b/crates/lilacpitch-edge/src/lib.rs
@@ -1,8 +1,12 @@
-//! The edge of lilacpitch: carries calls between callers and signalling servers over WebSocket.
+//! The edge of lilacpitch: routes calls between callers and signalling servers over WebSocket.
 //!
-//! [`core`] owns calls, attempts, upstream connections, timers and the decision module; it does no I/O, and time and
-//! randomness are arguments. [`net`] is the shell around it on tokio: sockets, queues and the clock; it decides
-//! nothing. `fleet` is the edge's agent in the fleet. [`cli`] is the program.
+//! - [`core`] owns calls, attempts, upstream connections, timers and the controller, which decides about
+//!   routing. It does no I/O; the time and a random seed are passed to it.
+//! - [`net`] is the shell around the core, on tokio: sockets, queues and the clock. It makes no routing
+//!   decisions.
+//! - `fleet` is the edge's agent in the fleet: it looks up numbers, caches location records and publishes the
+//!   edge's own ones.
+//! - [`cli`] is the command line of the program.
 #![forbid(unsafe_code)]
 
 pub mod cli;
--- a/crates/lilacpitch-edge/src/net/driver.rs
+++ b/crates/lilacpitch-edge/src/net/driver.rs
@@ -166,7 +166,7 @@
 
     fn handle_agent_message(&mut self, message: FromAgent) {
         match message {
-            FromAgent::Located { call, pool, good_until_ns: valid_until_ns } => {
+            FromAgent::Located { call, pool, valid_until_ns } => {
                 // Checked again: this task may have stalled since the agent's check.
                 let is_current = lilacpitch_rpc::steady_ns() < valid_until_ns;
                 self.feed(Input::Located(call, pool.filter(|_| is_current)));
@@ -259,7 +259,7 @@
             Effect::Locate { call, number, timeout_ns } => {
                 let timeout = Duration::from_nanos(timeout_ns);
                 let agent = self.agent.as_ref();
-                if !agent.is_some_and(|agent| agent.send(ToAgent::Locate { call, number, patience: timeout })) {
+                if !agent.is_some_and(|agent| agent.send(ToAgent::Locate { call, number, timeout })) {
                     // The agent does not keep up: the call continues without a locate.
                     self.feed_later(Input::Located(call, None));
                 }
