--- a/crates/lilacpitch-edge/tests/cli.rs
+++ b/crates/lilacpitch-edge/tests/cli.rs
@@ -1,4 +1,4 @@
-//! What an operator sees of the command line.
+//! The output of the command line.
 
 use std::process::Command;
 
@@ -13,10 +13,10 @@
             .arg(&path)
             .output()
             .unwrap();
-        let said = String::from_utf8(out.stderr).unwrap();
-        assert_eq!(out.status.code(), Some(2), "{said}");
-        // Not to a terminal: a line a mistake, nothing drawn.
-        assert_eq!(said.matches("127.0.0.1:70000").count(), 1, "{said}");
-        assert!(said.lines().all(|line| line.starts_with(path.to_str().unwrap())), "{said}");
+        let errors = String::from_utf8(out.stderr).unwrap();
+        assert_eq!(out.status.code(), Some(2), "{errors}");
+        // Stderr is not a terminal: one line for each mistake, without a drawing of the source.
+        assert_eq!(errors.matches("127.0.0.1:70000").count(), 1, "{errors}");
+        assert!(errors.lines().all(|line| line.starts_with(path.to_str().unwrap())), "{errors}");
     }
 }
--- a/crates/lilacpitch-edge/tests/common/mod.rs
+++ b/crates/lilacpitch-edge/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A real `lilacpitch-edge` process between scripted peers on blocking sockets.
+//! Runs a real `lilacpitch-edge` process between scripted callers and servers on blocking sockets.
 #![allow(dead_code)]
 
 use lilacpitch_protocol::frame::{Decoder, Encoder, Message, Role};
@@ -14,58 +14,63 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-pub(crate) const SOON: Duration = Duration::from_secs(5);
+/// How long a test waits for an event that must happen.
+pub(crate) const TIMEOUT: Duration = Duration::from_secs(5);
 
-pub(crate) fn ms(ms: u64) -> Duration {
-    Duration::from_millis(ms)
+pub(crate) fn ms(milliseconds: u64) -> Duration {
+    Duration::from_millis(milliseconds)
 }
 
 /// Reads frames until the connection ends.
-fn read_frames(mut stream: TcpStream, role: Role, rest: Vec<u8>, mut take: impl FnMut(Message)) {
+fn read_frames(mut stream: TcpStream, role: Role, received: Vec<u8>, mut handle: impl FnMut(Message)) {
     let (mut decoder, mut buffer) = (Decoder::new(role), [0; 4096]);
-    decoder.feed(&rest);
+    decoder.feed(&received);
     loop {
         match decoder.next() {
             Ok(Some(message)) => {
-                take(message);
+                handle(message);
                 continue;
             }
             Ok(None) => {}
             Err(_) => return,
         }
         match stream.read(&mut buffer) {
-            Ok(read) if read > 0 => decoder.feed(&buffer[..read]),
+            Ok(length) if length > 0 => decoder.feed(&buffer[..length]),
             _ => return,
         }
     }
 }
 
+/// Reads until a head is complete; returns it with the bytes that follow it. `None`: the connection has
+/// ended.
 fn read_head<T>(
     stream: &mut TcpStream,
     parse: impl Fn(&[u8]) -> Result<Option<(T, usize)>, http::HeadError>,
 ) -> Option<(T, Vec<u8>)> {
     let (mut bytes, mut buffer) = (Vec::new(), [0; 1024]);
     loop {
-        if let Some((head, taken)) = parse(&bytes).ok()? {
-            return Some((head, bytes.split_off(taken)));
+        if let Some((head, length)) = parse(&bytes).ok()? {
+            return Some((head, bytes.split_off(length)));
         }
         match stream.read(&mut buffer) {
-            Ok(read) if read > 0 => bytes.extend_from_slice(&buffer[..read]),
+            Ok(length) if length > 0 => bytes.extend_from_slice(&buffer[..length]),
             _ => return None,
         }
     }
 }
 
-/// What a scripted server saw.
+/// A message that a scripted server received.
 #[derive(Debug, Clone, PartialEq)]
-pub(crate) struct Seen {
-    pub at: Instant,
+pub(crate) struct ReceivedMessage {
+    pub received_at: Instant,
+    /// Index of the server.
     pub server: usize,
-    pub conn: usize,
+    /// Index of the connection at the server.
+    pub connection: usize,
     pub message: ToServer,
 }
 
-impl Seen {
+impl ReceivedMessage {
     pub(crate) fn attempt(&self) -> u64 {
         match self.message {
             ToServer::Setup { attempt, .. }
@@ -79,124 +84,135 @@
     }
 }
 
+/// A scripted signalling server.
 pub(crate) struct Server {
     pub address: SocketAddr,
-    conns: Arc<Mutex<Vec<TcpStream>>>,
+    connections: Arc<Mutex<Vec<TcpStream>>>,
 }
 
 impl Server {
-    /// Listens; with `upgrades` off it takes connections and never answers their handshake.
-    fn start(index: usize, upgrades: bool, seen: Sender<Seen>) -> Self {
+    /// Starts to listen. Without `answers_handshakes` it accepts connections and never answers their
+    /// handshakes.
+    fn start(index: usize, answers_handshakes: bool, received: Sender<ReceivedMessage>) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let address = listener.local_addr().unwrap();
-        let conns = Arc::new(Mutex::new(Vec::new()));
-        let all = conns.clone();
+        let connections = Arc::new(Mutex::new(Vec::new()));
+        let accepted = connections.clone();
         std::thread::spawn(move || {
             for stream in listener.incoming() {
                 let Ok(mut stream) = stream else { return };
-                let (all, seen) = (all.clone(), seen.clone());
-                if !upgrades {
-                    all.lock().unwrap().push(stream);
+                let (accepted, received) = (accepted.clone(), received.clone());
+                if !answers_handshakes {
+                    accepted.lock().unwrap().push(stream);
                     continue;
                 }
                 std::thread::spawn(move || {
-                    let Some((request, rest)) = read_head(&mut stream, http::request) else { return };
+                    let Some((request, remainder)) = read_head(&mut stream, http::request) else { return };
                     let answer = handshake::server_answer(&request, handshake::SIGNAL_PROTOCOL).unwrap();
-                    // Known before the front can know that it is ready.
-                    let conn = {
-                        let mut all = all.lock().unwrap();
-                        all.push(stream.try_clone().unwrap());
-                        all.len() - 1
+                    // Added before the front can find that the connection is established.
+                    let connection = {
+                        let mut accepted = accepted.lock().unwrap();
+                        accepted.push(stream.try_clone().unwrap());
+                        accepted.len() - 1
                     };
                     stream.write_all(&answer).unwrap();
-                    read_frames(stream, Role::Server, rest, |message| {
+                    read_frames(stream, Role::Server, remainder, |message| {
                         if let Message::Text(text) = message {
                             let message = ToServer::decode(&text).unwrap();
-                            let _ = seen.send(Seen { at: Instant::now(), server: index, conn, message });
+                            let received_at = Instant::now();
+                            let message = ReceivedMessage { received_at, server: index, connection, message };
+                            let _ = received.send(message);
                         }
                     });
                 });
             }
         });
-        Server { address, conns }
+        Server { address, connections }
     }
 
-    pub(crate) fn connections(&self) -> usize {
-        self.conns.lock().unwrap().len()
+    /// Number of connections accepted so far.
+    pub(crate) fn connection_count(&self) -> usize {
+        self.connections.lock().unwrap().len()
     }
 
-    pub(crate) fn raw(&self, conn: usize, bytes: &[u8]) {
-        // The front may have ended it: what a script then says is lost, as on any network.
-        let _ = self.conns.lock().unwrap()[conn].write_all(bytes);
+    pub(crate) fn send_bytes(&self, connection: usize, bytes: &[u8]) {
+        // The front may have closed the connection; then the bytes are lost.
+        let _ = self.connections.lock().unwrap()[connection].write_all(bytes);
     }
 
-    pub(crate) fn text(&self, conn: usize, text: &str) {
+    pub(crate) fn send_text(&self, connection: usize, text: &str) {
         let mut bytes = Vec::new();
         Encoder::text(&mut bytes, text, None);
-        self.raw(conn, &bytes);
+        self.send_bytes(connection, &bytes);
     }
 
-    pub(crate) fn send(&self, conn: usize, message: &FromServer) {
-        self.text(conn, &message.encode());
+    pub(crate) fn send(&self, connection: usize, message: &FromServer) {
+        self.send_text(connection, &message.encode());
     }
 
-    pub(crate) fn answer(&self, seen: &Seen) {
-        self.send(seen.conn, &FromServer::Answer { attempt: seen.attempt(), load: None });
+    /// Answers a set-up: its call is established.
+    pub(crate) fn answer(&self, setup: &ReceivedMessage) {
+        self.send(setup.connection, &FromServer::Answer { attempt: setup.attempt(), load: None });
     }
 
-    /// Ends a connection at once.
-    pub(crate) fn reset(&self, conn: usize) {
-        let _ = self.conns.lock().unwrap()[conn].shutdown(std::net::Shutdown::Both);
+    /// Closes a connection at once.
+    pub(crate) fn reset(&self, connection: usize) {
+        let _ = self.connections.lock().unwrap()[connection].shutdown(std::net::Shutdown::Both);
     }
 }
 
-/// The servers of a test, and what they see.
+/// The servers of a test, and the messages that they receive.
 pub(crate) struct Servers {
     pub all: Vec<Server>,
-    seen: Receiver<Seen>,
+    received: Receiver<ReceivedMessage>,
 }
 
 impl Servers {
-    pub(crate) fn start(upgrades: &[bool]) -> Self {
-        let (tell, seen) = channel();
-        let all = upgrades.iter().enumerate().map(|(i, up)| Server::start(i, *up, tell.clone())).collect();
-        Servers { all, seen }
+    /// Starts one server for each item, which states whether the server answers handshakes.
+    pub(crate) fn start(answers_handshakes: &[bool]) -> Self {
+        let (sender, received) = channel();
+        let start = |(index, answers): (usize, &bool)| Server::start(index, *answers, sender.clone());
+        let all = answers_handshakes.iter().enumerate().map(start).collect();
+        Servers { all, received }
     }
 
-    pub(crate) fn next(&self, within: Duration) -> Option<Seen> {
-        self.seen.recv_timeout(within).ok()
+    pub(crate) fn next_message(&self, timeout: Duration) -> Option<ReceivedMessage> {
+        self.received.recv_timeout(timeout).ok()
     }
 
-    /// The next new set-up; what comes before it is passed over.
-    pub(crate) fn setup(&self) -> Seen {
-        let until = Instant::now() + SOON;
+    /// The next new set-up. Messages before it are skipped.
+    pub(crate) fn next_setup(&self) -> ReceivedMessage {
+        let deadline = Instant::now() + TIMEOUT;
         loop {
-            let seen = self.next(until.saturating_duration_since(Instant::now())).expect("a set-up");
-            if seen.is_new_setup() {
-                return seen;
+            let timeout = deadline.saturating_duration_since(Instant::now());
+            let received = self.next_message(timeout).expect("a set-up");
+            if received.is_new_setup() {
+                return received;
             }
         }
     }
 
-    /// The next message that is no repeat.
-    pub(crate) fn no_repeat(&self) -> Seen {
-        let until = Instant::now() + SOON;
+    /// The next message that is not a set-up sent again.
+    pub(crate) fn next_unrepeated(&self) -> ReceivedMessage {
+        let deadline = Instant::now() + TIMEOUT;
         loop {
-            let seen = self.next(until.saturating_duration_since(Instant::now())).expect("a message");
-            if !matches!(seen.message, ToServer::Setup { repeat: 1.., .. }) {
-                return seen;
+            let timeout = deadline.saturating_duration_since(Instant::now());
+            let received = self.next_message(timeout).expect("a message");
+            if !matches!(received.message, ToServer::Setup { repeat: 1.., .. }) {
+                return received;
             }
         }
     }
 
-    /// All that is seen within a span.
-    pub(crate) fn all_within(&self, span: Duration) -> Vec<Seen> {
-        let until = Instant::now() + span;
-        std::iter::from_fn(|| self.next(until.saturating_duration_since(Instant::now()))).collect()
+    /// All messages that arrive within a duration.
+    pub(crate) fn messages_within(&self, duration: Duration) -> Vec<ReceivedMessage> {
+        let deadline = Instant::now() + duration;
+        let next = || self.next_message(deadline.saturating_duration_since(Instant::now()));
+        std::iter::from_fn(next).collect()
     }
 }
 
-/// A front's process, with its settings in a folder of its own.
+/// The process of a front, with its settings in a temporary folder.
 pub(crate) struct Edge {
     child: Child,
     pub callers: SocketAddr,
@@ -205,12 +221,12 @@
 }
 
 impl Edge {
-    /// Starts a front with these servers, and waits until it is connected to those that upgrade.
-    pub(crate) fn start(servers: &Servers, more: &str) -> Self {
+    /// Starts a front with these servers and with further settings, and waits until it listens.
+    pub(crate) fn start(servers: &Servers, more_settings: &str) -> Self {
         let folder = tempfile::tempdir().unwrap();
         let states: Vec<&str> = servers.all.iter().map(|_| "running").collect();
-        std::fs::write(folder.path().join("pools.cue"), pool_list(servers, &states)).unwrap();
-        std::fs::write(folder.path().join("edge.cue"), settings(more)).unwrap();
+        std::fs::write(folder.path().join("pools.cue"), endpoint_list(servers, &states)).unwrap();
+        std::fs::write(folder.path().join("edge.cue"), settings(more_settings)).unwrap();
         let mut child = Command::new(env!("CARGO_BIN_EXE_lilacpitch-edge"))
             .args(["run", "--config"])
             .arg(folder.path().join("edge.cue"))
@@ -224,31 +240,34 @@
         Edge { child, callers: address("callers"), metrics: address("metrics"), folder }
     }
 
-    pub(crate) fn ready(self, servers: &Servers, connected: usize) -> Self {
-        let until = Instant::now() + SOON;
-        while self.metric("lilacpitch_links_made_total") < connected as u64 {
-            assert!(Instant::now() < until, "not connected: {}", self.page());
+    /// Waits until the front has this number of connections to servers.
+    pub(crate) fn wait_until_connected(self, servers: &Servers, connections: usize) -> Self {
+        let deadline = Instant::now() + TIMEOUT;
+        while self.metric("lilacpitch_links_made_total") < connections as u64 {
+            assert!(Instant::now() < deadline, "not connected: {}", self.metrics_page());
             std::thread::sleep(ms(5));
         }
-        assert!(servers.all.iter().map(Server::connections).sum::<usize>() >= connected);
+        assert!(servers.all.iter().map(Server::connection_count).sum::<usize>() >= connections);
         self
     }
 
-    /// Replaces the pool list; `states` by server, "" for one that is no longer listed.
-    pub(crate) fn list(&self, servers: &Servers, states: &[&str]) {
-        self.write_list(&pool_list(servers, states));
+    /// Replaces the endpoint list. `states`: the state of each server, or "" for one that is no longer
+    /// listed.
+    pub(crate) fn replace_endpoint_list(&self, servers: &Servers, states: &[&str]) {
+        self.write_endpoint_list(&endpoint_list(servers, states));
     }
 
-    pub(crate) fn write_list(&self, text: &str) {
+    pub(crate) fn write_endpoint_list(&self, text: &str) {
         let path: PathBuf = self.folder.path().join("pools.cue");
         std::fs::write(path.with_extension("new"), text).unwrap();
         std::fs::rename(path.with_extension("new"), path).unwrap();
     }
 
-    pub(crate) fn page(&self) -> String {
+    pub(crate) fn metrics_page(&self) -> String {
         self.get("/metrics")
     }
 
+    /// Requests a page; returns the whole response.
     pub(crate) fn get(&self, path: &str) -> String {
         let mut stream = TcpStream::connect(self.metrics).unwrap();
         stream.write_all(format!("GET {path} HTTP/1.1\r\nHost: a\r\n\r\n").as_bytes()).unwrap();
@@ -258,29 +277,29 @@
     }
 
     pub(crate) fn metric(&self, name: &str) -> u64 {
-        let page = self.page();
-        let line =
-            page.lines().find_map(|l| l.strip_prefix(name)).unwrap_or_else(|| panic!("no {name}: {page}"));
-        line.trim().parse().unwrap()
+        let page = self.metrics_page();
+        let value = page.lines().find_map(|line| line.strip_prefix(name));
+        let value = value.unwrap_or_else(|| panic!("no {name}: {page}"));
+        value.trim().parse().unwrap()
     }
 
     /// Waits until a metric has reached a value.
-    pub(crate) fn reaches(&self, name: &str, value: u64) {
-        let until = Instant::now() + SOON;
+    pub(crate) fn wait_for_metric(&self, name: &str, value: u64) {
+        let deadline = Instant::now() + TIMEOUT;
         while self.metric(name) < value {
-            assert!(Instant::now() < until, "{name} did not reach {value}: {}", self.page());
+            assert!(Instant::now() < deadline, "{name} did not reach {value}: {}", self.metrics_page());
             std::thread::sleep(ms(5));
         }
     }
 
-    pub(crate) fn signal(&self, signal: nix::sys::signal::Signal) {
+    pub(crate) fn send_signal(&self, signal: nix::sys::signal::Signal) {
         nix::sys::signal::kill(nix::unistd::Pid::from_raw(self.child.id() as i32), signal).unwrap();
     }
 
-    /// Waits for its end; whether it ended well.
-    pub(crate) fn ended(&mut self, within: Duration) -> Option<bool> {
-        let until = Instant::now() + within;
-        while Instant::now() < until {
+    /// Waits for the end of the process. Returns whether it exited with success, or `None` after the timeout.
+    pub(crate) fn wait_for_exit(&mut self, timeout: Duration) -> Option<bool> {
+        let deadline = Instant::now() + timeout;
+        while Instant::now() < deadline {
             if let Some(status) = self.child.try_wait().unwrap() {
                 return Some(status.success());
             }
@@ -297,7 +316,8 @@
     }
 }
 
-pub(crate) fn settings(more: &str) -> String {
+/// The settings file of a front, with further settings.
+pub(crate) fn settings(more_settings: &str) -> String {
     format!(
         r#"name: "edge-0"
 listen: "127.0.0.1:0"
@@ -307,95 +327,97 @@
 classes: [{{name: "one", aim: "1s", give_up: "6s", worth: 1, late_worth: 0.5}}]
 timing: {{resend: "200ms", reconnect_first: "50ms", reconnect_longest: "200ms", stop: "500ms"}}
 log: level: "error"
-{more}
+{more_settings}
 "#
     )
 }
 
-fn pool_list(servers: &Servers, states: &[&str]) -> String {
-    let row = |(index, (server, state)): (usize, (&Server, &&str))| {
+fn endpoint_list(servers: &Servers, states: &[&str]) -> String {
+    let entry = |(index, (server, state)): (usize, (&Server, &&str))| {
         format!(
             "\t{{name: \"r{index}\", pool: \"p{index}\", address: \"{}\", state: {state:?}}},\n",
             server.address
         )
     };
     let listed = servers.all.iter().zip(states).enumerate().filter(|(_, (_, state))| !state.is_empty());
-    format!("servers: [\n{}]\n", listed.map(row).collect::<String>())
+    format!("servers: [\n{}]\n", listed.map(entry).collect::<String>())
 }
 
-/// What a caller hears; `None`: its connection has ended, with the close code if one came.
-pub(crate) type Heard = (Instant, Result<ToCaller, Option<u16>>);
+/// An event of a caller's connection, with its time: a message, or the end of the connection with the close
+/// code, if there was one.
+pub(crate) type CallerEvent = (Instant, Result<ToCaller, Option<u16>>);
 
+/// A scripted caller.
 pub(crate) struct Caller {
     stream: TcpStream,
-    heard: Receiver<Heard>,
+    events: Receiver<CallerEvent>,
     next: u64,
 }
 
 impl Caller {
     pub(crate) fn connect(edge: &Edge) -> Self {
-        let (stream, rest) = open(edge.callers);
-        let (tell, heard) = channel();
+        let (stream, remainder) = open(edge.callers);
+        let (sender, events) = channel();
         let reader = stream.try_clone().unwrap();
         std::thread::spawn(move || {
             let mut code = None;
-            read_frames(reader, Role::Client, rest, |message| match message {
+            read_frames(reader, Role::Client, remainder, |message| match message {
                 Message::Text(text) => {
-                    drop(tell.send((Instant::now(), Ok(ToCaller::decode(&text).unwrap()))))
+                    drop(sender.send((Instant::now(), Ok(ToCaller::decode(&text).unwrap()))))
                 }
-                Message::Close(Some((c, _))) => code = Some(c.0),
+                Message::Close(Some((close_code, _))) => code = Some(close_code.0),
                 _ => {}
             });
-            let _ = tell.send((Instant::now(), Err(code)));
+            let _ = sender.send((Instant::now(), Err(code)));
         });
-        Caller { stream, heard, next: 0 }
+        Caller { stream, events, next: 0 }
     }
 
-    pub(crate) fn raw(&mut self, bytes: &[u8]) {
+    pub(crate) fn send_bytes(&mut self, bytes: &[u8]) {
         self.stream.write_all(bytes).unwrap();
     }
 
-    pub(crate) fn text(&mut self, text: &str) {
+    pub(crate) fn send_text(&mut self, text: &str) {
         let mut bytes = Vec::new();
         Encoder::text(&mut bytes, text, Some([1, 2, 3, 4]));
-        self.raw(&bytes);
+        self.send_bytes(&bytes);
     }
 
-    /// Sets up a call of class `one` to this pool, if any.
+    /// Requests a call of class `one`, with the pool of this index if one is given. Returns when it was sent.
     pub(crate) fn setup(&mut self, call: &str, pool: Option<usize>, budget_ms: u64) -> Instant {
         let message = FromCaller::Setup {
             call: call.into(),
             class: "one".into(),
-            pool: pool.map(|p| format!("p{p}")),
+            pool: pool.map(|index| format!("p{index}")),
             number: None,
             budget_ms,
         };
-        let at = Instant::now();
-        self.text(&message.encode());
-        at
+        let sent_at = Instant::now();
+        self.send_text(&message.encode());
+        sent_at
     }
 
     pub(crate) fn release(&mut self, call: &str) {
-        self.text(&FromCaller::Release { call: call.into() }.encode());
+        self.send_text(&FromCaller::Release { call: call.into() }.encode());
     }
 
-    pub(crate) fn next(&self, within: Duration) -> Option<Heard> {
-        match self.heard.recv_timeout(within) {
-            Ok(heard) => Some(heard),
+    pub(crate) fn next_event(&self, timeout: Duration) -> Option<CallerEvent> {
+        match self.events.recv_timeout(timeout) {
+            Ok(event) => Some(event),
             Err(RecvTimeoutError::Timeout) => None,
             Err(RecvTimeoutError::Disconnected) => None,
         }
     }
 
-    pub(crate) fn message(&self) -> ToCaller {
-        self.next(SOON).expect("a message").1.expect("not closed")
+    pub(crate) fn next_message(&self) -> ToCaller {
+        self.next_event(TIMEOUT).expect("a message").1.expect("not closed")
     }
 
-    /// The final answer of a call, when nothing else is to come first.
-    pub(crate) fn answer(&self, of: &str) -> (Instant, Answer) {
-        match self.next(SOON).expect("an answer") {
-            (at, Ok(ToCaller::Final { call, answer, .. })) if call == of => (at, answer),
-            other => panic!("no answer for {of}: {other:?}"),
+    /// The final answer for a call, and when it arrived. It must be the next event.
+    pub(crate) fn next_answer(&self, expected_call: &str) -> (Instant, Answer) {
+        match self.next_event(TIMEOUT).expect("an answer") {
+            (at, Ok(ToCaller::Final { call, answer, .. })) if call == expected_call => (at, answer),
+            other => panic!("no answer for {expected_call}: {other:?}"),
         }
     }
 
@@ -403,50 +425,58 @@
         let _ = self.stream.shutdown(std::net::Shutdown::Both);
     }
 
-    /// All that is heard within a span.
-    pub(crate) fn all_within(&self, span: Duration) -> Vec<Heard> {
-        let until = Instant::now() + span;
-        std::iter::from_fn(|| self.next(until.saturating_duration_since(Instant::now()))).collect()
+    /// All events within a duration.
+    pub(crate) fn events_within(&self, duration: Duration) -> Vec<CallerEvent> {
+        let deadline = Instant::now() + duration;
+        std::iter::from_fn(|| self.next_event(deadline.saturating_duration_since(Instant::now()))).collect()
     }
 }
 
-/// A caller's connection with its handshake done.
+/// Opens a caller's connection and performs its handshake. Returns the bytes that follow it, too.
 pub(crate) fn open(address: SocketAddr) -> (TcpStream, Vec<u8>) {
     let mut stream = TcpStream::connect(address).unwrap();
     let key = handshake::key([3; 16]);
     stream.write_all(&handshake::client_request("h", "/call", &key, handshake::CALL_PROTOCOL)).unwrap();
-    let (answer, rest) = read_head(&mut stream, http::response).unwrap();
+    let (answer, remainder) = read_head(&mut stream, http::response).unwrap();
     handshake::check_answer(&answer, &key, handshake::CALL_PROTOCOL).unwrap();
-    (stream, rest)
+    (stream, remainder)
 }
 
-/// How often each call got a final answer.
-pub(crate) fn finals(heard: &[Heard]) -> BTreeMap<String, Vec<Answer>> {
-    let mut out: BTreeMap<String, Vec<Answer>> = BTreeMap::new();
-    for (_, message) in heard {
+/// The final answers of each call.
+pub(crate) fn final_answers(events: &[CallerEvent]) -> BTreeMap<String, Vec<Answer>> {
+    let mut answers: BTreeMap<String, Vec<Answer>> = BTreeMap::new();
+    for (_, message) in events {
         if let Ok(ToCaller::Final { call, answer, .. }) = message {
-            out.entry(call.clone()).or_default().push(*answer);
+            answers.entry(call.clone()).or_default().push(*answer);
         }
     }
-    out
+    answers
 }
 
-/// Addresses for fronts' datagrams.
-pub(crate) fn ports(count: usize) -> Vec<SocketAddr> {
+/// Free addresses on loopback, for the gossip sockets of fronts.
+pub(crate) fn free_addresses(count: usize) -> Vec<SocketAddr> {
     lilacpitch_net::free_addresses(count).unwrap()
 }
 
-/// Settings by which a front knows others; `more`: further fields, each with its comma.
-pub(crate) fn peers(listen: SocketAddr, more: &str, seeds: &[SocketAddr], key_file: &str) -> String {
-    let seeds: Vec<String> = seeds.iter().map(|s| format!("\"{s}\"")).collect();
+/// The settings of the gossip with other fronts. `more_fields`: further fields, each followed by a comma.
+pub(crate) fn peer_settings(
+    listen: SocketAddr,
+    more_fields: &str,
+    seeds: &[SocketAddr],
+    key_file: &str,
+) -> String {
+    let seeds: Vec<String> = seeds.iter().map(|seed| format!("\"{seed}\"")).collect();
     let seeds = seeds.join(", ");
-    format!("peers: {{listen: \"{listen}\", {more} seeds: [{seeds}], key_file: {key_file:?}, fronts: 4}}")
+    format!(
+        "peers: {{listen: \"{listen}\", {more_fields} seeds: [{seeds}], key_file: {key_file:?}, fronts: 4}}"
+    )
 }
 
-pub(crate) fn until(within: Duration, what: &str, mut holds: impl FnMut() -> bool) {
-    let end = Instant::now() + within;
-    while !holds() {
-        assert!(Instant::now() < end, "{what}");
+/// Waits until a condition holds; `expectation` describes it.
+pub(crate) fn wait_until(timeout: Duration, expectation: &str, mut condition: impl FnMut() -> bool) {
+    let deadline = Instant::now() + timeout;
+    while !condition() {
+        assert!(Instant::now() < deadline, "not in time: {expectation}");
         std::thread::sleep(ms(20));
     }
 }
--- a/crates/lilacpitch-edge/tests/fleet_off.rs
+++ b/crates/lilacpitch-edge/tests/fleet_off.rs
@@ -1,4 +1,5 @@
-//! Without `fleet` in the settings a front has one thread and no socket but its own, and a front node knows of no fleet.
+//! Without `fleet` in its settings, a front runs on one thread and has no sockets but its own listeners. A
+//! front node has no settings for a fleet.
 
 mod common;
 
@@ -9,7 +10,7 @@
 
 const KEY: &str = "0101010101010101010101010101010101010101010101010101010101010101\n";
 
-/// The threads of a process, by name.
+/// The names of a process's threads.
 fn threads(child: &Child) -> Vec<String> {
     let tasks = std::fs::read_dir(format!("/proc/{}/task", child.id())).unwrap();
     tasks
@@ -17,24 +18,25 @@
         .collect()
 }
 
-/// The TCP sockets that a process holds.
+/// Number of TCP sockets that a process has open.
 fn tcp_sockets(child: &Child) -> usize {
     let fds = std::fs::read_dir(format!("/proc/{}/fd", child.id())).unwrap();
-    let held: BTreeSet<String> = fds
+    let open_inodes: BTreeSet<String> = fds
         .filter_map(|fd| std::fs::read_link(fd.unwrap().path()).ok())
         .filter_map(|link| Some(link.to_str()?.strip_prefix("socket:[")?.strip_suffix(']')?.to_string()))
         .collect();
     let table = std::fs::read_to_string("/proc/net/tcp").unwrap();
     let inodes = table.lines().skip(1).filter_map(|line| line.split_whitespace().nth(9));
-    inodes.filter(|inode| held.contains(*inode)).count()
+    inodes.filter(|inode| open_inodes.contains(*inode)).count()
 }
 
-fn run(dir: &Path, fleet: &str) -> Child {
+/// Starts a front with these fleet settings, if any, and waits until it listens.
+fn start_front(dir: &Path, fleet_settings: &str) -> Child {
     std::fs::write(dir.join("key"), KEY).unwrap();
     std::fs::write(dir.join("pools.cue"), "servers: []\n").unwrap();
     let text = format!(
         "name: \"edge-1\"\nlisten: \"127.0.0.1:0\"\nmetrics: \"127.0.0.1:0\"\npool_list: \"pools.cue\"\n\
-         classes: [{{name: \"voice\", aim: \"1s\", give_up: \"5s\", worth: 1}}]\n{fleet}\n"
+         classes: [{{name: \"voice\", aim: \"1s\", give_up: \"5s\", worth: 1}}]\n{fleet_settings}\n"
     );
     std::fs::write(dir.join("edge.cue"), text).unwrap();
     let mut child = Command::new(env!("CARGO_BIN_EXE_lilacpitch-edge"))
@@ -53,27 +55,27 @@
 #[test]
 fn front_without_a_fleet_has_one_thread_and_two_sockets() {
     let dir = tempfile::tempdir().unwrap();
-    let mut child = run(dir.path(), "");
-    let (alone, sockets) = (threads(&child), tcp_sockets(&child));
+    let mut child = start_front(dir.path(), "");
+    let (threads_without_fleet, sockets) = (threads(&child), tcp_sockets(&child));
     child.kill().unwrap();
     child.wait().unwrap();
-    assert_eq!(alone.len(), 1, "{alone:?}");
-    assert_eq!(sockets, 2, "callers and metrics");
+    assert_eq!(threads_without_fleet.len(), 1, "{threads_without_fleet:?}");
+    assert_eq!(sockets, 2, "the listeners for callers and metrics");
 
-    // The same look sees an agent where there is one.
+    // The agent's threads are found if there is one, so the check above is effective.
     let fleet = "fleet: {home: \"x\", pool: \"p\", key_file: \"key\", \
                  sites: [{name: \"x\", processes: [\"127.0.0.1:1\"]}]}";
-    let mut child = run(dir.path(), fleet);
-    let with = threads(&child);
+    let mut child = start_front(dir.path(), fleet);
+    let threads_with_fleet = threads(&child);
     child.kill().unwrap();
     child.wait().unwrap();
-    assert!(with.iter().any(|name| name == "fleet"), "{with:?}");
+    assert!(threads_with_fleet.iter().any(|name| name == "fleet"), "{threads_with_fleet:?}");
 }
 
 #[test]
-fn front_node_starts_no_thread_whatever_the_fleet_settings_are() {
+fn front_node_starts_no_thread_and_ignores_fleet_settings() {
     let dir = tempfile::tempdir().unwrap();
-    // The settings of a node have no place for a fleet: one that is there is passed over like all that is not known.
+    // The configuration of a node has no fleet settings: they are ignored like all unknown fields.
     let listen = lilacpitch_net::free_addresses(3).unwrap();
     let config = serde_json::json!({
         "name": "n0", "listen": listen[0].to_string(), "seed": "8c1f30d27a5be964",
@@ -92,13 +94,13 @@
         .stderr(Stdio::null())
         .spawn()
         .unwrap();
-    let up = (0..500).any(|_| {
+    let is_listening = (0..500).any(|_| {
         std::thread::sleep(common::ms(20));
         std::net::TcpStream::connect(listen[0]).is_ok()
     });
-    let alone = threads(&child);
+    let threads = threads(&child);
     child.kill().unwrap();
     child.wait().unwrap();
-    assert!(up, "it listens");
-    assert_eq!(alone.len(), 1, "{alone:?}");
+    assert!(is_listening, "the node does not listen");
+    assert_eq!(threads.len(), 1, "{threads:?}");
 }
--- a/crates/lilacpitch-edge/tests/pinned_pages.rs
+++ b/crates/lilacpitch-edge/tests/pinned_pages.rs
@@ -1,8 +1,8 @@
 //! Pins the names and labels on the pages of a running front, the line it prints at its start, and what
 //! `lilacpitch-edge peers` prints.
 //!
-//! Collectors, dashboards and scripts read these by name. Figures differ from run to run and are not pinned: each
-//! run of digits that stands for one is written as `N`.
+//! Collectors, dashboards and scripts depend on these names. Numbers differ from run to run and are not
+//! pinned: each sequence of digits is replaced by `N`.
 
 mod common;
 use common::*;
@@ -19,7 +19,7 @@
     response.split_once("\r\n\r\n").unwrap().1
 }
 
-/// A page of `name value` lines with its values hidden; comments are kept as they are.
+/// Replaces the values on a page of `name value` lines by `N`. Comments are retained.
 fn without_values(page: &str) -> String {
     let line = |line: &str| match line.rsplit_once(' ') {
         Some((name, _)) if !line.starts_with('#') => format!("{name} N\n"),
@@ -28,8 +28,8 @@
     page.lines().map(line).collect()
 }
 
-/// A text with each run of digits as `N`.
-fn without_figures(text: &str) -> String {
+/// Replaces each sequence of digits in a text by `N`.
+fn without_numbers(text: &str) -> String {
     let mut out = String::new();
     for character in text.chars() {
         match character.is_ascii_digit() {
@@ -41,7 +41,7 @@
     out
 }
 
-/// A front that is stopped at the end of its test.
+/// A front process that is killed at the end of its test.
 struct Front {
     child: Child,
     first_line: String,
@@ -81,15 +81,15 @@
 #[test]
 fn shows_every_metric_of_a_front_under_its_pinned_name() {
     let servers = Servers::start(&[true]);
-    let edge = Edge::start(&servers, "").ready(&servers, 1);
-    let page = edge.page();
+    let edge = Edge::start(&servers, "").wait_until_connected(&servers, 1);
+    let page = edge.metrics_page();
     assert_eq!(without_values(body(&page)), include_str!("data/front_metrics.txt"));
 }
 
 #[test]
 fn prints_the_addresses_of_a_started_front_as_pinned() {
     let front = Front::start("");
-    assert_eq!(without_figures(&front.first_line), include_str!("data/front_ready.txt"));
+    assert_eq!(without_numbers(&front.first_line), include_str!("data/front_ready.txt"));
 }
 
 #[test]
@@ -100,7 +100,7 @@
     assert_eq!(names, include_str!("data/front_fleet.txt"));
 }
 
-/// The fixed words that begin a line of the fleet page.
+/// The fixed words at the start of a line of the fleet page.
 fn fleet_name(line: &str) -> String {
     let words = ["summaries unknown", "rows waiting", "audit waiting"];
     let fixed = words.into_iter().find(|words| line.starts_with(words));
@@ -111,23 +111,23 @@
 fn shows_a_located_number_under_pinned_names() {
     let front = Front::start(FLEET);
     let page = front.get("/locate?search=1555");
-    // Why a site was not reached depends on how far its connection came meanwhile.
-    let (shown, _why) = page.split_once("not-reached ").unwrap();
-    assert_eq!(format!("{shown}not-reached\n"), include_str!("data/front_locate.txt"));
+    // The reason why a site was not reached depends on the progress of the connection.
+    let (pinned, _reason) = page.split_once("not-reached ").unwrap();
+    assert_eq!(format!("{pinned}not-reached\n"), include_str!("data/front_locate.txt"));
 }
 
 #[test]
-fn prints_the_view_of_peers_as_pinned() {
+fn prints_the_peers_page_as_pinned() {
     let folder = tempfile::tempdir().unwrap();
     let key_file = folder.path().join("key");
     std::fs::write(&key_file, KEY).unwrap();
-    let address = ports(1)[0];
+    let address = free_addresses(1)[0];
     let servers = Servers::start(&[true]);
-    let edge = Edge::start(&servers, &peers(address, "", &[], key_file.to_str().unwrap()));
+    let edge = Edge::start(&servers, &peer_settings(address, "", &[], key_file.to_str().unwrap()));
     let out = Command::new(env!("CARGO_BIN_EXE_lilacpitch-edge"))
         .args(["peers", "--metrics", &edge.metrics.to_string()])
         .output()
         .unwrap();
     let printed = String::from_utf8(out.stdout).unwrap();
-    assert_eq!(without_figures(&printed), include_str!("data/front_peers.txt"));
+    assert_eq!(without_numbers(&printed), include_str!("data/front_peers.txt"));
 }
