--- a/crates/lilacpitch-protocol/src/frame.rs
+++ b/crates/lilacpitch-protocol/src/frame.rs
@@ -13,6 +13,15 @@
 /// Maximum number of fragments of one message, so that empty fragments cannot cause unbounded work.
 pub const MAX_FRAGMENTS: u32 = 256;
 
+// Opcodes (section 5.2). Those from 8 on are of control frames.
+const CONTINUATION: u8 = 0;
+const TEXT: u8 = 1;
+const BINARY: u8 = 2;
+const FIRST_CONTROL_OPCODE: u8 = 8;
+const CLOSE: u8 = 8;
+const PING: u8 = 9;
+const PONG: u8 = 10;
+
 /// The role of an end of a connection. Clients mask the frames that they send, servers don't (section 5.1).
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Role {
@@ -203,7 +212,7 @@
         if first & 0x70 != 0 {
             return Err(FrameError::Reserved);
         }
-        if !matches!(opcode, 0..=2 | 8..=10) {
+        if !matches!(opcode, CONTINUATION | TEXT | BINARY | CLOSE | PING | PONG) {
             return Err(FrameError::Opcode(opcode));
         }
         if is_masked != (self.role == Role::Server) {
@@ -223,11 +232,14 @@
         if length < minimum || length >> 63 != 0 {
             return Err(FrameError::Length);
         }
-        if opcode >= 8 && (!is_final || length > MAX_CONTROL_BYTES as u64) {
+        if opcode >= FIRST_CONTROL_OPCODE && (!is_final || length > MAX_CONTROL_BYTES as u64) {
             return Err(FrameError::Control);
         }
-        let partial_bytes =
-            self.partial.as_ref().filter(|_| opcode < 8).map_or(0, |(_, bytes, _)| bytes.len());
+        let partial_bytes = self
+            .partial
+            .as_ref()
+            .filter(|_| opcode < FIRST_CONTROL_OPCODE)
+            .map_or(0, |(_, bytes, _)| bytes.len());
         let payload_bytes = usize::try_from(length).unwrap_or(usize::MAX);
         if payload_bytes.saturating_add(partial_bytes) > MAX_MESSAGE_BYTES {
             return Err(FrameError::TooBig);
@@ -244,17 +256,17 @@
     /// Handles a whole frame; returns the message that it completes, if any.
     fn handle_frame(&mut self, header: FrameHeader, payload: Vec<u8>) -> Result<Option<Message>, FrameError> {
         match header.opcode {
-            8 => {
+            CLOSE => {
                 self.is_closed = true;
                 (self.buffer, self.consumed, self.partial) = (Vec::new(), 0, None);
                 return parse_close(&payload).map(|close| Some(Message::Close(close)));
             }
-            9 => return Ok(Some(Message::Ping(payload))),
-            10 => return Ok(Some(Message::Pong(payload))),
+            PING => return Ok(Some(Message::Ping(payload))),
+            PONG => return Ok(Some(Message::Pong(payload))),
             _ => {}
         }
         let (is_text, bytes) = match (header.opcode, self.partial.take()) {
-            (0, Some((is_text, mut bytes, fragments))) => {
+            (CONTINUATION, Some((is_text, mut bytes, fragments))) => {
                 if fragments >= MAX_FRAGMENTS {
                     return Err(FrameError::TooManyFragments);
                 }
@@ -265,11 +277,11 @@
                 }
                 (is_text, bytes)
             }
-            (1 | 2, None) if !header.is_final => {
-                self.partial = Some((header.opcode == 1, payload, 1));
+            (TEXT | BINARY, None) if !header.is_final => {
+                self.partial = Some((header.opcode == TEXT, payload, 1));
                 return Ok(None);
             }
-            (opcode @ (1 | 2), None) => (opcode == 1, payload),
+            (opcode @ (TEXT | BINARY), None) => (opcode == TEXT, payload),
             _ => return Err(FrameError::Fragments),
         };
         if !is_text {
@@ -309,17 +321,17 @@
 impl Encoder {
     /// Appends a whole text message as one frame.
     pub fn text(out: &mut Vec<u8>, text: &str, mask: Option<[u8; 4]>) {
-        Self::frame(out, 1, text.as_bytes(), mask);
+        Self::frame(out, TEXT, text.as_bytes(), mask);
     }
 
     /// Appends a pong with the payload of the ping that it answers.
     pub fn pong(out: &mut Vec<u8>, payload: &[u8], mask: Option<[u8; 4]>) {
-        Self::frame(out, 10, &payload[..payload.len().min(MAX_CONTROL_BYTES)], mask);
+        Self::frame(out, PONG, &payload[..payload.len().min(MAX_CONTROL_BYTES)], mask);
     }
 
     /// Appends a ping.
     pub fn ping(out: &mut Vec<u8>, payload: &[u8], mask: Option<[u8; 4]>) {
-        Self::frame(out, 9, &payload[..payload.len().min(MAX_CONTROL_BYTES)], mask);
+        Self::frame(out, PING, &payload[..payload.len().min(MAX_CONTROL_BYTES)], mask);
     }
 
     /// Appends a close frame; a reason that is too long is truncated at a character boundary.
@@ -328,7 +340,7 @@
             (0..=reason.len().min(MAX_CONTROL_BYTES - 2)).rev().find(|index| reason.is_char_boundary(*index));
         let mut payload = code.0.to_be_bytes().to_vec();
         payload.extend_from_slice(&reason.as_bytes()[..end.unwrap_or(0)]);
-        Self::frame(out, 8, &payload, mask);
+        Self::frame(out, CLOSE, &payload, mask);
     }
 
     /// Appends one frame with the final bit set.
