--- a/crates/lilacpitch-edge/src/core/mod.rs
+++ b/crates/lilacpitch-edge/src/core/mod.rs
@@ -197,6 +197,7 @@
         Self::with_safeguards(settings, now, seed, Safeguards::default())
     }
 
+    /// Creates an edge with safeguards that may be switched off, for tests of the checker.
     #[doc(hidden)]
     pub fn with_safeguards(settings: Edge, now: Nanos, seed: u64, safeguards: Safeguards) -> Self {
         Self::with_policy(settings, now, seed, safeguards, &|settings, seed| {
