--- a/crates/lilacpitch-edge/src/fleet/mod.rs
+++ b/crates/lilacpitch-edge/src/fleet/mod.rs
@@ -182,14 +182,14 @@
 }
 
 /// The digest of what a front's decisions rest on in its settings: the same for all fronts of one version.
-pub(crate) fn settings_digest(edge: &Edge) -> u64 {
+pub fn settings_digest(edge: &Edge) -> u64 {
     let text =
         format!("{:?} {:?} {:?} {:?} {:?}", edge.classes, edge.rules, edge.timing, edge.limits, edge.pools);
     xxhash_rust::xxh3::xxh3_64(text.as_bytes())
 }
 
 /// The digest of a pool list.
-pub(crate) fn list_digest(pools: &Pools) -> u64 {
+pub fn list_digest(pools: &Pools) -> u64 {
     let mut hash = xxhash_rust::xxh3::Xxh3::new();
     hash.write(format!("{:?}", pools.servers).as_bytes());
     hash.finish()
--- a/crates/lilacpitch-edge/src/lib.rs
+++ b/crates/lilacpitch-edge/src/lib.rs
@@ -9,3 +9,5 @@
 pub mod core;
 mod fleet;
 pub mod net;
+
+pub use fleet::{list_digest, settings_digest};
