--- a/crates/lilacpitch-edge/src/fleet/mod.rs
+++ b/crates/lilacpitch-edge/src/fleet/mod.rs
@@ -205,16 +205,20 @@
     }
 }
 
-/// The digest of the settings that an edge's decisions depend on. It is equal for all edges with the same
-/// version of the settings. The debug text is hashed: a renamed type, field or variant changes the digest.
-pub(crate) fn settings_digest(edge: &Edge) -> u64 {
+/// The digest of the settings that an edge's decisions depend on, by which their version is identified in the
+/// audit and in withdrawals. It is equal for all edges with the same version.
+///
+/// The debug text of the settings is hashed: a renamed type, field or variant changes the digest, so that a
+/// withdrawn version would be accepted again.
+pub fn settings_digest(edge: &Edge) -> u64 {
     let text =
         format!("{:?} {:?} {:?} {:?} {:?}", edge.classes, edge.rules, edge.timing, edge.limits, edge.pools);
     xxhash_rust::xxh3::xxh3_64(text.as_bytes())
 }
 
-/// The digest of an endpoint list, by its debug text as well.
-pub(crate) fn list_digest(pools: &Pools) -> u64 {
+/// The digest of an endpoint list, by which its version is identified in the audit. Its debug text is hashed,
+/// too.
+pub fn list_digest(pools: &Pools) -> u64 {
     let mut hash = xxhash_rust::xxh3::Xxh3::new();
     hash.write(format!("{:?}", pools.servers).as_bytes());
     hash.finish()
