--- a/crates/lilacpitch/src/interface.rs
+++ b/crates/lilacpitch/src/interface.rs
@@ -1,81 +1,81 @@
-//! The plain types between a front and its [`Controller`](crate::Controller): settings, events, actions.
+//! The types that a front and its [`Controller`](crate::Controller) exchange: settings, events and actions.
 //!
-//! Times are nanoseconds on the front's own clock, which has an arbitrary origin and never runs back.
+//! Times are nanoseconds on the front's own monotonic clock, which has an arbitrary origin.
 
 /// A point in time or a duration, in nanoseconds.
 pub type Nanos = u64;
-/// A call, by the number its front gave it. Never given twice to one controller.
+/// Identifies a call; the front assigns it and never uses an id twice for one controller.
 pub type CallId = u64;
-/// A core server, by its id in the endpoint list.
+/// Identifies a server in the endpoint list.
 pub type ServerId = u64;
 
-/// How often a call of a class may take effect.
+/// Whether the set-up of a call may be repeated.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Idempotency {
-    /// May be sent and rejected freely.
+    /// May be sent any number of times, and rejected after any attempt.
     Idempotent,
-    /// Repetitions are recognised among the servers of one scope, for `key_retention_ns`.
+    /// The servers of one scope recognise repetitions by an idempotency key for [`Class::key_retention_ns`].
     IdempotencyKey(Scope),
-    /// Must not be sent again once an attempt may have run.
+    /// Must not be sent again once an attempt may have taken effect.
     NonIdempotent,
 }
 
-/// The servers among which repetitions of a call with an idempotency key are recognised.
+/// The servers that share the idempotency keys of a class.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Scope {
-    /// All of them.
+    /// All servers.
     All,
-    /// Those of one zone.
+    /// The servers in one zone.
     Zone,
-    /// Those with one number.
+    /// The servers with the same [`Endpoint::number`].
     Number,
 }
 
 /// A class of calls.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Class {
-    /// Wanted time until the call is established.
+    /// Target for the time from the client's first try until the call is established.
     pub latency_objective_ns: Nanos,
-    /// How long a client goes on trying, from its first try.
+    /// How long a client keeps trying, from its first try.
     pub deadline_ns: Nanos,
-    /// Weight of a call that is established in time; higher goes first.
+    /// Weight of a call that is established within its objective; calls with a higher weight are sent first.
     pub priority_weight: f64,
-    /// Share of that weight for a call that is established later.
+    /// Fraction of `priority_weight` that remains once the objective has passed.
     pub late_weight: f64,
-    /// Whether set-ups may be repeated.
+    /// Whether the set-ups of its calls may be repeated.
     pub idempotency: Idempotency,
-    /// How long repetitions with an idempotency key are recognised.
+    /// How long servers recognise repetitions by an idempotency key.
     pub key_retention_ns: Nanos,
-    /// Numbers of the servers that can take it; empty: any.
+    /// Numbers of the pools whose servers can take its calls; empty: all servers can.
     pub pools: Vec<u32>,
 }
 
 /// The settings of a controller, fixed at its start.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Settings {
-    /// Classes of calls; never empty.
+    /// The classes of calls; never empty.
     pub classes: Vec<Class>,
-    /// The number of this front's own exchange, if it has one; no set-up is sent there.
+    /// The number of the exchange that this front belongs to, if any; no set-up is sent there.
     pub home: Option<u32>,
-    /// Interval after which the network resends unanswered set-ups; 0: never.
+    /// Interval after which the network resends an unanswered set-up; 0: it resends none.
     pub resend_interval_ns: Nanos,
-    /// Release time of a call after an attempt that timed out, was cut or was cancelled.
+    /// Time that the release of a call takes after an attempt that timed out, was cut or was cancelled.
     pub release_ns: Nanos,
-    /// Attempts allowed for one call.
+    /// Maximum number of attempts for one call.
     pub max_attempts: u32,
     /// Whether attempts may be cancelled.
     pub may_cancel: bool,
-    /// Longest `retry_after_ns` that clients respect; 0: none is given.
+    /// Longest `retry_after_ns` that clients respect; 0: rejections carry none.
     pub max_retry_after_ns: Nanos,
     /// Whether the endpoint list must be subscribed to.
     pub must_subscribe: bool,
-    /// Share of its capacity that a server has at its start, at least.
+    /// Least fraction of its capacity that a server has when it starts.
     pub slow_start_floor: f64,
-    /// Duration of slow start: afterwards a server has its full capacity.
+    /// Duration of slow start, after which a server has its full capacity.
     pub slow_start_ns: Nanos,
-    /// A server in slow start fails when sent this multiple of its current capacity.
+    /// A server in slow start fails when it is sent this multiple of its current capacity.
     pub overload_multiple: f64,
-    /// Shortest interval between two rounds of events.
+    /// Shortest interval at which the front delivers events.
     pub tick_ns: Nanos,
 }
 
@@ -84,7 +84,7 @@
 pub enum Availability {
     /// Accepts set-ups.
     Ready,
-    /// Finishes its calls and accepts no further ones.
+    /// Completes its current calls and accepts no new ones.
     Draining,
     /// No longer listed.
     #[default]
@@ -94,15 +94,15 @@
 /// A server's entry in the endpoint list.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
 pub struct Endpoint {
-    /// Its id.
+    /// The server's id.
     pub server: ServerId,
-    /// Its number among exchanges or pools, which calls name as first choice.
+    /// The number of its exchange or pool; [`Call::first_choice`] refers to it.
     pub number: u32,
-    /// The zone it is in.
+    /// Index of the zone it is in.
     pub zone: u32,
-    /// Whether it may be used.
+    /// Whether it may be sent set-ups.
     pub availability: Availability,
-    /// When it last started; 0: long ago.
+    /// When it last started; 0: so long ago that slow start is over.
     pub up_since_ns: Nanos,
 }
 
@@ -111,37 +111,38 @@
 pub enum EndpointUpdate {
     /// Only the servers that changed.
     Changes(Vec<Endpoint>),
-    /// The complete list; servers not in it are removed.
+    /// The complete list; servers that are missing from it are removed.
     Full(Vec<Endpoint>),
-    /// The subscription failed; the current list stays in force.
+    /// The subscription failed; the current list stays valid.
     Failed,
 }
 
-/// The part of a server's load report that is used. Figures of its processor are late and noisy, and ignored.
+/// The part of a server's load report that is used. Its processor figures are ignored: they are late and
+/// noisy.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
 pub struct LoadReport {
-    /// Free circuits or agents towards it.
+    /// Free circuits towards the server, or free agents at it; `None` if unknown.
     pub free_capacity: Option<f64>,
 }
 
-/// A call handed to this front.
+/// A call that arrived at this front.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Call {
-    /// Its id.
+    /// The call's id.
     pub id: CallId,
-    /// Its class, an index into the settings.
+    /// Its class, as an index into [`Settings::classes`].
     pub class: usize,
-    /// The number of its first choice.
+    /// The [`Endpoint::number`] that it prefers.
     pub first_choice: u32,
-    /// How long its client waits.
+    /// How long its client waits for an answer, from now.
     pub budget_ns: Nanos,
-    /// The number dialled, if known: a client that tries again dials the same.
+    /// The number dialled, if known. A client that tries again is recognised by it.
     pub dialled: Option<u64>,
-    /// Circuits it takes.
+    /// Number of circuits it needs.
     pub circuits: f64,
-    /// Whether the call was cut and is tried again.
+    /// Whether it repeats a call that was cut.
     pub retry_after_cut: bool,
-    /// Whether it is in transit from another front: goes to its first choice or back.
+    /// Whether it is in transit from another front; such a call is sent to its first choice or rejected.
     pub in_transit: bool,
 }
 
@@ -150,56 +151,57 @@
 pub enum Outcome {
     /// The call was established and has ended.
     Completed,
-    /// A signalling fault.
+    /// The server answered with a signalling fault.
     Fault,
-    /// All lines of the number dialled are busy.
+    /// All lines of the number dialled were busy.
     LinesBusy,
-    /// No circuit or agent was free; it never ran.
+    /// No circuit or agent was free; the set-up had no effect.
     NoCircuit,
-    /// The processor was full; it never ran. With the server's retry-after, if any.
+    /// The server's processor was full; the set-up had no effect. Holds the server's retry-after, if it gave
+    /// one.
     Overloaded(Option<Nanos>),
-    /// No answer in time; it may have run.
+    /// No answer arrived in time; the set-up may have taken effect.
     TimedOut,
-    /// The server was not reached; it never ran.
+    /// The server could not be reached; the set-up had no effect.
     Unreachable,
-    /// The set-up or the call was cut.
+    /// The connection broke during the set-up or the call.
     Cut,
-    /// Cancelled.
+    /// The attempt was cancelled by [`Action::CancelAttempt`].
     Cancelled,
-    /// Not sent at all; it never ran.
+    /// The front did not send the set-up.
     NotSent,
 }
 
 impl Outcome {
-    /// Whether this outcome proves that the attempt had no effect.
+    /// Whether the attempt certainly had no effect.
     pub fn never_ran(self) -> bool {
         matches!(self, Outcome::NoCircuit | Outcome::Overloaded(_) | Outcome::Unreachable | Outcome::NotSent)
     }
 
-    /// Whether the call must wait for its release before it is sent again.
+    /// Whether the call must be released before it is sent again.
     pub fn needs_release(self) -> bool {
         matches!(self, Outcome::TimedOut | Outcome::Cut | Outcome::Cancelled)
     }
 }
 
-/// What one front knows of a server, for its peers.
+/// What one front has observed of a server, for its peers.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct ServerReport {
-    /// The server.
+    /// The server that the report is about.
     pub server: ServerId,
-    /// How old the newest evidence is.
+    /// Age of the newest observation.
     pub age_ns: Nanos,
-    /// The wait seen there.
+    /// Time that set-ups wait at the server, beyond the network delay.
     pub wait_ns: Nanos,
-    /// Set-ups of the reporting front that are in flight there.
+    /// Number of the reporting front's set-ups that are in flight to the server.
     pub in_flight: u32,
-    /// Set-ups of the reporting front that succeeded there within the window.
+    /// Number of the reporting front's set-ups that succeeded there within the counting window.
     pub succeeded: u32,
-    /// Whether it is ejected as unresponsive.
+    /// Whether the reporting front has ejected the server as unresponsive.
     pub is_unresponsive: bool,
-    /// How long ago its slow start began, if it is in slow start.
+    /// How long ago its slow start began; `None` if it is not in slow start.
     pub warming_up_for_ns: Option<Nanos>,
-    /// Whether it is listed as draining or removed.
+    /// Whether the endpoint list shows it as draining or removed.
     pub is_draining: bool,
 }
 
@@ -210,44 +212,44 @@
     EndpointsUpdated(EndpointUpdate),
     /// A call arrived at this front.
     CallArrived(Call),
-    /// The client disconnected; it needs no answer.
+    /// The client disconnected; the call needs no answer.
     ClientDisconnected(CallId),
     /// The timer set by [`Action::SetTimer`] fired.
     TimerFired,
-    /// The call was established.
+    /// The server established the call.
     CallEstablished {
         /// The call.
         call: CallId,
-        /// The attempt's number, from 0.
+        /// The attempt that succeeded; a call's attempts are numbered from 0.
         attempt: u32,
     },
     /// An attempt completed.
     AttemptCompleted {
         /// The call.
         call: CallId,
-        /// The attempt's number, from 0.
+        /// The attempt; a call's attempts are numbered from 0.
         attempt: u32,
         /// The server it was sent to.
         server: ServerId,
         /// How it ended.
         outcome: Outcome,
-        /// Whether the call is over for this front.
+        /// Whether the front has finished with the call.
         is_final: bool,
-        /// The server's load report.
+        /// The load report that came with the server's answer.
         report: LoadReport,
     },
-    /// A peer reported what it knows.
+    /// Another front sent its server reports.
     PeerReported {
-        /// The reporting front.
+        /// Id of the reporting front.
         peer: u64,
-        /// Its reports.
+        /// Its reports, one for each server.
         server_reports: Vec<ServerReport>,
     },
-    /// A server reported its load by itself.
+    /// A server sent a load report that belongs to no attempt.
     ServerLoadReported {
-        /// The server.
+        /// The reporting server.
         server: ServerId,
-        /// Its report.
+        /// Its load report.
         report: LoadReport,
     },
 }
@@ -259,40 +261,41 @@
     ForwardSetup {
         /// The call.
         call: CallId,
-        /// The server.
+        /// The server to send it to.
         server: ServerId,
-        /// The attempt's time-out.
+        /// The attempt times out after this duration.
         timeout_ns: Nanos,
     },
-    /// Cancel an attempt.
+    /// Cancel an attempt that is in flight.
     CancelAttempt {
         /// The call.
         call: CallId,
-        /// The attempt's number.
+        /// The attempt; a call's attempts are numbered from 0.
         attempt: u32,
     },
-    /// Final answer: rejected.
+    /// Answer the call as rejected; this is its final answer.
     Reject {
         /// The call.
         call: CallId,
-        /// When the client should try again, if that is given.
+        /// Time after which the client should try again, if one is given.
         retry_after_ns: Option<Nanos>,
     },
-    /// Final answer: failed.
+    /// Answer the call as failed; this is its final answer.
     Fail {
         /// The call.
         call: CallId,
     },
-    /// Give [`Event::TimerFired`] at this time.
+    /// Deliver [`Event::TimerFired`] at this time.
     SetTimer(Nanos),
-    /// Subscribe to the endpoint list and its changes.
+    /// Subscribe to the endpoint list.
     Subscribe,
 }
 
-/// Decides for a front. [`Controller`](crate::Controller) is the one in use; a testbed may compare others with it.
+/// A decision policy of a front. [`Controller`](crate::Controller) is used in production; the testbed
+/// compares it with other implementations.
 pub trait Policy {
-    /// Handles one event and appends the actions to take.
+    /// Handles one event and appends the actions that the front is to carry out.
     fn handle(&mut self, now: Nanos, event: Event, actions: &mut Vec<Action>);
-    /// What it knows of servers from its own set-ups, for its peers.
+    /// What this front has observed of servers by its own set-ups, for its peers.
     fn server_reports(&self) -> Vec<ServerReport>;
 }
--- a/crates/lilacpitch/src/lib.rs
+++ b/crates/lilacpitch/src/lib.rs
@@ -1,11 +1,14 @@
-//! Decisions of a call controller at the edge of a network with central servers: which server gets a call's
-//! set-up, when, and when the call is rejected.
+//! The decision module of a call router at the edge of a network with central servers: it selects the server
+//! that gets a call's set-up, when the set-up is sent, and when the call is rejected.
 //!
-//! The mechanism is call counting (Sabourin, ITC-13), in [`controller`]; [`interface`] holds the types of its
-//! inputs and outputs, [`settings`] reads its settings, and [`wire`] is the text framing of the bench adapter.
-//! The other modules are containers that decide nothing.
+//! - [`controller`] makes every decision; its mechanism is call counting (Sabourin, ITC-13).
+//! - [`interface`] defines the events, actions and settings that a front exchanges with the controller.
+//! - [`settings`] reads the settings from JSON.
+//! - [`wire`] connects controllers to a simulator over a line protocol.
+//! - [`sliding_window`], [`latency_deviation`], [`pending_queue`] and [`peer_reports`] are data structures
+//!   without decision logic.
 //!
-//! The example below is part of the tests.
+//! The README follows; its example is compiled and run as a documentation test.
 #![forbid(unsafe_code)]
 #![doc = include_str!("../README.md")]
 
