--- a/crates/lilacpitch/src/controller/slow_start.rs
+++ b/crates/lilacpitch/src/controller/slow_start.rs
@@ -1,38 +1,47 @@
-//! Slow start: the rate at which a server that has just started is given set-ups.
+//! Slow start: limits the rate of set-ups to a server that has just started.
 
 use super::*;
 
 impl Controller {
-    /// The ceiling in slow start: this front's normal rate times the capacity at the server's age, or a
-    /// multiple of what succeeds there, far below the multiple that overloads it.
-    pub(super) fn slow_start_ceiling(&self, server: &Server) -> Option<f64> {
-        let can_do = server.slow_start_fraction(self.now, &self.settings)?;
-        let known = self.normal_per_s(server) * can_do * (SLOW_START_BASE + SLOW_START_GAIN * can_do);
+    /// The ceiling of a server in slow start, in set-ups a second; `None` after slow start. It is a share of
+    /// this front's normal rate by the server's capacity at its age, or, if higher, a multiple of the recent
+    /// success rate that is far below the multiple that overloads the server.
+    pub(super) fn slow_start_ceiling_per_s(&self, server: &Server) -> Option<f64> {
+        let capacity = server.slow_start_fraction(self.now, &self.settings)?;
+        let by_age_per_s =
+            self.normal_per_s(server) * capacity * (SLOW_START_BASE + SLOW_START_GAIN * capacity);
         let growth = (self.settings.overload_multiple * SLOW_START_GROWTH).max(1.0);
-        let proven =
+        let success_per_s =
             Some(self.per_s(&server.succeeded, 0.0)).filter(|_| !server.succeeded.is_sparse(self.period));
-        Some(proven.map_or(known, |rate| known.max(rate * growth)))
+        Some(success_per_s.map_or(by_age_per_s, |success_per_s| by_age_per_s.max(success_per_s * growth)))
     }
 
-    /// Whether a set-up is due in slow start. Credit accrues in small steps, so that no burst falls due.
-    pub(super) fn has_credit(&self, server: &Server) -> bool {
-        self.slow_start_ceiling(server).is_none() || server.credit >= 1.0
+    /// Whether slow start allows one more set-up. Credit accrues to one set-up at most, so that no burst
+    /// becomes due.
+    pub(super) fn has_slow_start_credit(&self, server: &Server) -> bool {
+        self.slow_start_ceiling_per_s(server).is_none() || server.slow_start_credit >= 1.0
     }
 
-    pub(super) fn add_credit(&mut self, duration_s: f64) {
-        let due: Vec<_> =
-            self.servers.iter().filter_map(|(id, s)| Some((*id, self.slow_start_ceiling(s)?))).collect();
-        for (id, rate) in due {
-            self.update_server(id, |s| s.credit = (s.credit + rate * duration_s).min(1.0));
+    /// Accrues the credit of a duration for every server in slow start.
+    pub(super) fn add_slow_start_credit(&mut self, duration_s: f64) {
+        let ceilings: Vec<_> = self
+            .servers
+            .iter()
+            .filter_map(|(id, server)| Some((*id, self.slow_start_ceiling_per_s(server)?)))
+            .collect();
+        for (id, ceiling_per_s) in ceilings {
+            self.update_server(id, |server| {
+                server.slow_start_credit = (server.slow_start_credit + ceiling_per_s * duration_s).min(1.0);
+            });
         }
     }
 }
 
 impl Server {
-    /// The share of its capacity that a server has at its age; `None` after slow start.
+    /// The share of its full capacity that a server has at its age; `None` after slow start.
     pub(super) fn slow_start_fraction(&self, now: Nanos, settings: &Settings) -> Option<f64> {
-        let warmth =
+        let progress =
             now.saturating_sub(self.warming_up_since_ns?) as f64 / settings.slow_start_ns.max(1) as f64;
-        (warmth < 1.0).then_some(settings.slow_start_floor + (1.0 - settings.slow_start_floor) * warmth)
+        (progress < 1.0).then_some(settings.slow_start_floor + (1.0 - settings.slow_start_floor) * progress)
     }
 }
--- a/crates/lilacpitch/src/controller/state.rs
+++ b/crates/lilacpitch/src/controller/state.rs
@@ -1,6 +1,6 @@
-//! The state of the controller: its servers and calls. Types and their bookkeeping, which decide nothing.
+//! The controller's state: servers, calls and their bookkeeping. Nothing here makes a decision.
 
-use super::{Count, MAX_PEER_REPORTS, NEUTRAL_WEIGHT};
+use super::{Count, MAX_PEER_REPORTS_PER_SERVER, NEUTRAL_REPORT_WEIGHT};
 use crate::interface::*;
 use crate::latency_deviation::LatencyDeviation;
 use crate::peer_reports::PeerReports;
@@ -9,136 +9,178 @@
 use rand_pcg::Pcg32;
 use std::collections::BTreeMap;
 
-/// A set-up in flight: without a response so far.
+/// A set-up that was sent and has no response yet.
 #[derive(Clone, Copy)]
 pub(super) struct InFlightAttempt {
+    /// The call it belongs to.
     pub(super) call: CallId,
+    /// When it was sent.
     pub(super) sent_ns: Nanos,
-    /// When its network delay was over and it began to wait.
+    /// When it reached the server, by the estimated network delay, and began to wait there.
     pub(super) waiting_since_ns: Nanos,
-    /// A later set-up was answered first: this one is probably lost.
+    /// Whether a set-up that was sent later was answered first, so that this one is probably lost.
     pub(super) is_overtaken: bool,
 }
 
-/// The ejection of a server, until a probe succeeds.
+/// The ejection of a server, which lasts until a probe succeeds.
 #[derive(Clone, Copy)]
 pub(super) struct Ejection {
+    /// When the next probe may be sent.
     pub(super) next_probe_ns: Nanos,
-    pub(super) rest_ns: Nanos,
+    /// Interval before the first probe and between the first two; it doubles with each further one.
+    pub(super) probe_interval_ns: Nanos,
+    /// Number of probes sent.
     pub(super) probes: u32,
-    /// Based on peer reports alone.
+    /// Whether the ejection is based on peer reports alone.
     pub(super) is_by_peers_only: bool,
-    /// The rest as a multiple of the normal interval, drawn at the ejection.
-    pub(super) rest_fraction: f64,
+    /// `probe_interval_ns` as a multiple of the normal interval between set-ups; drawn when the server is
+    /// ejected.
+    pub(super) interval_fraction: f64,
 }
 
 impl InFlightAttempt {
-    /// Leaves a duration out of its age.
+    /// Excludes a duration, in which this front was stalled, from the set-up's age.
     pub(super) fn shift(&mut self, duration_ns: Nanos) {
         self.sent_ns += duration_ns;
         self.waiting_since_ns += duration_ns;
     }
 }
 
-/// The decisions of one front. Same settings, seed and events give the same actions.
+/// Makes the decisions of one front. The same settings, seed and events give the same actions.
 pub struct Controller {
     pub(super) settings: Settings,
     pub(super) rng: Pcg32,
+    /// The latest time passed in by the front.
     pub(super) now: Nanos,
+    /// The time of the first event.
     pub(super) started_ns: Option<Nanos>,
+    /// The current counting period, numbered from the origin of the clock.
     pub(super) period: u64,
     pub(super) servers: BTreeMap<ServerId, Server>,
     pub(super) calls: BTreeMap<CallId, CallState>,
-    /// Queued and releasing calls, by when their waiting ends; established calls cost no event anything.
+    /// Queued and releasing calls by when that phase ends. Events examine only these calls, so that
+    /// established calls cost nothing.
     pub(super) pending: PendingQueue<EquivalenceKey>,
-    pub(super) peer_reports: PeerReports<MAX_PEER_REPORTS>,
-    /// Dialled numbers that were rejected, and when they were first tried.
+    pub(super) peer_reports: PeerReports<MAX_PEER_REPORTS_PER_SERVER>,
+    /// Dialled numbers whose calls were not served, with the time of the client's first try.
     pub(super) unserved_numbers: BTreeMap<u64, Nanos>,
-    /// Numbers whose lines were all busy, and until when they pause.
+    /// Dialled numbers whose lines were all busy, with the end of their pause.
     pub(super) busy_numbers: BTreeMap<u64, Nanos>,
+    /// The highest priority weight of all classes.
     pub(super) top_priority: f64,
+    /// The resend interval of the network, or its substitute where nothing is resent.
     pub(super) resend_ns: Nanos,
-    pub(super) timer_ns: Option<Nanos>,
-    pub(super) stall_ns: Nanos,
-    pub(super) subscribe_ns: Option<Nanos>,
+    /// When the timer fires that is set at present.
+    pub(super) timer_at_ns: Option<Nanos>,
+    /// The longest recent stall of this front, which decays.
+    pub(super) longest_stall_ns: Nanos,
+    /// When to subscribe to the endpoint list again after a failure.
+    pub(super) resubscribe_at_ns: Option<Nanos>,
 }
 
-/// What is known of one server.
+/// The state of one server, as far as this front knows it.
 #[derive(Default)]
 pub(super) struct Server {
     pub(super) endpoint: Endpoint,
+    /// Calls that arrived with this server as their first choice.
     pub(super) offered: Count,
+    /// Set-ups sent to the server.
     pub(super) sent: Count,
+    /// Set-ups that succeeded there.
     pub(super) succeeded: Count,
-    /// Successes and the seconds they took, both exponentially weighted: this front's normal rate there.
+    /// This front's normal rate there: successes and the seconds they took, both exponentially weighted.
     pub(super) normal_rate: (f64, f64),
+    /// The ceiling set by symptoms of overload, in set-ups a second; `None` if there is none.
     pub(super) ceiling_per_s: Option<f64>,
     /// The ceiling before the last symptom.
-    pub(super) ceiling_before: Option<f64>,
+    pub(super) ceiling_before_symptom_per_s: Option<f64>,
+    /// When the last symptom of overload was observed.
     pub(super) last_symptom_ns: Nanos,
     /// Exponentially weighted share of symptoms among completed set-ups.
     pub(super) symptom_ratio: f64,
     /// When a set-up was last late there.
     pub(super) last_late_ns: Nanos,
-    /// The last symptom was that its lines ran out, by its own report.
+    /// Whether the last symptom was that the server, by its own report, ran out of lines.
     pub(super) lines_exhausted: bool,
-    pub(super) ignore_until_ns: Nanos,
-    pub(super) cut: f64,
+    /// Until when symptoms no more severe than the last one leave the ceiling as it is.
+    pub(super) symptoms_ignored_until_ns: Nanos,
+    /// The decrease factor of the last symptom that was not ignored.
+    pub(super) decrease_factor: f64,
+    /// Until when no set-up is sent to the server.
     pub(super) backoff_until_ns: Nanos,
-    /// When this front may join its queue, after peers reported that it became short.
-    pub(super) join_at_ns: Nanos,
+    /// When this front may use the server again after peers reported that its queue became short.
+    pub(super) queue_join_at_ns: Nanos,
+    /// Set-ups without a response, in the order in which they were sent.
     pub(super) in_flight: Vec<InFlightAttempt>,
+    /// Delay of the last response, without the network delay.
     pub(super) last_delay_ns: Nanos,
-    /// Exponentially weighted share of successes, against first attempts with a fault; 0 at first.
+    /// Exponentially weighted share of successes among successes and first attempts with a fault; starts at
+    /// 0.
     pub(super) success_ratio: f64,
     /// Delays of successful set-ups.
     pub(super) delays: LatencyDeviation,
-    /// The shortest delay of a success: taken for the network delay.
-    pub(super) shortest_ns: Option<Nanos>,
-    /// The wait reported by peers.
+    /// The shortest delay of a successful set-up, which is taken as the network delay.
+    pub(super) shortest_delay_ns: Option<Nanos>,
+    /// The wait that peers report.
     pub(super) peer_wait_ns: Option<Nanos>,
-    /// Set-ups in flight reported by peers.
+    /// The number of set-ups in flight that peers report.
     pub(super) peer_in_flight: usize,
-    /// Successes a second of all fronts, reported by peers, where own set-ups are few.
+    /// Successes a second of all fronts, from peer reports; known only where this front sends few set-ups.
     pub(super) peer_success_per_s: Option<f64>,
+    /// When the server last responded.
     pub(super) last_response_ns: Nanos,
+    /// When a set-up was last sent to the server.
     pub(super) last_sent_ns: Nanos,
-    /// The part of one set-up that is due there in slow start.
-    pub(super) credit: f64,
+    /// Accrued share of the next set-up in slow start; at 1 it may be sent.
+    pub(super) slow_start_credit: f64,
+    /// The server's ejection, if it is ejected.
     pub(super) ejection: Option<Ejection>,
+    /// When the server started, if that is recent enough for slow start.
     pub(super) warming_up_since_ns: Option<Nanos>,
+    /// Free circuits or agents, from the server's last load report.
     pub(super) free_capacity: Option<f64>,
-    pub(super) free_as_of_ns: Nanos,
+    /// When that load report arrived.
+    pub(super) free_capacity_as_of_ns: Nanos,
 }
 
-/// Where a call is in its life.
+/// The phase that a call is in.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(super) enum CallPhase {
+    /// Waits for a server.
     Queued,
+    /// An attempt was sent and has not completed.
     InFlight,
+    /// Waits until the last attempt is released.
     Releasing,
+    /// A server established the call.
     Established,
 }
 
-/// One call's state, against which the rules are checked.
+/// The state of one call.
 pub(super) struct CallState {
     pub(super) call: Call,
     pub(super) phase: CallPhase,
     pub(super) arrived_ns: Nanos,
+    /// When the client first tried; before `arrived_ns` if it has redialled.
     pub(super) first_try_ns: Nanos,
+    /// When the client stops waiting for an answer.
     pub(super) deadline_ns: Nanos,
+    /// When the last attempt is released, so that the next may be sent.
     pub(super) not_before_ns: Nanos,
+    /// Number of attempts sent.
     pub(super) attempts: u32,
+    /// The server of the last attempt; meaningful once there is one.
     pub(super) server: ServerId,
+    /// Whether the cancellation of the attempt in flight was requested.
     pub(super) is_cancelling: bool,
-    /// How likely a valid call would have met the same faults.
+    /// The likelihood that a valid call would have met the same faults.
     pub(super) fault_likelihood: f64,
-    /// The first attempt that may have run: its server's zone and number, and when it was sent.
+    /// The first attempt that may have taken effect: its server's zone and number, and when the call arrived.
     pub(super) may_have_run: Option<(u32, u32, Nanos)>,
 }
 
 impl CallState {
-    /// A call that just arrived.
+    /// Creates the state of a call that has just arrived.
     pub(super) fn new(call: Call, arrived_ns: Nanos, deadline_ns: Nanos) -> Self {
         CallState {
             call,
@@ -156,57 +198,63 @@
     }
 }
 
-/// What server selection goes by in a call: class, first choice, circuits, flags, the attempt that may have
-/// run, and where the last one failed.
+/// The properties of a call that server selection depends on: class, first choice, bits of the circuits,
+/// flags, the attempt that may have taken effect, and the server of the last attempt. Calls with equal keys
+/// are equivalent.
 pub(super) type EquivalenceKey = (usize, u32, u64, [bool; 3], Option<(u32, u32, Nanos)>, Option<ServerId>);
 
 impl Server {
-    /// A server of which nothing is known but its place in the endpoint list.
+    /// Creates the state of a server of which only its endpoint is known.
     pub(super) fn new(endpoint: Endpoint, now: Nanos) -> Self {
         let warming_up_since_ns = (endpoint.up_since_ns > 0).then_some(endpoint.up_since_ns);
         Server { endpoint, warming_up_since_ns, last_response_ns: now, ..Server::default() }
     }
 
-    /// Adds a set-up in flight, which begins to wait after the network delay.
+    /// Adds a set-up that is now in flight; it begins to wait after the network delay.
     pub(super) fn start_attempt(&mut self, call: CallId, sent_ns: Nanos, network_delay_ns: Nanos) {
         let waiting_since_ns = sent_ns + network_delay_ns;
         self.in_flight.push(InFlightAttempt { call, sent_ns, waiting_since_ns, is_overtaken: false });
     }
 
-    /// Removes a set-up in flight.
+    /// Removes the set-up of a call from those in flight.
     pub(super) fn finish_attempt(&mut self, call: CallId) -> Option<InFlightAttempt> {
-        self.in_flight.iter().position(|attempt| attempt.call == call).map(|at| self.in_flight.remove(at))
+        let index = self.in_flight.iter().position(|attempt| attempt.call == call)?;
+        Some(self.in_flight.remove(index))
     }
 
-    /// Records a fault; returns the share of faults before it. Only first attempts count, one in `over`.
-    pub(super) fn note_fault(&mut self, first: bool, over: f64) -> f64 {
+    /// Records a fault and returns the ratio of faults before it. Only first attempts change the ratio, which
+    /// is averaged over `samples` set-ups.
+    pub(super) fn record_fault(&mut self, is_first_attempt: bool, samples: f64) -> f64 {
         let fault_ratio = 1.0 - self.success_ratio;
-        self.success_ratio -= if first { self.success_ratio / over } else { 0.0 };
+        self.success_ratio -= if is_first_attempt { self.success_ratio / samples } else { 0.0 };
         fault_ratio
     }
 
-    /// Normal rate of successes, a second.
-    pub(super) fn success_per_s(&self) -> f64 {
+    /// The normal rate of successes a second.
+    pub(super) fn normal_success_per_s(&self) -> f64 {
         self.normal_rate.0 / self.normal_rate.1.max(1.0)
     }
 
-    /// The network delay; 0 if unknown, since the shortest of few delays includes waiting.
+    /// The network delay; 0 where few set-ups succeeded, since the shortest of few delays may include
+    /// waiting.
     pub(super) fn network_delay_ns(&self, period: u64) -> Nanos {
-        self.shortest_ns.filter(|_| !self.succeeded.is_sparse(period)).unwrap_or(0)
+        self.shortest_delay_ns.filter(|_| !self.succeeded.is_sparse(period)).unwrap_or(0)
     }
 
+    /// Whether the endpoint list allows set-ups to the server.
     pub(super) fn is_in_service(&self) -> bool {
         self.endpoint.availability == Availability::Ready
     }
 
-    /// When the oldest set-up in flight began to wait, maybe in the future.
-    pub(super) fn oldest_since_ns(&self) -> Option<Nanos> {
-        self.in_flight.iter().find(|o| !o.is_overtaken).map(|o| o.waiting_since_ns)
+    /// When the oldest set-up in flight that was not overtaken begins to wait; may be in the future.
+    pub(super) fn oldest_waiting_since_ns(&self) -> Option<Nanos> {
+        let oldest = self.in_flight.iter().find(|attempt| !attempt.is_overtaken);
+        oldest.map(|attempt| attempt.waiting_since_ns)
     }
 }
 
 impl Controller {
-    /// A controller without servers or calls.
+    /// Creates a controller without servers or calls.
     pub(super) fn empty(settings: Settings, seed: u64, resend_ns: Nanos, top_priority: f64) -> Self {
         Controller {
             rng: Pcg32::seed_from_u64(seed),
@@ -221,24 +269,24 @@
             busy_numbers: BTreeMap::new(),
             top_priority,
             resend_ns,
-            timer_ns: None,
-            stall_ns: 0,
-            subscribe_ns: None,
+            timer_at_ns: None,
+            longest_stall_ns: 0,
+            resubscribe_at_ns: None,
             settings,
         }
     }
 
-    /// A random number from 0, below 1.
+    /// Draws a random number in `0.0..1.0`.
     pub(super) fn random_fraction(&mut self) -> f64 {
         f64::from(self.rng.next_u32()) / (f64::from(u32::MAX) + 1.0)
     }
 
-    /// The rate of a count a second, with `more` set-ups as if they came now.
-    pub(super) fn per_s(&self, count: &Count, more: f64) -> f64 {
-        count.per_s(self.period, self.window_s(), more)
+    /// The rate of a count a second, with `additional` set-ups counted as if they came now.
+    pub(super) fn per_s(&self, count: &Count, additional: f64) -> f64 {
+        count.per_s(self.period, self.window_s(), additional)
     }
 
-    /// Changes the record of a server, if there is one.
+    /// Applies `change` to the state of a server, if the server is known.
     pub(super) fn update_server(&mut self, id: ServerId, change: impl FnOnce(&mut Server)) {
         if let Some(server) = self.servers.get_mut(&id) {
             change(server);
@@ -250,48 +298,49 @@
         &self.settings.classes[record.call.class]
     }
 
-    /// Keeps what a server reports of its load.
+    /// Records a server's load report.
     pub(super) fn record_load_report(&mut self, id: ServerId, report: LoadReport) {
         let now = self.now;
-        self.update_server(id, |s| (s.free_capacity, s.free_as_of_ns) = (report.free_capacity, now));
+        self.update_server(id, |s| (s.free_capacity, s.free_capacity_as_of_ns) = (report.free_capacity, now));
     }
 
-    /// Keeps a call's entry in the pending queue in step with its phase.
+    /// Updates a call's entry in the pending queue after its phase changed.
     pub(super) fn update_pending(&mut self, id: CallId) {
         let Some(record) = self.calls.get(&id) else { return };
         let entry = match record.phase {
             CallPhase::Releasing => Some((record.not_before_ns, None)),
-            CallPhase::Queued => {
-                Some((self.patience_ns(record), Some((self.equivalence_key(record), record.arrived_ns))))
-            }
+            CallPhase::Queued => Some((
+                self.queue_deadline_ns(record),
+                Some((self.equivalence_key(record), record.arrived_ns)),
+            )),
             CallPhase::InFlight | CallPhase::Established => None,
         };
         self.pending.set(id, entry);
     }
 
-    /// Whether exactly the queued and releasing calls are pending: an invariant.
-    pub(super) fn is_pending_in_step(&self) -> bool {
-        let waits = |phase| matches!(phase, CallPhase::Queued | CallPhase::Releasing);
-        self.calls.iter().all(|(id, record)| waits(record.phase) == self.pending.entry(*id).is_some())
+    /// The invariant that exactly the queued and releasing calls are in the pending queue.
+    pub(super) fn pending_matches_phases(&self) -> bool {
+        let is_pending = |phase| matches!(phase, CallPhase::Queued | CallPhase::Releasing);
+        self.calls.iter().all(|(id, record)| is_pending(record.phase) == self.pending.entry(*id).is_some())
     }
 
-    /// The median of what peers report of a server now, if enough of them do.
+    /// The weighted median of `value` over peers' reports of a server; `None` if they are too few or too old.
     pub(super) fn peer_median(
         &self,
         id: ServerId,
         half_life_ns: Nanos,
         value: &dyn Fn(&ServerReport) -> f64,
     ) -> Option<f64> {
-        self.peer_reports.weighted_median(id, self.now, half_life_ns, NEUTRAL_WEIGHT, value)
+        self.peer_reports.weighted_median(id, self.now, half_life_ns, NEUTRAL_REPORT_WEIGHT, value)
     }
 
-    /// Removes a call, from the pending queue as well.
+    /// Removes a call and its entry in the pending queue.
     pub(super) fn remove_call(&mut self, id: CallId) -> Option<CallState> {
         self.pending.set(id, None);
         self.calls.remove(&id)
     }
 
-    /// All that server selection depends on in a queued call.
+    /// The key that is equal for calls that server selection treats alike.
     pub(super) fn equivalence_key(&self, record: &CallState) -> EquivalenceKey {
         let (call, may_have_run, failed) =
             (record.call, record.may_have_run, (record.attempts > 0).then_some(record.server));
@@ -299,7 +348,7 @@
         (call.class, call.first_choice, call.circuits.to_bits(), flags, may_have_run, failed)
     }
 
-    /// Number of entries by name: for tests that nothing grows without bound.
+    /// The number of entries of each collection, by name, for tests that none grows without bound.
     #[doc(hidden)]
     pub fn sizes(&self) -> Vec<(&'static str, usize)> {
         vec![
@@ -307,12 +356,12 @@
             ("module's calls", self.calls.len()),
             ("module's unserved numbers", self.unserved_numbers.len()),
             ("module's busy numbers", self.busy_numbers.len()),
-            ("module's unanswered", self.servers.values().map(|s| s.in_flight.len()).sum()),
+            ("module's unanswered", self.servers.values().map(|server| server.in_flight.len()).sum()),
         ]
     }
 }
 
-/// A fraction or multiple of a duration.
-pub(super) fn scaled(span: Nanos, of: f64) -> Nanos {
-    (span as f64 * of) as Nanos
+/// A duration multiplied by a factor.
+pub(super) fn scaled(duration_ns: Nanos, factor: f64) -> Nanos {
+    (duration_ns as f64 * factor) as Nanos
 }
--- a/crates/lilacpitch/src/pending_queue.rs
+++ b/crates/lilacpitch/src/pending_queue.rs
@@ -1,13 +1,14 @@
-//! Calls that wait for a server or for their release: a container, which decides nothing. Calls that server
-//! selection cannot tell apart form one group, of which only the oldest needs to be tried.
+//! The queue of calls that wait for a server or for their release. Calls that server selection treats alike
+//! form a group, of which only the oldest needs to be tried.
 
 use crate::interface::{CallId, Nanos};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A pending call: when its waiting ends, and the group it is in since when, if in any.
+/// A pending call: the deadline of its wait, and, if it is in a group, the key of the group and the time by
+/// which the group is ordered.
 pub type PendingEntry<K> = (Nanos, Option<(K, Nanos)>);
 
-/// Pending calls by when their waiting ends, and by group, the oldest of a group first.
+/// Pending calls, ordered by deadline and, within each group, by age. `K` is the key of a group.
 #[derive(Debug, Clone)]
 pub struct PendingQueue<K> {
     entries: BTreeMap<CallId, PendingEntry<K>>,
@@ -22,14 +23,14 @@
 }
 
 impl<K: Ord + Copy> PendingQueue<K> {
-    /// Adds a call, changes its entry, or removes it.
+    /// Adds or replaces the entry of a call; `None` removes it.
     pub fn set(&mut self, id: CallId, entry: Option<PendingEntry<K>>) {
-        let before = self.entry(id);
-        if entry == before {
+        let previous = self.entry(id);
+        if entry == previous {
             return;
         }
-        if let Some(before) = before {
-            self.remove(id, before);
+        if let Some(previous) = previous {
+            self.remove(id, previous);
         }
         if let Some((deadline_ns, group)) = entry {
             self.entries.insert(id, (deadline_ns, group));
@@ -51,27 +52,27 @@
         }
     }
 
-    /// The entry of a call.
+    /// The entry of a call; `None` if it is not pending.
     pub fn entry(&self, id: CallId) -> Option<PendingEntry<K>> {
         self.entries.get(&id).copied()
     }
 
-    /// The calls whose waiting has ended by `now`.
+    /// The calls whose deadline has passed at `now`, earliest first.
     pub fn due(&self, now: Nanos) -> impl Iterator<Item = CallId> + '_ {
         self.deadlines.range(..=(now, CallId::MAX)).map(|(_, id)| *id)
     }
 
-    /// When the waiting of the next call ends.
+    /// The earliest deadline.
     pub fn next_deadline_ns(&self) -> Option<Nanos> {
         self.deadlines.first().map(|(deadline_ns, _)| *deadline_ns)
     }
 
-    /// The keys of all groups, in their order.
+    /// The keys of all groups, in ascending order.
     pub fn groups(&self) -> Vec<K> {
         self.groups.keys().copied().collect()
     }
 
-    /// The oldest call of a group.
+    /// The oldest call of a group; `None` if there is no such group.
     pub fn oldest(&self, key: K) -> Option<CallId> {
         self.groups.get(&key).and_then(|members| members.first()).map(|(_, id)| *id)
     }
--- a/crates/lilacpitch/tests/pending_queue.rs
+++ b/crates/lilacpitch/tests/pending_queue.rs
@@ -1,9 +1,9 @@
-//! `PendingQueue`: deadlines and groups stay in step.
+//! `PendingQueue`: deadlines and groups stay consistent.
 
 use lilacpitch::pending_queue::PendingQueue;
 
 #[test]
-fn deadlines_and_groups_stay_in_step_when_calls_move() {
+fn deadlines_and_groups_stay_consistent_when_calls_change_group() {
     let mut queue = PendingQueue::default();
     queue.set(1, Some((50, Some(('a', 10)))));
     queue.set(2, Some((40, Some(('a', 5)))));
