--- a/crates/lilacpitch/src/settings.rs
+++ b/crates/lilacpitch/src/settings.rs
@@ -1,15 +1,16 @@
-//! Reads the settings object that a front is handed at its start: one reader for the adapter and the front node.
+//! Reads the JSON settings that a front gets at its start. The adapter and the front node both use this
+//! reader.
 
 use crate::interface::{Class, Idempotency, LoadReport, Nanos, Scope, Settings};
 use serde_json::Value;
 use std::fmt;
 
-/// What is wrong with the settings, and where.
+/// An error in the settings.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct SettingsError {
-    /// The field, as a path of names.
+    /// The field, as a path of keys.
     pub field: String,
-    /// What is wrong with it.
+    /// What is wrong with the field.
     pub what: String,
 }
 
@@ -21,7 +22,7 @@
 
 impl std::error::Error for SettingsError {}
 
-/// A value of a server's load report that is not a finite number.
+/// The error for a value of a server's load report that is not a finite number.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ReportValueError {
     /// The value as reported, at most 40 characters of it.
@@ -36,74 +37,78 @@
 
 impl std::error::Error for ReportValueError {}
 
-fn fault<T>(field: &str, what: impl Into<String>) -> Result<T, SettingsError> {
+fn invalid<T>(field: &str, what: impl Into<String>) -> Result<T, SettingsError> {
     Err(SettingsError { field: field.to_string(), what: what.into() })
 }
 
-/// The settings of a front: those of the decisions, and those of the program around them.
+/// The settings of a front: those of its controller, and those of the program that embeds it.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Site {
     /// Settings of the controller.
     pub settings: Settings,
-    /// Names of the values in a server's report, in their order.
+    /// Names of the values in a server's load report, in the order in which they are listed.
     pub report_fields: Vec<String>,
-    /// Names of the classes, in their order.
+    /// Names of the classes; their positions are the class indices of calls.
     pub class_names: Vec<String>,
-    /// Names of the zones, in their order.
+    /// Names of the zones; their positions are the zone indices of endpoints.
     pub zone_names: Vec<String>,
-    /// Open requests allowed at once; more are rejected before they reach the controller.
+    /// Maximum number of open calls; further ones are rejected before they reach the controller.
     pub max_open: usize,
-    /// Connections that are not made within this time are abandoned.
+    /// Time after which an attempt to connect to a server is given up.
     pub connect_timeout_ns: Nanos,
-    /// How long a set-up to a server that drains may still leave after the front learned of it.
+    /// Time after a front learns that a server drains within which set-ups may still be sent to it.
     pub drain_grace_ns: Nanos,
 }
 
 impl Site {
-    /// Reads the settings from their text.
+    /// Reads the settings from JSON text.
     ///
     /// # Errors
-    /// The field that is missing or wrong, and why; text that is not JSON.
+    /// Text that is not JSON, or the field that is missing or wrong.
     pub fn read(text: &str) -> Result<Site, SettingsError> {
         match serde_json::from_str(text) {
             Ok(value) => Site::from_value(&value),
-            Err(error) => fault("info", format!("not JSON: {error}")),
+            Err(error) => invalid("info", format!("not JSON: {error}")),
         }
     }
 
-    /// Reads the settings from JSON that is part of something else.
+    /// Reads the settings from a parsed JSON value.
     ///
     /// # Errors
-    /// The field that is missing or wrong, and why.
+    /// The field that is missing or wrong.
     pub fn from_value(root: &Value) -> Result<Site, SettingsError> {
         if !root.is_object() {
-            return fault("info", "not an object");
+            return invalid("info", "not an object");
         }
         let fields = Fields(root);
-        let all = fields.get("classes").and_then(Value::as_array).map_or(&[][..], Vec::as_slice);
-        let pools = |index: usize| fields.get("family_info.pools_by_class").and_then(|p| p.get(index));
-        let classes =
-            all.iter().enumerate().map(|(i, c)| class(i, c, pools(i))).collect::<Result<Vec<_>, _>>()?;
+        let class_values = fields.get("classes").and_then(Value::as_array).map_or(&[][..], Vec::as_slice);
+        let pools_by_class = fields.get("family_info.pools_by_class");
+        let classes = class_values
+            .iter()
+            .enumerate()
+            .map(|(index, class)| read_class(index, class, pools_by_class.and_then(|pools| pools.get(index))))
+            .collect::<Result<Vec<_>, _>>()?;
         if classes.is_empty() {
-            return fault("classes", "no classes");
+            return invalid("classes", "no classes");
         }
         let tick_ns = fields.duration("tick_ns", 0.0)?;
         if tick_ns == 0 {
-            return fault("tick_ns", "must be above 0");
+            return invalid("tick_ns", "must be above 0");
         }
-        let settings = decision_settings(&fields, classes, tick_ns)?;
+        let settings = controller_settings(&fields, classes, tick_ns)?;
         Ok(Site {
             settings,
-            report_fields: fields.words("report.fields"),
-            class_names: all.iter().map(|class| word(class.get("name"))).collect(),
-            zone_names: fields.words("dcs"),
+            report_fields: fields.strings("report.fields"),
+            class_names: class_values.iter().map(|class| string(class.get("name"))).collect(),
+            zone_names: fields.strings("dcs"),
             max_open: fields.number("permissions.max_open", f64::from(u32::MAX))?.max(1.0) as usize,
             connect_timeout_ns: fields.duration("permissions.connect_timeout_ns", 1e9)?,
             drain_grace_ns: fields.duration("rules.stop_sending_within_ns", 0.0)?,
         })
     }
 
-    /// Reads the values of a server's report that are used; values below 0 mean unknown.
+    /// Reads the values of a server's load report that are used. `value_of` returns the text of a value by
+    /// its index and name. Values below 0 mean that the server does not know them.
     ///
     /// # Errors
     /// The first value that is not a finite number.
@@ -126,7 +131,7 @@
     }
 }
 
-/// The settings object; fields are named by paths of keys.
+/// The settings object. Its fields are named by paths of keys, separated by dots.
 struct Fields<'a>(&'a Value);
 
 impl<'a> Fields<'a> {
@@ -139,7 +144,7 @@
             None | Some(Value::Null) => Ok(default),
             Some(value) => match value.as_f64() {
                 Some(number) if number.is_finite() => Ok(number),
-                _ => fault(path, "not a number"),
+                _ => invalid(path, "not a number"),
             },
         }
     }
@@ -151,17 +156,17 @@
     fn flag(&self, path: &str, default: bool) -> Result<bool, SettingsError> {
         match self.get(path) {
             None | Some(Value::Null) => Ok(default),
-            Some(value) => value.as_bool().map_or_else(|| fault(path, "not true or false"), Ok),
+            Some(value) => value.as_bool().map_or_else(|| invalid(path, "not true or false"), Ok),
         }
     }
 
-    fn words(&self, path: &str) -> Vec<String> {
+    fn strings(&self, path: &str) -> Vec<String> {
         let values = self.get(path).and_then(Value::as_array);
-        values.into_iter().flatten().map(|value| word(Some(value))).collect()
+        values.into_iter().flatten().map(|value| string(Some(value))).collect()
     }
 }
 
-fn decision_settings(
+fn controller_settings(
     fields: &Fields,
     classes: Vec<Class>,
     tick_ns: Nanos,
@@ -180,7 +185,7 @@
         } else {
             0
         },
-        must_subscribe: word(fields.get("discovery")) == "on_request",
+        must_subscribe: string(fields.get("discovery")) == "on_request",
         slow_start_floor: fields.number("rules.cold_from", 1.0)?.clamp(0.0, 1.0),
         slow_start_ns: fields.duration("rules.cold_ns", 0.0)?,
         overload_multiple: fields.number("rules.tip_multiple", 1.0)?.max(1.0),
@@ -188,41 +193,41 @@
     })
 }
 
-fn word(value: Option<&Value>) -> String {
+fn string(value: Option<&Value>) -> String {
     value.and_then(Value::as_str).unwrap_or("").to_string()
 }
 
-fn class(index: usize, class: &Value, pools: Option<&Value>) -> Result<Class, SettingsError> {
-    let at = |key: &str| format!("classes[{index}].{key}");
-    let figure = |key: &str, default: f64| match class.get(key) {
+fn read_class(index: usize, class: &Value, pools: Option<&Value>) -> Result<Class, SettingsError> {
+    let path = |key: &str| format!("classes[{index}].{key}");
+    let number = |key: &str, default: f64| match class.get(key) {
         None | Some(Value::Null) => Ok(default),
         Some(value) => match value.as_f64() {
-            Some(figure) if figure.is_finite() && figure >= 0.0 => Ok(figure),
-            _ => fault(&at(key), "not a number of 0 or more"),
+            Some(number) if number.is_finite() && number >= 0.0 => Ok(number),
+            _ => invalid(&path(key), "not a number of 0 or more"),
         },
     };
-    let scope = match word(class.get("dedup_scope")).as_str() {
+    let scope = match string(class.get("dedup_scope")).as_str() {
         "zone" => Scope::Zone,
         "cell" => Scope::Number,
         _ => Scope::All,
     };
-    let aim_ns = figure("aim_ns", 0.0)? as Nanos;
-    if aim_ns == 0 {
-        return fault(&at("aim_ns"), "must be above 0");
+    let latency_objective_ns = number("aim_ns", 0.0)? as Nanos;
+    if latency_objective_ns == 0 {
+        return invalid(&path("aim_ns"), "must be above 0");
     }
     let pools = pools.and_then(Value::as_array).into_iter().flatten();
     Ok(Class {
-        latency_objective_ns: aim_ns,
-        deadline_ns: figure("deadline_ns", aim_ns as f64)? as Nanos,
-        priority_weight: figure("worth", 1.0)?,
-        late_weight: figure("late_worth", 0.0)?,
-        idempotency: match word(class.get("repeat")).as_str() {
+        latency_objective_ns,
+        deadline_ns: number("deadline_ns", latency_objective_ns as f64)? as Nanos,
+        priority_weight: number("worth", 1.0)?,
+        late_weight: number("late_worth", 0.0)?,
+        idempotency: match string(class.get("repeat")).as_str() {
             "idempotency_key" => Idempotency::IdempotencyKey(scope),
             "non_idempotent" => Idempotency::NonIdempotent,
             "read_like" | "" => Idempotency::Idempotent,
-            other => return fault(&at("repeat"), format!("unknown: {other:.40}")),
+            other => return invalid(&path("repeat"), format!("unknown value: {other:.40}")),
         },
-        key_retention_ns: figure("memory_span_ns", 0.0)? as Nanos,
-        pools: pools.filter_map(Value::as_u64).map(|p| p as u32).collect(),
+        key_retention_ns: number("memory_span_ns", 0.0)? as Nanos,
+        pools: pools.filter_map(Value::as_u64).map(|number| number as u32).collect(),
     })
 }
--- a/crates/lilacpitch/src/wire.rs
+++ b/crates/lilacpitch/src/wire.rs
@@ -1,6 +1,7 @@
-//! The adapter's text wire: lines of tab-separated `name=value` fields in, one reply for each batch out.
+//! The adapter for a simulator's line protocol: reads lines of tab-separated `name=value` fields and writes
+//! one reply for each batch of lines.
 //!
-//! Only framing, parsing and printing: nothing here decides anything about a call.
+//! This module parses messages and writes actions only; the decisions are the controller's.
 
 use crate::controller::Controller;
 use crate::interface::*;
@@ -8,12 +9,12 @@
 use std::collections::BTreeMap;
 use std::fmt::{self, Write};
 
-/// What was malformed, and where.
+/// A malformed line.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct WireError {
-    /// The line, from 1.
+    /// The line's number, from 1.
     pub line: u64,
-    /// The field or the message.
+    /// The name of the malformed field or message.
     pub field: String,
     /// What is wrong with it.
     pub what: String,
@@ -27,107 +28,121 @@
 
 impl std::error::Error for WireError {}
 
-/// What is malformed in a line, before its number is known.
-struct Fault {
+/// A malformed field or message, without the number of its line.
+struct FieldError {
+    /// The name of the field or message.
     field: String,
+    /// What is wrong with it.
     what: String,
 }
 
-fn fault<T>(field: &str, what: impl Into<String>) -> Result<T, Fault> {
-    Err(Fault { field: field.to_string(), what: what.into() })
+fn invalid<T>(field: &str, what: impl Into<String>) -> Result<T, FieldError> {
+    Err(FieldError { field: field.to_string(), what: what.into() })
 }
 
-/// The fields of one line. Unknown ones stay unread.
+/// The fields of one line, as names and values. Unknown fields are ignored.
 struct Fields<'a>(Vec<(&'a str, &'a str)>);
 
 impl<'a> Fields<'a> {
-    /// Splits a line into its message name and fields; `text` names the field that runs to the line's end.
-    fn parse(line: &'a str, text: &str) -> Result<(&'a str, Fields<'a>), Fault> {
-        let (name, mut rest) = line.split_once('\t').unwrap_or((line, ""));
+    /// Splits a line into its message name and fields. The value of the field named `last_field` extends to
+    /// the end of the line.
+    fn parse(line: &'a str, last_field: &str) -> Result<(&'a str, Fields<'a>), FieldError> {
+        let (message, mut remaining) = line.split_once('\t').unwrap_or((line, ""));
         let mut fields = Vec::new();
-        while !rest.is_empty() {
-            let Some((key, after)) = rest.split_once('=') else {
-                return fault(rest.split('\t').next().unwrap_or(rest), "not name=value");
+        while !remaining.is_empty() {
+            let Some((key, after)) = remaining.split_once('=') else {
+                return invalid(remaining.split('\t').next().unwrap_or(remaining), "not name=value");
             };
             if key.contains('\t') {
-                return fault(key.split('\t').next().unwrap_or(key), "not name=value");
+                return invalid(key.split('\t').next().unwrap_or(key), "not name=value");
             }
             let (value, next) =
-                if key == text { (after, "") } else { after.split_once('\t').unwrap_or((after, "")) };
+                if key == last_field { (after, "") } else { after.split_once('\t').unwrap_or((after, "")) };
             fields.push((key, value));
-            rest = next;
+            remaining = next;
         }
-        Ok((name, Fields(fields)))
+        Ok((message, Fields(fields)))
     }
 
     fn get(&self, key: &str) -> Option<&'a str> {
-        self.0.iter().find(|(k, _)| *k == key).map(|(_, v)| *v)
+        self.0.iter().find(|(name, _)| *name == key).map(|(_, value)| *value)
     }
 
-    fn need(&self, key: &str) -> Result<&'a str, Fault> {
-        self.get(key).map_or_else(|| fault(key, "missing"), Ok)
+    fn required(&self, key: &str) -> Result<&'a str, FieldError> {
+        self.get(key).map_or_else(|| invalid(key, "missing"), Ok)
     }
 
-    fn uint(&self, key: &str) -> Result<u64, Fault> {
-        let text = self.need(key)?;
-        text.parse().or_else(|_| fault(key, format!("not a whole number: {text:.40}")))
+    fn u64(&self, key: &str) -> Result<u64, FieldError> {
+        let text = self.required(key)?;
+        text.parse().or_else(|_| invalid(key, format!("not a whole number: {text:.40}")))
     }
 
-    fn uint_or(&self, key: &str, default: u64) -> Result<u64, Fault> {
+    fn u64_or(&self, key: &str, default: u64) -> Result<u64, FieldError> {
         if self.get(key).is_none() {
             return Ok(default);
         }
-        self.uint(key)
+        self.u64(key)
     }
 
-    /// A duration; the wire may state it as negative when it has run out.
-    fn duration(&self, key: &str) -> Result<Nanos, Fault> {
-        let text = self.need(key)?;
+    /// A duration. The protocol gives it as negative if it has already passed; that counts as 0.
+    fn duration(&self, key: &str) -> Result<Nanos, FieldError> {
+        let text = self.required(key)?;
         match text.parse::<i64>() {
             Ok(value) => Ok(value.max(0) as u64),
-            Err(_) => fault(key, format!("not a whole number: {text:.40}")),
+            Err(_) => invalid(key, format!("not a whole number: {text:.40}")),
         }
     }
 
-    fn small(&self, key: &str) -> Result<u32, Fault> {
-        u32::try_from(self.uint(key)?).or_else(|_| fault(key, "too large"))
+    fn u32(&self, key: &str) -> Result<u32, FieldError> {
+        u32::try_from(self.u64(key)?).or_else(|_| invalid(key, "too large"))
     }
 
-    fn number_or(&self, key: &str, default: f64) -> Result<f64, Fault> {
+    fn number_or(&self, key: &str, default: f64) -> Result<f64, FieldError> {
         let Some(text) = self.get(key) else {
             return Ok(default);
         };
         match text.parse::<f64>() {
             Ok(value) if value.is_finite() => Ok(value),
-            _ => fault(key, format!("not a number: {text:.40}")),
+            _ => invalid(key, format!("not a number: {text:.40}")),
         }
     }
 
-    fn flag(&self, key: &str) -> Result<bool, Fault> {
+    fn flag(&self, key: &str) -> Result<bool, FieldError> {
         match self.get(key) {
             None | Some("0") => Ok(false),
             Some("1") => Ok(true),
-            Some(other) => fault(key, format!("not 0 or 1: {other:.40}")),
+            Some(other) => invalid(key, format!("not 0 or 1: {other:.40}")),
         }
     }
 
-    fn report(&self, site: &Site) -> Result<LoadReport, Fault> {
+    fn report(&self, site: &Site) -> Result<LoadReport, FieldError> {
         let text = self.get("pressure").filter(|text| !text.is_empty() && *text != "-");
         let parts: Vec<&str> = text.map_or(Vec::new(), |text| text.split(',').collect());
         site.report(|index, _| parts.get(index).copied())
-            .or_else(|error| fault("pressure", error.to_string()))
+            .or_else(|error| invalid("pressure", error.to_string()))
     }
 }
 
-fn outcome(fields: &Fields) -> Result<Outcome, Fault> {
-    let note = fields.uint_or("note", 0)?;
-    Ok(match fields.need("result")? {
+/// Part of a `note` that gives the cause of a `fault` or `no_room`; the rest is a retry-after.
+const NOTE_CAUSE_MASK: u64 = 15;
+/// Cause of a `no_room`: the server's processor is full.
+const NOTE_PROCESSOR_FULL: u64 = 3;
+/// Cause of a `fault`: all lines of the number dialled are busy.
+const NOTE_LINES_BUSY: u64 = 4;
+/// A `note` divided by this is the server's retry-after in milliseconds.
+const NOTE_RETRY_AFTER_UNIT: u64 = 16;
+/// Nanoseconds in a millisecond.
+const NS_PER_MS: u64 = 1_000_000;
+
+fn outcome(fields: &Fields) -> Result<Outcome, FieldError> {
+    let note = fields.u64_or("note", 0)?;
+    Ok(match fields.required("result")? {
         "pass" => Outcome::Completed,
-        "fault" if note & 15 == 4 => Outcome::LinesBusy,
+        "fault" if note & NOTE_CAUSE_MASK == NOTE_LINES_BUSY => Outcome::LinesBusy,
         "fault" => Outcome::Fault,
-        "no_room" if note & 15 == 3 => {
-            let wait = (note / 16).saturating_mul(1_000_000);
-            Outcome::Overloaded(Some(wait).filter(|w| *w > 0))
+        "no_room" if note & NOTE_CAUSE_MASK == NOTE_PROCESSOR_FULL => {
+            let retry_after_ns = (note / NOTE_RETRY_AFTER_UNIT).saturating_mul(NS_PER_MS);
+            Outcome::Overloaded(Some(retry_after_ns).filter(|wait_ns| *wait_ns > 0))
         }
         "no_room" => Outcome::NoCircuit,
         "too_slow" => Outcome::TimedOut,
@@ -135,27 +150,27 @@
         "cut" => Outcome::Cut,
         "undone" => Outcome::Cancelled,
         "stale_send" => Outcome::NotSent,
-        other => return fault("result", format!("unknown outcome: {other:.40}")),
+        other => return invalid("result", format!("unknown outcome: {other:.40}")),
     })
 }
 
-fn endpoint(fields: &Fields) -> Result<Endpoint, Fault> {
+fn endpoint(fields: &Fields) -> Result<Endpoint, FieldError> {
     Ok(Endpoint {
-        server: fields.uint("server")?,
-        number: fields.small("number")?,
-        zone: fields.uint_or("rack_zone", 0)? as u32,
-        availability: match fields.uint("availability")? {
+        server: fields.u64("server")?,
+        number: fields.u32("number")?,
+        zone: fields.u64_or("rack_zone", 0)? as u32,
+        availability: match fields.u64("availability")? {
             0 => Availability::Removed,
             1 => Availability::Ready,
             2 => Availability::Draining,
-            _ => return fault("availability", "not 0, 1 or 2"),
+            _ => return invalid("availability", "not 0, 1 or 2"),
         },
-        up_since_ns: fields.uint_or("up_since_ns", 0)?,
+        up_since_ns: fields.u64_or("up_since_ns", 0)?,
     })
 }
 
-/// Prints one action of a front.
-pub fn print(front: u64, action: &Action, out: &mut String) {
+/// Writes one action of a front as a line.
+pub fn write_action(front: u64, action: &Action, out: &mut String) {
     // Writing to a String cannot fail.
     let _ = match *action {
         Action::ForwardSetup { call, server, timeout_ns } => {
@@ -164,79 +179,84 @@
         Action::CancelAttempt { call, attempt } => {
             writeln!(out, "ABANDON\tfront={front}\thandle={call}\thop={attempt}")
         }
-        Action::Reject { call, retry_after_ns: Some(wait) } => {
-            writeln!(out, "DECLINE\tfront={front}\thandle={call}\tcome_back_ns={wait}")
+        Action::Reject { call, retry_after_ns: Some(wait_ns) } => {
+            writeln!(out, "DECLINE\tfront={front}\thandle={call}\tcome_back_ns={wait_ns}")
         }
         Action::Reject { call, retry_after_ns: None } => {
             writeln!(out, "DECLINE\tfront={front}\thandle={call}")
         }
         Action::Fail { call } => writeln!(out, "FAIL\tfront={front}\thandle={call}"),
-        Action::SetTimer(at) => writeln!(out, "DEFER\tfront={front}\tmoment_ns={at}\tkey_back=1"),
+        Action::SetTimer(at_ns) => writeln!(out, "DEFER\tfront={front}\tmoment_ns={at_ns}\tkey_back=1"),
         Action::Subscribe => writeln!(out, "OBSERVE\tfront={front}\ton=1"),
     };
 }
 
-struct Hosted {
+/// A front of the simulation.
+struct Front {
     controller: Controller,
     site: Site,
 }
 
-/// One process's fronts: takes lines, gives the reply at each batch's end. The fronts share nothing.
+/// Hosts the fronts of one process: takes input lines and returns a reply at the end of each batch. The
+/// fronts share no state.
 #[derive(Default)]
 pub struct Host {
+    /// The time of the current batch; `None` between batches.
     now: Option<Nanos>,
-    fronts: BTreeMap<u64, Hosted>,
+    fronts: BTreeMap<u64, Front>,
+    /// Endpoint lists by their id.
     lists: BTreeMap<u64, Vec<Endpoint>>,
-    /// The list whose rows are being read, and how many are missing.
+    /// The id of the list whose rows are being read, and the number of rows that are missing.
     unfinished_list: Option<(u64, u64)>,
+    /// Buffer for the actions of one event.
     actions: Vec<Action>,
-    lines: u64,
+    lines_read: u64,
 }
 
 impl Host {
-    /// A process without fronts.
+    /// Creates a host without fronts.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// How many lines have been taken.
+    /// The number of lines taken so far.
     pub fn lines_read(&self) -> u64 {
-        self.lines
+        self.lines_read
     }
 
-    /// Input has ended: fine between batches, an error within one.
+    /// Handles the end of the input, which is allowed between batches only.
     ///
     /// # Errors
     /// The input ended within a batch.
     pub fn end_of_input(&self) -> Result<(), WireError> {
         match self.now {
             None => Ok(()),
-            Some(_) => {
-                Err(self
-                    .error(Fault { field: "YOUR_TURN".into(), what: "input ended within a batch".into() }))
-            }
+            Some(_) => Err(self.wire_error(FieldError {
+                field: "YOUR_TURN".into(),
+                what: "input ended within a batch".into(),
+            })),
         }
     }
 
-    fn error(&self, fault: Fault) -> WireError {
-        WireError { line: self.lines, field: fault.field, what: fault.what }
+    fn wire_error(&self, error: FieldError) -> WireError {
+        WireError { line: self.lines_read, field: error.field, what: error.what }
     }
 
-    /// Takes one line; `true` when `reply` holds a complete reply.
+    /// Takes one line and appends to `reply`; returns whether the reply of the batch is complete.
     ///
     /// # Errors
-    /// The line and the field that are malformed.
-    pub fn line(&mut self, line: &str, reply: &mut String) -> Result<bool, WireError> {
-        self.lines += 1;
-        self.take(line, reply).map_err(|fault| self.error(fault))
+    /// The line is malformed.
+    pub fn handle_line(&mut self, line: &str, reply: &mut String) -> Result<bool, WireError> {
+        self.lines_read += 1;
+        self.handle_message(line, reply).map_err(|error| self.wire_error(error))
     }
 
-    fn take(&mut self, line: &str, reply: &mut String) -> Result<bool, Fault> {
+    fn handle_message(&mut self, line: &str, reply: &mut String) -> Result<bool, FieldError> {
         if line.is_empty() {
             return Ok(false);
         }
-        let text = if line.starts_with("LAUNCH\t") { "info" } else { "" };
-        let (name, fields) = Fields::parse(line, text)?;
+        let last_field = if line.starts_with("LAUNCH\t") { "info" } else { "" };
+        let (name, fields) = Fields::parse(line, last_field)?;
         if let Some((list, missing)) = self.unfinished_list {
             self.add_row(list, missing, name, &fields)?;
             return Ok(false);
@@ -245,7 +265,7 @@
             self.begin_batch(&fields)?;
             return Ok(false);
         }
-        let Some(now) = self.now else { return fault(&format!("{name:.40}"), "outside a batch") };
+        let Some(now) = self.now else { return invalid(&format!("{name:.40}"), "outside a batch") };
         match name {
             "YOUR_TURN" => {
                 reply.push_str("DONE\n");
@@ -253,30 +273,30 @@
                 return Ok(true);
             }
             "INVENTORY" => self.begin_list(&fields)?,
-            "ROW" => return fault("ROW", "row without a list"),
-            _ => self.take_front_message(now, name, &fields, reply)?,
+            "ROW" => return invalid("ROW", "row without a list"),
+            _ => self.handle_front_message(now, name, &fields, reply)?,
         }
         Ok(false)
     }
 
-    fn begin_batch(&mut self, fields: &Fields) -> Result<(), Fault> {
+    fn begin_batch(&mut self, fields: &Fields) -> Result<(), FieldError> {
         if self.now.is_some() {
-            return fault("TURN", "batch within a batch");
+            return invalid("TURN", "batch within a batch");
         }
-        self.now = Some(fields.uint("now_ns")?);
+        self.now = Some(fields.u64("now_ns")?);
         Ok(())
     }
 
-    fn begin_list(&mut self, fields: &Fields) -> Result<(), Fault> {
-        let (list, count) = (fields.uint("set_id")?, fields.uint("records")?);
+    fn begin_list(&mut self, fields: &Fields) -> Result<(), FieldError> {
+        let (list, count) = (fields.u64("set_id")?, fields.u64("records")?);
         self.lists.insert(list, Vec::new());
         self.unfinished_list = (count > 0).then_some((list, count));
         Ok(())
     }
 
-    fn add_row(&mut self, list: u64, missing: u64, name: &str, fields: &Fields) -> Result<(), Fault> {
+    fn add_row(&mut self, list: u64, missing: u64, name: &str, fields: &Fields) -> Result<(), FieldError> {
         if name != "ROW" {
-            return fault("records", format!("{missing} rows missing"));
+            return invalid("records", format!("{missing} rows missing"));
         }
         let endpoint = endpoint(fields)?;
         self.lists.entry(list).or_default().push(endpoint);
@@ -284,45 +304,45 @@
         Ok(())
     }
 
-    /// A message for one front: its start, its stop, or an event for its controller.
-    fn take_front_message(
+    /// Handles a message for one front: its start, its stop, or an event for its controller.
+    fn handle_front_message(
         &mut self,
         now: Nanos,
         name: &str,
         fields: &Fields,
         reply: &mut String,
-    ) -> Result<(), Fault> {
+    ) -> Result<(), FieldError> {
         if !FRONT_MESSAGES.contains(&name) {
-            return fault(&format!("{name:.40}"), "unknown message");
+            return invalid(&format!("{name:.40}"), "unknown message");
         }
-        let front = fields.uint("front")?;
+        let front = fields.u64("front")?;
         match name {
             "LAUNCH" => return self.start_front(front, fields),
             "DETACH" => _ = self.fronts.remove(&front),
             _ => {}
         }
-        // A late message for a front that was stopped is legal and has no effect.
+        // Messages that arrive late for a front that was stopped are legal and have no effect.
         let Some(hosted) = self.fronts.get_mut(&front) else { return Ok(()) };
         let Some(event) = event(name, fields, &hosted.site, &self.lists)? else { return Ok(()) };
         self.actions.clear();
         hosted.controller.handle(now, event, &mut self.actions);
         for action in &self.actions {
-            print(front, action, reply);
+            write_action(front, action, reply);
         }
         Ok(())
     }
 
-    fn start_front(&mut self, front: u64, fields: &Fields) -> Result<(), Fault> {
-        let seed = fields.uint("seed")?;
-        let info = fields.need("info")?;
-        let site = Site::read(info).map_err(|error| Fault { field: error.field, what: error.what })?;
+    fn start_front(&mut self, front: u64, fields: &Fields) -> Result<(), FieldError> {
+        let seed = fields.u64("seed")?;
+        let info = fields.required("info")?;
+        let site = Site::read(info).map_err(|error| FieldError { field: error.field, what: error.what })?;
         let controller = Controller::new(site.settings.clone(), seed);
-        self.fronts.insert(front, Hosted { controller, site });
+        self.fronts.insert(front, Front { controller, site });
         Ok(())
     }
 }
 
-/// Messages that name the front they are for.
+/// The messages that are addressed to one front.
 const FRONT_MESSAGES: [&str; 10] = [
     "LAUNCH",
     "ROSTER_CHANGE",
@@ -336,65 +356,68 @@
     "UNDER_WAY",
 ];
 
-/// The event that a front's message stands for; `None` for messages that are not used.
+/// Converts a message for a front to an event; `None` for messages that the controller does not use.
 fn event(
     name: &str,
     fields: &Fields,
     site: &Site,
     lists: &BTreeMap<u64, Vec<Endpoint>>,
-) -> Result<Option<Event>, Fault> {
+) -> Result<Option<Event>, FieldError> {
     Ok(Some(match name {
         "ROSTER_CHANGE" => Event::EndpointsUpdated(endpoint_update(fields, lists)?),
         "ASK" => Event::CallArrived(call(fields, site)?),
-        "CLIENT_GONE" => Event::ClientDisconnected(fields.uint("handle")?),
+        "CLIENT_GONE" => Event::ClientDisconnected(fields.u64("handle")?),
         "FIRED" => {
-            fields.uint("key_back")?;
+            fields.u64("key_back")?;
             Event::TimerFired
         }
-        "UNDER_WAY" => Event::CallEstablished { call: fields.uint("handle")?, attempt: fields.small("hop")? },
+        "UNDER_WAY" => Event::CallEstablished { call: fields.u64("handle")?, attempt: fields.u32("hop")? },
         "SETTLED" => Event::AttemptCompleted {
-            call: fields.uint("handle")?,
-            attempt: fields.small("hop")?,
-            server: fields.uint("server")?,
+            call: fields.u64("handle")?,
+            attempt: fields.u32("hop")?,
+            server: fields.u64("server")?,
             outcome: outcome(fields)?,
             is_final: fields.flag("closed")?,
             report: fields.report(site)?,
         },
         "ECHO" => {
-            fields.need("result")?;
+            fields.required("result")?;
             let report = fields.report(site)?;
-            Event::ServerLoadReported { server: fields.uint("server")?, report }
+            Event::ServerLoadReported { server: fields.u64("server")?, report }
         }
-        // Messages between fronts are not used.
+        // Messages between fronts.
         _ => return Ok(None),
     }))
 }
 
-fn endpoint_update(fields: &Fields, lists: &BTreeMap<u64, Vec<Endpoint>>) -> Result<EndpointUpdate, Fault> {
-    let kind = fields.uint("kind")?;
-    let list = || -> Result<Vec<Endpoint>, Fault> {
-        let id = fields.uint("set_id")?;
-        lists.get(&id).cloned().map_or_else(|| fault("set_id", "no such list"), Ok)
+fn endpoint_update(
+    fields: &Fields,
+    lists: &BTreeMap<u64, Vec<Endpoint>>,
+) -> Result<EndpointUpdate, FieldError> {
+    let kind = fields.u64("kind")?;
+    let list = || -> Result<Vec<Endpoint>, FieldError> {
+        let id = fields.u64("set_id")?;
+        lists.get(&id).cloned().map_or_else(|| invalid("set_id", "no such list"), Ok)
     };
     Ok(match kind {
         0 => EndpointUpdate::Changes(list()?),
         1 | 2 => EndpointUpdate::Full(list()?),
         3 => EndpointUpdate::Failed,
-        _ => return fault("kind", "not 0 to 3"),
+        _ => return invalid("kind", "not 0 to 3"),
     })
 }
 
-fn call(fields: &Fields, site: &Site) -> Result<Call, Fault> {
-    let class = fields.uint_or("category", 0)? as usize;
+fn call(fields: &Fields, site: &Site) -> Result<Call, FieldError> {
+    let class = fields.u64_or("category", 0)? as usize;
     if class >= site.class_names.len() {
-        return fault("category", "no such class");
+        return invalid("category", "no such class");
     }
     Ok(Call {
-        id: fields.uint("handle")?,
+        id: fields.u64("handle")?,
         class,
         first_choice: fields.number_or("terminates_at", -1.0)? as i64 as u32,
         budget_ns: fields.duration("budget_ns")?,
-        dialled: fields.get("item").map(|_| fields.uint("item")).transpose()?,
+        dialled: fields.get("item").map(|_| fields.u64("item")).transpose()?,
         circuits: fields.number_or("units", 1.0)?,
         retry_after_cut: fields.flag("again")?,
         in_transit: fields.flag("midflow")?,
--- a/crates/lilacpitch/tests/pinned_wire.rs
+++ b/crates/lilacpitch/tests/pinned_wire.rs
@@ -1,17 +1,18 @@
-//! Pins the adapter's wire: the replies to a recorded session, byte by byte. The session touches every event, outcome
-//! and action, with two fronts of unlike settings. What the program's own types are called must not show in it.
+//! Pins the adapter's line protocol: the replies to a recorded session must not change by a byte. The session
+//! covers every event, outcome and action, with two fronts of different settings. Renaming types must not
+//! change the protocol.
 
 use lilacpitch::wire::Host;
 
 const SESSION: &str = include_str!("data/session-input.txt");
 const REPLIES: &str = include_str!("data/session-replies.txt");
 
-/// What one process answers to the whole session.
+/// The replies of a new host to a whole session.
 fn replies(session: &str) -> String {
     let mut host = Host::new();
     let mut replies = String::new();
     for line in session.lines() {
-        host.line(line, &mut replies).unwrap();
+        host.handle_line(line, &mut replies).unwrap();
     }
     host.end_of_input().unwrap();
     replies
@@ -23,7 +24,7 @@
 }
 
 #[test]
-fn recorded_session_touches_every_event_outcome_and_action() {
+fn recorded_session_covers_every_event_outcome_and_action() {
     let events = [
         "LAUNCH",
         "INVENTORY",
--- a/crates/lilacpitch/tests/wire.rs
+++ b/crates/lilacpitch/tests/wire.rs
@@ -1,20 +1,24 @@
-//! The wire: framing, every event and outcome, malformed lines, and the adapter as a process.
+//! The adapter's line protocol: framing, every event and outcome, malformed lines, and the adapter as a
+//! process.
 
 use lilacpitch::wire::Host;
 use std::io::Write;
 use std::process::{Command, Stdio};
 
+/// Settings of a front with two classes, and one unknown key.
 const INFO: &str = r#"{"balancers":2,"classes":[{"aim_ns":1500000000,"worth":1.0},{"aim_ns":1500000000,"worth":3.0}],"family_info":{"release_ns":200000000,"retransmit_ns":300000000,"home_no":-1},"permissions":{"cancel":true,"max_attempts":4,"retry_after":true,"max_retry_after_ns":2000000000},"report":{"fields":["free","size"]},"rules":{"cold_from":0.4,"cold_ns":9000000000,"fall_ns":1000000000},"tick_ns":5000000,"novelty":[1]}"#;
 
+/// The replies of a new host to some lines, or the text of its error.
 fn replies_to(lines: &[String]) -> Result<String, String> {
     let (mut host, mut reply) = (Host::new(), String::new());
     for line in lines {
-        host.line(line, &mut reply).map_err(|e| e.to_string())?;
+        host.handle_line(line, &mut reply).map_err(|error| error.to_string())?;
     }
-    host.end_of_input().map_err(|e| e.to_string())?;
+    host.end_of_input().map_err(|error| error.to_string())?;
     Ok(reply)
 }
 
+/// The lines that start a front with servers 51 and 52.
 fn start(front: u64) -> Vec<String> {
     let text = format!(
         "LAUNCH\tfront={front}\tseed=5\tinfo={INFO}\nINVENTORY\tset_id=0\trecords=2\n\
@@ -25,13 +29,15 @@
     text.lines().map(str::to_string).collect()
 }
 
-fn batch(at: u64, inner: Vec<String>) -> Vec<String> {
-    let mut lines = vec![format!("TURN\tnow_ns={at}")];
-    lines.extend(inner);
-    lines.extend(["YOUR_TURN".to_string(), String::new()]);
-    lines
+/// Frames lines as one batch.
+fn batch(now_ns: u64, lines: Vec<String>) -> Vec<String> {
+    let mut batch = vec![format!("TURN\tnow_ns={now_ns}")];
+    batch.extend(lines);
+    batch.extend(["YOUR_TURN".to_string(), String::new()]);
+    batch
 }
 
+/// The line for a call that arrives, with first choice 51 and an unknown field.
 fn ask(front: u64, handle: u64) -> String {
     format!("ASK\tfront={front}\thandle={handle}\tterminates_at=0\tvia=-1\tbudget_ns=3000000000\tcategory=1\tunits=1\titem=7\tbrand_new=x")
 }
@@ -50,19 +56,20 @@
     assert!(reply.ends_with("DONE\n"));
 }
 
-/// The names of a reply's fields are the wire's own, whatever the module calls what it decides.
+/// The names of fields in a reply belong to the protocol and do not follow the names in the program.
 #[test]
-fn rejection_carries_retry_after_under_wire_name() {
+fn rejection_carries_retry_after_under_protocol_name() {
     let mut lines: Vec<_> =
         start(3).iter().map(|line| line.replace("availability=1", "availability=2")).collect();
     lines.push(ask(3, 900));
     let mut all = batch(50_000_000_000, lines);
-    // Nobody takes it: once it was held for a while, it is turned away.
+    // No server is in service; the call is rejected after some time in the queue.
     all.extend(batch(53_000_000_000, vec![ask(3, 901)]));
     let reply = replies_to(&all).unwrap();
-    let declined = reply.lines().find(|line| line.starts_with("DECLINE")).unwrap_or_default();
-    let wait = declined.strip_prefix("DECLINE\tfront=3\thandle=900\tcome_back_ns=");
-    assert!(wait.is_some_and(|ns| ns.parse::<u64>().is_ok_and(|ns| ns <= 2_000_000_000)), "{reply}");
+    let rejection = reply.lines().find(|line| line.starts_with("DECLINE")).unwrap_or_default();
+    let retry_after = rejection.strip_prefix("DECLINE\tfront=3\thandle=900\tcome_back_ns=");
+    let is_valid = |text: &str| text.parse::<u64>().is_ok_and(|ns| ns <= 2_000_000_000);
+    assert!(retry_after.is_some_and(is_valid), "{reply}");
 }
 
 #[test]
@@ -89,16 +96,16 @@
 
 #[test]
 fn fronts_share_nothing() {
-    let one = |front: u64| {
+    let start_and_ask = |front: u64| {
         let mut lines = start(front);
         lines.push(ask(front, 900));
         lines
     };
-    let together: Vec<String> = one(1).into_iter().chain(one(2)).collect();
+    let together: Vec<String> = start_and_ask(1).into_iter().chain(start_and_ask(2)).collect();
     let together = replies_to(&batch(50_000_000_000, together)).unwrap();
     let separate: String =
-        [1, 2].map(|f| replies_to(&batch(50_000_000_000, one(f))).unwrap().replace("DONE\n", "")).concat();
-    assert_eq!(together.replace("DONE\n", ""), separate);
+        [1, 2].map(|front| replies_to(&batch(50_000_000_000, start_and_ask(front))).unwrap()).concat();
+    assert_eq!(together.replace("DONE\n", ""), separate.replace("DONE\n", ""));
 }
 
 #[test]
@@ -132,12 +139,13 @@
     ];
     for (lines, expected) in cases {
         let message = replies_to(&lines).unwrap_err();
-        assert!(message.contains(expected), "{message} against {expected}");
+        assert!(message.contains(expected), "got {message:?}, expected {expected:?}");
         assert!(message.starts_with("line "), "{message}");
     }
 }
 
-fn adapter(input: &[u8]) -> (i32, String, String) {
+/// Runs the adapter on some input; returns its exit code, standard output and standard error.
+fn run_adapter(input: &[u8]) -> (i32, String, String) {
     let mut child = Command::new(env!("CARGO_BIN_EXE_lilacpitch-wirehost"))
         .stdin(Stdio::piped())
         .stdout(Stdio::piped())
@@ -152,10 +160,10 @@
 
 #[test]
 fn adapter_exits_cleanly_or_with_one_error_line() {
-    assert_eq!(adapter(b""), (0, String::new(), String::new()));
-    assert_eq!(adapter(b"TURN\tnow_ns=1\nYOUR_TURN\n").1, "DONE\n");
-    for bad in [&b"TURN\tnow_ns=x\n"[..], b"TURN\tnow_ns=1\n\xff\xfe\n"] {
-        let (code, _, message) = adapter(bad);
+    assert_eq!(run_adapter(b""), (0, String::new(), String::new()));
+    assert_eq!(run_adapter(b"TURN\tnow_ns=1\nYOUR_TURN\n").1, "DONE\n");
+    for malformed in [&b"TURN\tnow_ns=x\n"[..], b"TURN\tnow_ns=1\n\xff\xfe\n"] {
+        let (code, _, message) = run_adapter(malformed);
         assert_eq!(code, 2);
         assert_eq!(message.lines().count(), 1);
         assert!(message.contains(": line ") && message.contains("field "), "{message}");
