--- a/crates/lilacpitch/src/controller.rs
+++ b/crates/lilacpitch/src/controller.rs
@@ -28,7 +28,9 @@
 use crate::latency_deviation::LatencyDeviation;
 use crate::sliding_window;
 pub use state::Controller;
-use state::{scaled, CallPhase, CallState, Ejection, EquivalenceKey, InFlightAttempt, Server};
+use state::{
+    scaled, CallPhase, CallState, Ejection, EquivalenceKey, InFlightAttempt, NormalRate, PossibleRun, Server,
+};
 use std::collections::BTreeSet;
 
 /// Length of a counting period (Sabourin).
@@ -38,6 +40,8 @@
 const WINDOW_PERIODS: u64 = 30;
 /// Length of the counting window.
 const WINDOW_NS: Nanos = PERIOD_NS * WINDOW_PERIODS;
+/// Least time that the window is taken to cover, just after the front's start.
+const MIN_WINDOW_NS: Nanos = WINDOW_NS / 3;
 /// Set-ups that a count keeps even when they are older than the window, so that a single one changes the rate
 /// only slightly.
 const MIN_SAMPLES: usize = 4;
@@ -84,6 +88,8 @@
 const SLOW_START_GAIN: f64 = 0.75;
 /// In slow start the recent success rate may grow by this share of the multiple that overloads the server.
 const SLOW_START_GROWTH: f64 = 0.7;
+/// Most periods by which an average decays in one step.
+const MAX_DECAY_PERIODS: u64 = 1000;
 /// Share of the average behind the normal rate that is retained each period: a half-life of 14 s.
 const NORMAL_RATE_RETENTION: f64 = 0.995;
 /// Share of the time since the last response by which its delay decays.
@@ -107,6 +113,8 @@
 const CEILING_GROWTH_MAX_PER_S: f64 = 1.0;
 /// Number of periods without a symptom after which a ceiling is relaxed.
 const CLEAN_PERIODS: u64 = 10;
+/// Most periods over which a ceiling is relaxed in one step.
+const MAX_RELAX_PERIODS: u64 = WINDOW_PERIODS * 4;
 /// Largest factor by which a ceiling is relaxed in a period: relaxation is slower than the detection of
 /// overload.
 const RELAX_MAX_FACTOR: f64 = 1.015;
@@ -131,6 +139,10 @@
 const STALL_RETENTION: f64 = 0.998;
 /// Resend intervals without any response after which a server with set-ups in flight is unresponsive.
 const UNRESPONSIVE_INTERVALS: f64 = 2.0;
+/// Shortest back-off from a server without a free line, in resend intervals; a random part of one is added.
+const NO_CIRCUIT_MIN_INTERVALS: f64 = 0.5;
+/// Shortest interval between probes, as a share of the normal interval; a random part of that is added.
+const PROBE_MIN_FRACTION: f64 = 0.5;
 /// Number of unanswered probes after which an ejected server may have been restarted.
 const RESTART_PROBES: u32 = 3;
 /// Pause of a dialled number whose lines were all busy: clients usually redial after this time.
@@ -148,8 +160,14 @@
 const NEUTRAL_REPORT_WEIGHT: f64 = 2.0;
 /// Reported wait, in resend intervals, above which all fronts together may be its cause.
 const LONG_PEER_WAIT_INTERVALS: f64 = 0.125;
+/// Longest wait that is accepted from a peer report, in resend intervals.
+const MAX_PEER_WAIT_INTERVALS: f64 = 2.0 * STATE_2_WAIT_INTERVALS;
 /// Number of peer reports kept for each server, the newest ones: bounds the cost where there are many fronts.
 const MAX_PEER_REPORTS_PER_SERVER: usize = 32;
+/// Shortest time until the endpoint list is subscribed to again after a failure.
+const RESUBSCRIBE_MIN_NS: Nanos = PERIOD_NS * 5;
+/// Range of the random time that is added to [`RESUBSCRIBE_MIN_NS`].
+const RESUBSCRIBE_SPREAD_NS: Nanos = PERIOD_NS * 10;
 
 /// Counts set-ups of one kind at one server: those in the window, or the last [`MIN_SAMPLES`].
 type Count = sliding_window::SlidingWindowCount<WINDOW_PERIODS, MIN_SAMPLES, PERIOD_NS>;
@@ -157,9 +175,10 @@
 impl Controller {
     /// Creates a controller without servers or calls. `seed` seeds its random draws.
     pub fn new(settings: Settings, seed: u64) -> Self {
-        let top_priority = settings.classes.iter().map(|c| c.priority_weight).fold(f64::MIN, f64::max);
-        let shortest_objective_ns =
-            settings.classes.iter().map(|c| c.latency_objective_ns).min().unwrap_or(0);
+        let priorities = settings.classes.iter().map(|class| class.priority_weight);
+        let top_priority = priorities.fold(f64::MIN, f64::max);
+        let objectives = settings.classes.iter().map(|class| class.latency_objective_ns);
+        let shortest_objective_ns = objectives.min().unwrap_or(0);
         let resend_ns = if settings.resend_interval_ns > 0 {
             settings.resend_interval_ns
         } else {
@@ -196,8 +215,7 @@
         self.set_timer(actions);
     }
 
-    /// Advances the clock, subscribes to the endpoint list when due, and detects stalls of this front by a
-    /// late timer.
+    /// Advances the clock, and subscribes to the endpoint list at the first event and when that is due again.
     fn advance_clock(&mut self, now: Nanos, actions: &mut Vec<Action>) {
         self.now = self.now.max(now);
         if self.started_ns.is_none() {
@@ -207,14 +225,9 @@
                 actions.push(Action::Subscribe);
             }
         }
-        if let Some(due_ns) = self.timer_at_ns.filter(|at_ns| *at_ns <= self.now) {
+        if let Some(timer_ns) = self.timer_at_ns.filter(|at_ns| *at_ns <= self.now) {
             self.timer_at_ns = None;
-            self.longest_stall_ns = self.longest_stall_ns.max(self.now - due_ns);
-            // The front was stalled and received nothing: that time must not count against any server.
-            for server in self.servers.values_mut() {
-                server.last_response_ns = self.now.min(server.last_response_ns + (self.now - due_ns));
-                server.in_flight.iter_mut().for_each(|attempt| attempt.shift(self.now - due_ns));
-            }
+            self.record_stall(self.now - timer_ns);
         }
         if self.resubscribe_at_ns.is_some_and(|at_ns| at_ns <= self.now) {
             self.resubscribe_at_ns = None;
@@ -222,11 +235,24 @@
         }
     }
 
+    /// Records that a timer fired late. This front was stalled and received nothing in that time, so it must
+    /// not count against any server.
+    fn record_stall(&mut self, stall_ns: Nanos) {
+        self.longest_stall_ns = self.longest_stall_ns.max(stall_ns);
+        for server in self.servers.values_mut() {
+            server.last_response_ns = self.now.min(server.last_response_ns + stall_ns);
+            for attempt in &mut server.in_flight {
+                attempt.shift(stall_ns);
+            }
+        }
+    }
+
     /// Keeps one timer set: for the end of the period, or earlier when a call's release or queueing time
     /// ends.
     fn set_timer(&mut self, actions: &mut Vec<Action>) {
-        let due_ns = self.pending.next_deadline_ns().unwrap_or(Nanos::MAX);
-        let at_ns = due_ns.min((self.period + 1) * PERIOD_NS).max(self.now + 1);
+        let next_deadline_ns = self.pending.next_deadline_ns().unwrap_or(Nanos::MAX);
+        let period_end_ns = (self.period + 1) * PERIOD_NS;
+        let at_ns = next_deadline_ns.min(period_end_ns).max(self.now + 1);
         if self.timer_at_ns.is_none_or(|set_ns| at_ns < set_ns) {
             self.timer_at_ns = Some(at_ns);
             actions.push(Action::SetTimer(at_ns));
--- a/crates/lilacpitch/src/controller/calls.rs
+++ b/crates/lilacpitch/src/controller/calls.rs
@@ -2,33 +2,59 @@
 
 use super::*;
 
+/// The order in which pending calls are dispatched: highest priority first, then oldest.
+#[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+struct DispatchOrder {
+    /// The priority weight in thousandths, negated so that the highest comes first.
+    negative_priority_permille: i64,
+    arrived_ns: Nanos,
+    id: CallId,
+}
+
 impl Controller {
     /// Admits a call and tries to dispatch it. A call with a known id or an unknown class is ignored.
     pub(super) fn handle_call_arrived(&mut self, call: Call, actions: &mut Vec<Action>) {
         if self.calls.contains_key(&call.id) || call.class >= self.settings.classes.len() {
             return;
         }
-        // A client that redials a number without success so far keeps the time of its first try.
-        let first_try_ns = call.dialled.and_then(|number| self.unserved_numbers.remove(&number));
-        let client_deadline_ns = self.settings.classes[call.class].deadline_ns;
-        let mut record = CallState::new(call, self.now, self.now + self.usable_budget_ns(call.budget_ns));
-        record.first_try_ns =
-            first_try_ns.filter(|first_ns| self.now - first_ns < client_deadline_ns).unwrap_or(self.now);
+        let deadline_ns = self.now + self.usable_budget_ns(call.budget_ns);
+        let mut record = CallState::new(call, self.now, deadline_ns);
+        record.first_try_ns = self.take_first_try_ns(&call);
         self.calls.insert(call.id, record);
-        let is_first_choice =
-            |server: &&mut Server| server.endpoint.number == call.first_choice && server.is_in_service();
-        let first_choices = self.servers.values_mut().filter(is_first_choice);
+        self.count_offered(&call);
+        self.try_dispatch(call.id, actions);
+    }
+
+    /// The time of a client's first try. A client that redials a number without success so far keeps the time
+    /// of its earlier try, unless its deadline has passed since.
+    fn take_first_try_ns(&mut self, call: &Call) -> Nanos {
+        let deadline_ns = self.settings.classes[call.class].deadline_ns;
+        let earlier_try_ns = call.dialled.and_then(|number| self.unserved_numbers.remove(&number));
+        match earlier_try_ns {
+            Some(earlier_ns) if self.now - earlier_ns < deadline_ns => earlier_ns,
+            _ => self.now,
+        }
+    }
+
+    /// Counts a call as offered to its first choice; where several servers have that number, to the one with
+    /// the fewest calls offered.
+    fn count_offered(&mut self, call: &Call) {
+        let first_choices = self
+            .servers
+            .values_mut()
+            .filter(|server| server.endpoint.number == call.first_choice && server.is_in_service());
         if let Some(server) = first_choices.min_by_key(|server| server.offered.len()) {
             server.offered.add(self.period);
         }
-        self.try_dispatch(call.id, actions);
     }
 
     /// Drops a call. If it was not established, its client may redial, so the time of its first try is kept.
     pub(super) fn handle_client_disconnected(&mut self, id: CallId) {
-        let unserved = self.calls.get(&id).filter(|record| record.phase != CallPhase::Established);
-        if let Some(record) = unserved {
-            self.unserved_numbers.extend(record.call.dialled.map(|number| (number, record.first_try_ns)));
+        let Some(record) = self.calls.get(&id) else { return };
+        if record.phase != CallPhase::Established {
+            if let Some(number) = record.call.dialled {
+                self.unserved_numbers.insert(number, record.first_try_ns);
+            }
         }
         self.drop_call(id);
     }
@@ -41,7 +67,9 @@
         }
         record.phase = CallPhase::Established;
         let server = record.server;
-        record.call.dialled.and_then(|number| self.busy_numbers.remove(&number));
+        if let Some(number) = record.call.dialled {
+            self.busy_numbers.remove(&number);
+        }
         self.record_attempt_end(server, id, true, true);
     }
 
@@ -58,14 +86,18 @@
         if record.phase != CallPhase::InFlight || attempt + 1 != record.attempts {
             return;
         }
-        if !outcome.never_ran() && record.may_have_run.is_none() {
-            let endpoint = self.servers.get(&record.server).map(|s| s.endpoint);
-            record.may_have_run = endpoint.map(|e| (e.zone, e.number, record.arrived_ns));
-        }
         record.is_cancelling = false;
-        let faulted_server = self.servers.get_mut(&record.server).filter(|_| outcome == Outcome::Fault);
-        if let Some(server) = faulted_server {
-            record.fault_likelihood *= server.record_fault(attempt == 0, RATIO_SAMPLES);
+        if let Some(server) = self.servers.get_mut(&record.server) {
+            if !outcome.never_ran() && record.may_have_run.is_none() {
+                record.may_have_run = Some(PossibleRun {
+                    zone: server.endpoint.zone,
+                    number: server.endpoint.number,
+                    call_arrived_ns: record.arrived_ns,
+                });
+            }
+            if outcome == Outcome::Fault {
+                record.fault_likelihood *= server.record_fault(attempt == 0, RATIO_SAMPLES);
+            }
         }
         if outcome.needs_release() {
             record.phase = CallPhase::Releasing;
@@ -86,9 +118,8 @@
         if record.phase == CallPhase::Releasing && self.now >= record.not_before_ns {
             record.phase = CallPhase::Queued;
         }
-        let is_faulty =
-            |record: &CallState| record.attempts > 1 && record.fault_likelihood < FAULTY_CALL_LIKELIHOOD;
-        if self.is_number_paused(id) || self.calls.get(&id).is_some_and(is_faulty) {
+        let is_faulty = record.attempts > 1 && record.fault_likelihood < FAULTY_CALL_LIKELIHOOD;
+        if is_faulty || self.is_number_paused(id) {
             self.reject_or_fail(id, actions);
         } else if let Some(server) = self.select_server(id) {
             self.forward_setup(id, server, actions);
@@ -102,11 +133,13 @@
     /// Whether the time or the attempts of a waiting call are used up, or it must not be repeated. Such a
     /// call is answered at once.
     fn is_unservable(&self, record: &CallState) -> bool {
+        let is_waiting = matches!(record.phase, CallPhase::Queued | CallPhase::Releasing);
+        let next_attempt_ns = self.now.max(record.not_before_ns);
+        let is_out_of_time = next_attempt_ns >= self.queue_deadline_ns(record);
+        let is_out_of_attempts = record.attempts >= self.settings.max_attempts;
         let is_non_idempotent = self.class(record).idempotency == Idempotency::NonIdempotent;
-        matches!(record.phase, CallPhase::Queued | CallPhase::Releasing)
-            && (self.now.max(record.not_before_ns) >= self.queue_deadline_ns(record)
-                || record.attempts >= self.settings.max_attempts
-                || (is_non_idempotent && record.may_have_run.is_some()))
+        let must_not_repeat = is_non_idempotent && record.may_have_run.is_some();
+        is_waiting && (is_out_of_time || is_out_of_attempts || must_not_repeat)
     }
 
     /// Whether more than the latency objective has passed since the client's first try. Serving such calls
@@ -118,7 +151,8 @@
     /// The call's weight at present.
     pub(super) fn priority(&self, record: &CallState) -> f64 {
         let class = self.class(record);
-        class.priority_weight * if self.is_late(record) { class.late_weight } else { 1.0 }
+        let factor = if self.is_late(record) { class.late_weight } else { 1.0 };
+        class.priority_weight * factor
     }
 
     /// The time until which a call may be queued while no server is open to it.
@@ -131,45 +165,53 @@
 
     /// Sends an attempt of a call to a server.
     fn forward_setup(&mut self, id: CallId, server: ServerId, actions: &mut Vec<Action>) {
-        let (now, may_cancel, resend_ns) = (self.now, self.settings.may_cancel, self.resend_ns);
         let Some(record) = self.calls.get_mut(&id) else { return };
-        let remaining_ns = record.deadline_ns.saturating_sub(now);
         record.phase = CallPhase::InFlight;
         record.server = server;
         record.attempts += 1;
-        if let Some(until_ns) = record.call.dialled.and_then(|n| self.busy_numbers.get_mut(&n)) {
+        if let Some(until_ns) = record.call.dialled.and_then(|number| self.busy_numbers.get_mut(&number)) {
             // This set-up probes the number; further ones wait for its result.
-            *until_ns = now + BUSY_NUMBER_PAUSE_NS;
+            *until_ns = self.now + BUSY_NUMBER_PAUSE_NS;
         }
+        let remaining_ns = record.deadline_ns.saturating_sub(self.now);
         // Where attempts cannot be cancelled, only a time-out lets a call leave an unresponsive server.
-        let timeout_ns = if may_cancel {
+        let timeout_ns = if self.settings.may_cancel {
             remaining_ns
         } else {
-            remaining_ns.min(scaled(resend_ns, UNRESPONSIVE_INTERVALS))
+            remaining_ns.min(scaled(self.resend_ns, UNRESPONSIVE_INTERVALS))
         };
-        if let Some(server) = self.servers.get_mut(&server) {
-            server.sent.add(self.period);
-            (server.last_sent_ns, server.slow_start_credit) = (now, 0.0);
-            if server.in_flight.is_empty() {
-                server.last_response_ns = now;
-            }
-            server.start_attempt(id, now, server.network_delay_ns(self.period));
-            if let Some(ejection) = &mut server.ejection {
-                ejection.next_probe_ns =
-                    now + (ejection.probe_interval_ns << ejection.probes.min(MAX_PROBE_DOUBLINGS));
-                ejection.probes += 1;
-            }
-        }
+        self.record_sent_setup(id, server);
         self.update_pending(id);
         actions.push(Action::ForwardSetup { call: id, server, timeout_ns });
     }
 
+    /// Updates the state of a server to which a set-up is sent now.
+    fn record_sent_setup(&mut self, call: CallId, id: ServerId) {
+        let now = self.now;
+        let Some(server) = self.servers.get_mut(&id) else { return };
+        server.sent.add(self.period);
+        server.last_sent_ns = now;
+        server.slow_start_credit = 0.0;
+        if server.in_flight.is_empty() {
+            server.last_response_ns = now;
+        }
+        server.start_attempt(call, now, server.network_delay_ns(self.period));
+        if let Some(ejection) = &mut server.ejection {
+            let doublings = ejection.probes.min(MAX_PROBE_DOUBLINGS);
+            ejection.next_probe_ns = now + (ejection.probe_interval_ns << doublings);
+            ejection.probes += 1;
+        }
+    }
+
     /// Gives the final answer: rejected if the call's idempotency allows it, else failed.
     fn reject_or_fail(&mut self, id: CallId, actions: &mut Vec<Action>) {
         let Some(record) = self.remove_call(id) else { return };
-        // Many clients dial a busy number, so the next caller is probably a different client.
-        let number = record.call.dialled.filter(|number| !self.busy_numbers.contains_key(number));
-        self.unserved_numbers.extend(number.map(|number| (number, record.first_try_ns)));
+        if let Some(number) = record.call.dialled {
+            // Many clients dial a busy number, so the next caller is probably a different client.
+            if !self.busy_numbers.contains_key(&number) {
+                self.unserved_numbers.insert(number, record.first_try_ns);
+            }
+        }
         let may_reject = match self.class(&record).idempotency {
             Idempotency::Idempotent | Idempotency::IdempotencyKey(Scope::All) => true,
             Idempotency::IdempotencyKey(_) | Idempotency::NonIdempotent => record.may_have_run.is_none(),
@@ -179,8 +221,9 @@
             return;
         }
         // Randomised, so that rejected clients do not all retry at the same time.
-        let wait_ns = scaled(self.resend_ns, 1.0 + self.random_fraction());
-        let retry_after_ns = Some(wait_ns.min(self.settings.max_retry_after_ns)).filter(|wait| *wait > 0);
+        let drawn_ns = scaled(self.resend_ns, 1.0 + self.random_fraction());
+        let wait_ns = drawn_ns.min(self.settings.max_retry_after_ns);
+        let retry_after_ns = (wait_ns > 0).then_some(wait_ns);
         actions.push(Action::Reject { call: id, retry_after_ns });
     }
 
@@ -195,14 +238,19 @@
         debug_assert!(self.pending_matches_phases());
         // Calls whose waiting has ended, and the oldest call of each group of equivalent calls: if no server
         // is open to that one, none is open to the others of its group.
-        let mut ready: BTreeSet<_> =
-            self.pending.due(self.now).filter_map(|id| self.dispatch_order(id)).collect();
-        self.pending.groups().into_iter().for_each(|key| self.make_oldest_ready(key, &mut ready));
-        while let Some((_, _, id)) = ready.pop_first() {
+        let due = self.pending.due(self.now);
+        let mut ready: BTreeSet<DispatchOrder> = due.filter_map(|id| self.dispatch_order(id)).collect();
+        for key in self.pending.groups() {
+            self.make_oldest_ready(key, &mut ready);
+        }
+        while let Some(DispatchOrder { id, .. }) = ready.pop_first() {
             let entry = self.pending.entry(id);
             self.try_dispatch(id, actions);
-            let has_left_group = self.pending.entry(id) != entry;
-            if let Some((key, _)) = entry.and_then(|(_, group)| group).filter(|_| has_left_group) {
+            if self.pending.entry(id) == entry {
+                continue;
+            }
+            // The call has left its group, so that the next one may be dispatched.
+            if let Some((_, Some((key, _)))) = entry {
                 self.make_oldest_ready(key, &mut ready);
             }
         }
@@ -210,7 +258,7 @@
 
     /// Adds the oldest call of a group to the ready calls. Calls before it that became late are added as well
     /// and move to the group of their new key.
-    fn make_oldest_ready(&mut self, key: EquivalenceKey, ready: &mut BTreeSet<(i64, Nanos, CallId)>) {
+    fn make_oldest_ready(&mut self, key: EquivalenceKey, ready: &mut BTreeSet<DispatchOrder>) {
         while let Some(id) = self.pending.oldest(key) {
             ready.extend(self.dispatch_order(id));
             if self.calls.get(&id).is_none_or(|record| self.equivalence_key(record) == key) {
@@ -220,29 +268,34 @@
         }
     }
 
-    /// Sorting key of pending calls: highest priority first, then oldest.
-    fn dispatch_order(&self, id: CallId) -> Option<(i64, Nanos, CallId)> {
-        self.calls.get(&id).map(|record| (-(self.priority(record) * 1000.0) as i64, record.arrived_ns, id))
+    fn dispatch_order(&self, id: CallId) -> Option<DispatchOrder> {
+        let record = self.calls.get(&id)?;
+        let negative_priority_permille = -(self.priority(record) * 1000.0) as i64;
+        Some(DispatchOrder { negative_priority_permille, arrived_ns: record.arrived_ns, id })
     }
 
     /// A client's time budget less a margin for stalls of this front.
     fn usable_budget_ns(&self, budget_ns: Nanos) -> Nanos {
-        budget_ns
-            - scaled(self.longest_stall_ns, STALL_MARGIN).max(2 * self.settings.tick_ns).min(budget_ns / 2)
+        let stall_margin_ns = scaled(self.longest_stall_ns, STALL_MARGIN);
+        let tick_margin_ns = 2 * self.settings.tick_ns;
+        let margin_ns = stall_margin_ns.max(tick_margin_ns).min(budget_ns / 2);
+        budget_ns - margin_ns
     }
 
     /// Pauses a dialled number whose lines are all busy. Set-ups to it are wasted work, apart from single
     /// probes.
     fn pause_busy_number(&mut self, id: CallId) {
-        let number = self.calls.get(&id).and_then(|record| record.call.dialled);
-        self.busy_numbers.extend(number.map(|number| (number, self.now + BUSY_NUMBER_PAUSE_NS)));
+        if let Some(number) = self.calls.get(&id).and_then(|record| record.call.dialled) {
+            self.busy_numbers.insert(number, self.now + BUSY_NUMBER_PAUSE_NS);
+        }
     }
 
     /// Whether the number that a queued call dialled is paused.
     fn is_number_paused(&self, id: CallId) -> bool {
-        let Some(record) = self.calls.get(&id).filter(|record| record.phase == CallPhase::Queued) else {
+        let Some(record) = self.calls.get(&id) else { return false };
+        if record.phase != CallPhase::Queued {
             return false;
-        };
+        }
         let paused_until_ns = record.call.dialled.and_then(|number| self.busy_numbers.get(&number));
         paused_until_ns.is_some_and(|until_ns| self.now < *until_ns)
     }
--- a/crates/lilacpitch/src/controller/endpoint_list.rs
+++ b/crates/lilacpitch/src/controller/endpoint_list.rs
@@ -8,58 +8,82 @@
     pub(super) fn handle_endpoints_updated(&mut self, update: EndpointUpdate) {
         let endpoints = match update {
             EndpointUpdate::Failed => {
-                // If all fronts retried immediately, they would overload the discovery service.
-                let wait_ns = PERIOD_NS * 5 + scaled(PERIOD_NS * 10, self.random_fraction());
-                self.resubscribe_at_ns = Some(self.now + wait_ns).filter(|_| self.settings.must_subscribe);
+                self.schedule_resubscription();
                 return;
             }
             EndpointUpdate::Changes(endpoints) => endpoints,
             EndpointUpdate::Full(endpoints) => {
-                let is_listed = |server: &Server| {
-                    endpoints.iter().any(|endpoint| endpoint.server == server.endpoint.server)
-                };
-                let removed = self.servers.values_mut().filter(|server| !is_listed(server));
-                removed.for_each(|server| server.endpoint.availability = Availability::Removed);
+                self.mark_missing_as_removed(&endpoints);
                 endpoints
             }
         };
         for endpoint in endpoints {
-            let id = endpoint.server;
-            // If the server was not restarted, only its entry has changed.
-            let is_same_process = |server: &&mut Server| server.endpoint.up_since_ns == endpoint.up_since_ns;
-            if let Some(server) = self.servers.get_mut(&id).filter(is_same_process) {
+            self.update_endpoint(endpoint);
+        }
+        self.drop_replaced_servers();
+    }
+
+    /// Subscribes again after a random delay: if all fronts retried immediately, they would overload the
+    /// discovery service.
+    fn schedule_resubscription(&mut self) {
+        let wait_ns = RESUBSCRIBE_MIN_NS + scaled(RESUBSCRIBE_SPREAD_NS, self.random_fraction());
+        self.resubscribe_at_ns = self.settings.must_subscribe.then_some(self.now + wait_ns);
+    }
+
+    /// Marks the servers that are missing from a complete list as removed.
+    fn mark_missing_as_removed(&mut self, endpoints: &[Endpoint]) {
+        for (id, server) in &mut self.servers {
+            if !endpoints.iter().any(|endpoint| endpoint.server == *id) {
+                server.endpoint.availability = Availability::Removed;
+            }
+        }
+    }
+
+    /// Updates the entry of a server, or creates its state if it is new or was restarted.
+    fn update_endpoint(&mut self, endpoint: Endpoint) {
+        let id = endpoint.server;
+        if let Some(server) = self.servers.get_mut(&id) {
+            let was_restarted = server.endpoint.up_since_ns != endpoint.up_since_ns;
+            if !was_restarted {
                 server.endpoint = endpoint;
-                continue;
+                return;
             }
-            // The server is new or was restarted: only the normal rate of its number is still valid. Of
-            // several servers with that number, the one observed for the longest time counts.
-            let with_number = self.servers.values().filter(|s| s.endpoint.number == endpoint.number);
-            let normal_rates = with_number.map(|server| server.normal_rate);
-            let normal_rate = normal_rates.fold((0.0, 0.0), |a, b| if a.1 > b.1 { a } else { b });
-            let in_flight = self.servers.remove(&id).map_or(Vec::new(), |server| server.in_flight);
-            let delays = LatencyDeviation::with_initial_deviation(scaled(
-                self.resend_ns,
-                LATE_INTERVALS / LOST_DEVIATIONS,
-            ));
+        }
+        let normal_rate = self.inherited_normal_rate(endpoint.number);
+        let in_flight = self.servers.remove(&id).map_or(Vec::new(), |server| server.in_flight);
+        let initial_deviation_ns = scaled(self.resend_ns, LATE_INTERVALS / LOST_DEVIATIONS);
+        let server = Server {
+            normal_rate,
+            in_flight,
+            delays: LatencyDeviation::with_initial_deviation(initial_deviation_ns),
             // Randomised, since many fronts learn of the start of a server at the same time.
-            let slow_start_credit = self.random_fraction();
-            let server = Server {
-                normal_rate,
-                in_flight,
-                delays,
-                slow_start_credit,
-                ..Server::new(endpoint, self.now)
-            };
-            self.servers.insert(id, server);
+            slow_start_credit: self.random_fraction(),
+            ..Server::new(endpoint, self.now)
+        };
+        self.servers.insert(id, server);
+    }
+
+    /// The normal rate of the servers with a number; of several, that of the one observed for the longest
+    /// time.
+    fn inherited_normal_rate(&self, number: u32) -> NormalRate {
+        let mut inherited = NormalRate::default();
+        for server in self.servers.values().filter(|server| server.endpoint.number == number) {
+            // Of equal ones the last counts.
+            if server.normal_rate.seconds >= inherited.seconds {
+                inherited = server.normal_rate;
+            }
         }
-        // A removed server is dropped once a server in service has its number, and so has inherited its
-        // normal rate.
+        inherited
+    }
+
+    /// Drops the removed servers whose number a server in service has, which has inherited their normal rate.
+    fn drop_replaced_servers(&mut self) {
         let in_service = self.servers.values().filter(|server| server.is_in_service());
         let numbers_in_service: BTreeSet<u32> = in_service.map(|server| server.endpoint.number).collect();
-        let is_gone = |server: &Server| {
-            server.endpoint.availability == Availability::Removed && server.in_flight.is_empty()
-        };
-        self.servers
-            .retain(|_, server| !(is_gone(server) && numbers_in_service.contains(&server.endpoint.number)));
+        self.servers.retain(|_, server| {
+            let is_removed = server.endpoint.availability == Availability::Removed;
+            let is_replaced = numbers_in_service.contains(&server.endpoint.number);
+            !(is_removed && is_replaced && server.in_flight.is_empty())
+        });
     }
 }
--- a/crates/lilacpitch/src/controller/outlier_detection.rs
+++ b/crates/lilacpitch/src/controller/outlier_detection.rs
@@ -7,26 +7,32 @@
     /// flight would make server selection prefer it. `is_by_peers_only` marks an ejection that rests on peer
     /// reports alone.
     pub(super) fn eject(&mut self, id: ServerId, is_by_peers_only: bool) {
-        let drawn_fraction = 0.5 + self.random_fraction();
+        let drawn_fraction = PROBE_MIN_FRACTION + self.random_fraction();
+        let Some(server) = self.servers.get(&id) else { return };
+        let previous = server.ejection;
+        if previous.is_some_and(|ejection| !ejection.is_by_peers_only || ejection.probes > 0) {
+            return;
+        }
         // An ejection by peers alone is renewed by each report and keeps its draw; the shortest of many draws
         // would take effect otherwise.
-        let may_eject = |server: &&Server| {
-            server.ejection.is_none_or(|ejection| ejection.is_by_peers_only && ejection.probes == 0)
+        let interval_fraction = previous.map_or(drawn_fraction, |ejection| ejection.interval_fraction);
+        let drawn_interval_ns = scaled(self.normal_interval_ns(server), interval_fraction);
+        let probe_interval_ns = self.resend_ns.max(drawn_interval_ns);
+        let earlier_probe_ns = previous.map_or(Nanos::MAX, |ejection| ejection.next_probe_ns);
+        let ejection = Ejection {
+            next_probe_ns: earlier_probe_ns.min(self.now + probe_interval_ns),
+            probe_interval_ns,
+            probes: 0,
+            is_by_peers_only,
+            interval_fraction,
         };
-        let Some(server) = self.servers.get(&id).filter(may_eject) else { return };
-        let interval_fraction = server.ejection.map_or(drawn_fraction, |ejection| ejection.interval_fraction);
-        let probe_interval_ns =
-            self.resend_ns.max(scaled(self.normal_interval_ns(server), interval_fraction));
-        let next_probe_ns = server.ejection.map_or(Nanos::MAX, |ejection| ejection.next_probe_ns);
-        let next_probe_ns = next_probe_ns.min(self.now + probe_interval_ns);
-        let ejection =
-            Ejection { next_probe_ns, probe_interval_ns, probes: 0, is_by_peers_only, interval_fraction };
         self.update_server(id, |server| server.ejection = Some(ejection));
     }
 
     /// The normal interval between this front's set-ups to a server.
     pub(super) fn normal_interval_ns(&self, server: &Server) -> Nanos {
-        ((1e9 / self.expected_rate_per_s(server)) as Nanos).min(WINDOW_NS * MAX_CLEAN_WINDOWS)
+        let interval_ns = (1e9 / self.expected_rate_per_s(server)) as Nanos;
+        interval_ns.min(WINDOW_NS * MAX_CLEAN_WINDOWS)
     }
 
     /// Whether the server's last response was quick.
@@ -37,45 +43,59 @@
     /// Lowers the ceilings of servers with late set-ups, ejects unresponsive servers and cancels lost
     /// attempts.
     pub(super) fn detect_unresponsive(&mut self, actions: &mut Vec<Action>) {
-        let (now, resend_ns) = (self.now, self.resend_ns);
-        let [late_ns, unresponsive_ns, lost_min_ns] =
-            [LATE_INTERVALS, UNRESPONSIVE_INTERVALS, LOST_MIN_INTERVALS]
-                .map(|intervals| scaled(resend_ns, intervals));
-        for id in self.servers.keys().copied().collect::<Vec<_>>() {
-            let lost_ns =
-                self.servers[&id].delays.upper_bound_ns(LOST_DEVIATIONS).max(lost_min_ns).min(late_ns);
-            self.cancel_lost_attempts(
-                id,
-                |attempt| attempt.is_overtaken && now.saturating_sub(attempt.waiting_since_ns) > lost_ns,
-                actions,
-            );
-            let server = &self.servers[&id];
-            let Some(oldest) = server.oldest_waiting_since_ns() else { continue };
-            let last_response_ns =
-                server.last_response_ns.max(self.peer_reports.last_success_ns(id)).max(oldest);
-            let is_unresponsive = now.saturating_sub(last_response_ns) > unresponsive_ns;
-            // After a quick response a single unanswered set-up may just be lost; whether the server is
-            // overloaded shows once a probe is unanswered too.
-            let may_be_overloaded = !self.responded_quickly(server)
-                || server.ejection.is_some_and(|ejection| ejection.probes > 0);
-            if now.saturating_sub(oldest) > late_ns {
-                self.update_server(id, |server| server.last_late_ns = now);
-                self.lower_ceiling(id, is_unresponsive && may_be_overloaded);
-            }
-            if is_unresponsive {
-                self.eject(id, false);
-                self.update_server(id, |server| {
-                    server.ejection.iter_mut().for_each(|ejection| ejection.is_by_peers_only = false);
-                });
-                self.cancel_lost_attempts(
-                    id,
-                    |attempt| now.saturating_sub(attempt.waiting_since_ns) > unresponsive_ns,
-                    actions,
-                );
-            }
+        let ids: Vec<ServerId> = self.servers.keys().copied().collect();
+        for id in ids {
+            self.cancel_overtaken_attempts(id, actions);
+            self.detect_unresponsive_server(id, actions);
         }
     }
 
+    /// Cancels the attempts at a server that were overtaken and waited for unusually long.
+    fn cancel_overtaken_attempts(&mut self, id: ServerId, actions: &mut Vec<Action>) {
+        let now = self.now;
+        let late_ns = scaled(self.resend_ns, LATE_INTERVALS);
+        let lost_min_ns = scaled(self.resend_ns, LOST_MIN_INTERVALS);
+        let usual_delay_ns = self.servers[&id].delays.upper_bound_ns(LOST_DEVIATIONS);
+        let lost_ns = usual_delay_ns.max(lost_min_ns).min(late_ns);
+        let is_lost = |attempt: &InFlightAttempt| {
+            attempt.is_overtaken && now.saturating_sub(attempt.waiting_since_ns) > lost_ns
+        };
+        self.cancel_lost_attempts(id, is_lost, actions);
+    }
+
+    /// Lowers the ceiling of a server if its oldest set-up in flight is late. If the server is unresponsive,
+    /// ejects it and cancels the attempts that waited as long.
+    fn detect_unresponsive_server(&mut self, id: ServerId, actions: &mut Vec<Action>) {
+        let now = self.now;
+        let late_ns = scaled(self.resend_ns, LATE_INTERVALS);
+        let unresponsive_ns = scaled(self.resend_ns, UNRESPONSIVE_INTERVALS);
+        let server = &self.servers[&id];
+        let Some(oldest_since_ns) = server.oldest_waiting_since_ns() else { return };
+        let peer_success_ns = self.peer_reports.last_success_ns(id);
+        let last_response_ns = server.last_response_ns.max(peer_success_ns).max(oldest_since_ns);
+        let is_unresponsive = now.saturating_sub(last_response_ns) > unresponsive_ns;
+        // After a quick response a single unanswered set-up may just be lost; whether the server is
+        // overloaded shows once a probe is unanswered too.
+        let has_probes = server.ejection.is_some_and(|ejection| ejection.probes > 0);
+        let may_be_overloaded = !self.responded_quickly(server) || has_probes;
+        if now.saturating_sub(oldest_since_ns) > late_ns {
+            self.update_server(id, |server| server.last_late_ns = now);
+            self.lower_ceiling(id, is_unresponsive && may_be_overloaded);
+        }
+        if !is_unresponsive {
+            return;
+        }
+        self.eject(id, false);
+        self.update_server(id, |server| {
+            if let Some(ejection) = &mut server.ejection {
+                ejection.is_by_peers_only = false;
+            }
+        });
+        let is_lost =
+            |attempt: &InFlightAttempt| now.saturating_sub(attempt.waiting_since_ns) > unresponsive_ns;
+        self.cancel_lost_attempts(id, is_lost, actions);
+    }
+
     /// Cancels the attempts at a server that `is_lost` selects, where another attempt may follow.
     fn cancel_lost_attempts(
         &mut self,
@@ -83,16 +103,17 @@
         is_lost: impl Fn(&InFlightAttempt) -> bool,
         actions: &mut Vec<Action>,
     ) {
-        let Some(server) = self.servers.get(&id).filter(|_| self.settings.may_cancel) else { return };
-        for attempt in &server.in_flight {
-            if !is_lost(attempt) {
-                continue;
-            }
+        if !self.settings.may_cancel {
+            return;
+        }
+        let Some(server) = self.servers.get(&id) else { return };
+        for attempt in server.in_flight.iter().filter(|attempt| is_lost(attempt)) {
             let Some(record) = self.calls.get_mut(&attempt.call) else { continue };
-            let may_cancel = !record.is_cancelling && record.phase == CallPhase::InFlight;
-            if may_cancel && record.attempts < self.settings.max_attempts {
+            let is_cancellable = !record.is_cancelling && record.phase == CallPhase::InFlight;
+            if is_cancellable && record.attempts < self.settings.max_attempts {
                 record.is_cancelling = true;
-                actions.push(Action::CancelAttempt { call: attempt.call, attempt: record.attempts - 1 });
+                let last_attempt = record.attempts - 1;
+                actions.push(Action::CancelAttempt { call: attempt.call, attempt: last_attempt });
             }
         }
     }
--- a/crates/lilacpitch/src/controller/state.rs
+++ b/crates/lilacpitch/src/controller/state.rs
@@ -1,6 +1,9 @@
 //! The controller's state: servers, calls and their bookkeeping. Nothing here makes a decision.
 
-use super::{Count, MAX_PEER_REPORTS_PER_SERVER, NEUTRAL_REPORT_WEIGHT};
+use super::{
+    Count, MAX_DECAY_PERIODS, MAX_PEER_REPORTS_PER_SERVER, NEUTRAL_REPORT_WEIGHT, NORMAL_RATE_RETENTION,
+    PERIOD_NS,
+};
 use crate::interface::*;
 use crate::latency_deviation::LatencyDeviation;
 use crate::peer_reports::PeerReports;
@@ -78,6 +81,30 @@
     pub(super) resubscribe_at_ns: Option<Nanos>,
 }
 
+/// A rate of successes as the ratio of two exponentially weighted averages.
+#[derive(Clone, Copy, Default)]
+pub(super) struct NormalRate {
+    /// Weighted number of successes.
+    pub(super) successes: f64,
+    /// Weighted time in which they occurred; 0 if the rate is unknown.
+    pub(super) seconds: f64,
+}
+
+impl NormalRate {
+    /// Advances the averages by a number of periods without successes.
+    pub(super) fn advance(&mut self, periods: u64) {
+        let retained = NORMAL_RATE_RETENTION.powi(periods.min(MAX_DECAY_PERIODS) as i32);
+        let duration_s = periods as f64 * PERIOD_NS as f64 / 1e9;
+        self.successes *= retained;
+        self.seconds = self.seconds * retained + duration_s;
+    }
+
+    /// The rate, in successes a second.
+    pub(super) fn per_s(&self) -> f64 {
+        self.successes / self.seconds.max(1.0)
+    }
+}
+
 /// The state of one server, as far as this front knows it.
 #[derive(Default)]
 pub(super) struct Server {
@@ -88,8 +115,8 @@
     pub(super) sent: Count,
     /// Set-ups that succeeded there.
     pub(super) succeeded: Count,
-    /// This front's normal rate there: successes and the seconds they took, both exponentially weighted.
-    pub(super) normal_rate: (f64, f64),
+    /// This front's normal rate there.
+    pub(super) normal_rate: NormalRate,
     /// The ceiling set by symptoms of overload, in set-ups a second; `None` if there is none.
     pub(super) ceiling_per_s: Option<f64>,
     /// The ceiling before the last symptom.
@@ -175,8 +202,20 @@
     pub(super) is_cancelling: bool,
     /// The likelihood that a valid call would have met the same faults.
     pub(super) fault_likelihood: f64,
-    /// The first attempt that may have taken effect: its server's zone and number, and when the call arrived.
-    pub(super) may_have_run: Option<(u32, u32, Nanos)>,
+    /// The first attempt that may have taken effect.
+    pub(super) may_have_run: Option<PossibleRun>,
+}
+
+/// An attempt that may have taken effect.
+#[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+pub(super) struct PossibleRun {
+    /// The zone of its server.
+    pub(super) zone: u32,
+    /// The number of its server.
+    pub(super) number: u32,
+    /// When the call arrived, which is no later than the attempt: the retention time of its key counts from
+    /// here.
+    pub(super) call_arrived_ns: Nanos,
 }
 
 impl CallState {
@@ -198,10 +237,20 @@
     }
 }
 
-/// The properties of a call that server selection depends on: class, first choice, bits of the circuits,
-/// flags, the attempt that may have taken effect, and the server of the last attempt. Calls with equal keys
-/// are equivalent.
-pub(super) type EquivalenceKey = (usize, u32, u64, [bool; 3], Option<(u32, u32, Nanos)>, Option<ServerId>);
+/// The properties of a call that server selection depends on. Calls with equal keys are equivalent.
+#[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+pub(super) struct EquivalenceKey {
+    class: usize,
+    first_choice: u32,
+    /// The bits of the number of circuits, which is not `Ord` itself.
+    circuits_bits: u64,
+    retry_after_cut: bool,
+    in_transit: bool,
+    is_late: bool,
+    may_have_run: Option<PossibleRun>,
+    /// The server of the last attempt, which failed.
+    failed_server: Option<ServerId>,
+}
 
 impl Server {
     /// Creates the state of a server of which only its endpoint is known.
@@ -226,15 +275,12 @@
     /// is averaged over `samples` set-ups.
     pub(super) fn record_fault(&mut self, is_first_attempt: bool, samples: f64) -> f64 {
         let fault_ratio = 1.0 - self.success_ratio;
-        self.success_ratio -= if is_first_attempt { self.success_ratio / samples } else { 0.0 };
+        if is_first_attempt {
+            self.success_ratio -= self.success_ratio / samples;
+        }
         fault_ratio
     }
 
-    /// The normal rate of successes a second.
-    pub(super) fn normal_success_per_s(&self) -> f64 {
-        self.normal_rate.0 / self.normal_rate.1.max(1.0)
-    }
-
     /// The network delay; 0 where few set-ups succeeded, since the shortest of few delays may include
     /// waiting.
     pub(super) fn network_delay_ns(&self, period: u64) -> Nanos {
@@ -301,7 +347,10 @@
     /// Records a server's load report.
     pub(super) fn record_load_report(&mut self, id: ServerId, report: LoadReport) {
         let now = self.now;
-        self.update_server(id, |s| (s.free_capacity, s.free_capacity_as_of_ns) = (report.free_capacity, now));
+        self.update_server(id, |server| {
+            server.free_capacity = report.free_capacity;
+            server.free_capacity_as_of_ns = now;
+        });
     }
 
     /// Updates a call's entry in the pending queue after its phase changed.
@@ -309,10 +358,10 @@
         let Some(record) = self.calls.get(&id) else { return };
         let entry = match record.phase {
             CallPhase::Releasing => Some((record.not_before_ns, None)),
-            CallPhase::Queued => Some((
-                self.queue_deadline_ns(record),
-                Some((self.equivalence_key(record), record.arrived_ns)),
-            )),
+            CallPhase::Queued => {
+                let group = (self.equivalence_key(record), record.arrived_ns);
+                Some((self.queue_deadline_ns(record), Some(group)))
+            }
             CallPhase::InFlight | CallPhase::Established => None,
         };
         self.pending.set(id, entry);
@@ -342,10 +391,17 @@
 
     /// The key that is equal for calls that server selection treats alike.
     pub(super) fn equivalence_key(&self, record: &CallState) -> EquivalenceKey {
-        let (call, may_have_run, failed) =
-            (record.call, record.may_have_run, (record.attempts > 0).then_some(record.server));
-        let flags = [call.retry_after_cut, call.in_transit, self.is_late(record)];
-        (call.class, call.first_choice, call.circuits.to_bits(), flags, may_have_run, failed)
+        let call = &record.call;
+        EquivalenceKey {
+            class: call.class,
+            first_choice: call.first_choice,
+            circuits_bits: call.circuits.to_bits(),
+            retry_after_cut: call.retry_after_cut,
+            in_transit: call.in_transit,
+            is_late: self.is_late(record),
+            may_have_run: record.may_have_run,
+            failed_server: (record.attempts > 0).then_some(record.server),
+        }
     }
 
     /// The number of entries of each collection, by name, for tests that none grows without bound.
