--- a/crates/lilacpitch/src/controller/calls.rs
+++ b/crates/lilacpitch/src/controller/calls.rs
@@ -250,8 +250,8 @@
                 continue;
             }
             // The call has left its group, so that the next one may be dispatched.
-            if let Some((_, Some((key, _)))) = entry {
-                self.make_oldest_ready(key, &mut ready);
+            if let Some(membership) = entry.and_then(|entry| entry.group) {
+                self.make_oldest_ready(membership.key, &mut ready);
             }
         }
     }
--- a/crates/lilacpitch/src/controller/gossip.rs
+++ b/crates/lilacpitch/src/controller/gossip.rs
@@ -68,7 +68,7 @@
         }
         if is_warming_up {
             let reports = self.peer_reports.for_server(id);
-            let shortest_age_ns = reports.filter_map(|(_, report)| report.warming_up_for_ns).min();
+            let shortest_age_ns = reports.filter_map(|dated| dated.report.warming_up_for_ns).min();
             let since_ns = shortest_age_ns.map(|age_ns| self.now.saturating_sub(age_ns));
             self.update_server(id, |server| {
                 server.warming_up_since_ns = server.warming_up_since_ns.max(since_ns);
--- a/crates/lilacpitch/src/controller/state.rs
+++ b/crates/lilacpitch/src/controller/state.rs
@@ -7,7 +7,7 @@
 use crate::interface::*;
 use crate::latency_deviation::LatencyDeviation;
 use crate::peer_reports::PeerReports;
-use crate::pending_queue::PendingQueue;
+use crate::pending_queue::{Membership, PendingEntry, PendingQueue};
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg32;
 use std::collections::BTreeMap;
@@ -357,10 +357,10 @@
     pub(super) fn update_pending(&mut self, id: CallId) {
         let Some(record) = self.calls.get(&id) else { return };
         let entry = match record.phase {
-            CallPhase::Releasing => Some((record.not_before_ns, None)),
+            CallPhase::Releasing => Some(PendingEntry { deadline_ns: record.not_before_ns, group: None }),
             CallPhase::Queued => {
-                let group = (self.equivalence_key(record), record.arrived_ns);
-                Some((self.queue_deadline_ns(record), Some(group)))
+                let group = Membership { key: self.equivalence_key(record), since_ns: record.arrived_ns };
+                Some(PendingEntry { deadline_ns: self.queue_deadline_ns(record), group: Some(group) })
             }
             CallPhase::InFlight | CallPhase::Established => None,
         };
--- a/crates/lilacpitch/src/peer_reports.rs
+++ b/crates/lilacpitch/src/peer_reports.rs
@@ -1,15 +1,31 @@
 //! The reports that other fronts sent about servers, and statistics over them.
 
 use crate::interface::{Nanos, ServerId, ServerReport};
+use std::cmp::Reverse;
 use std::collections::BTreeMap;
 
-/// Reports by server and peer, each with the time of its observations. Only the newest `MAX` reports of each
-/// server are kept.
+/// A report with the time of its observations.
+#[derive(Debug, Clone, Copy, PartialEq)]
+pub struct DatedReport {
+    /// When the peer made its observations, by this front's clock.
+    pub as_of_ns: Nanos,
+    /// The report.
+    pub report: ServerReport,
+}
+
+/// A peer's latest report of further successes at a server.
+#[derive(Debug, Clone, Copy, Default)]
+struct PeerSuccess {
+    peer: u64,
+    as_of_ns: Nanos,
+}
+
+/// Reports by server and peer. Only the newest `MAX` reports of each server are kept.
 #[derive(Debug, Default)]
 pub struct PeerReports<const MAX: usize> {
-    reports: BTreeMap<(ServerId, u64), (Nanos, ServerReport)>,
-    /// For each server the last two peers that reported further successes, with the time, the latest first.
-    successes: BTreeMap<ServerId, [(u64, Nanos); 2]>,
+    reports: BTreeMap<(ServerId, u64), DatedReport>,
+    /// For each server the last two peers that reported further successes, the latest first.
+    successes: BTreeMap<ServerId, [PeerSuccess; 2]>,
 }
 
 impl<const MAX: usize> PeerReports<MAX> {
@@ -17,42 +33,42 @@
     pub fn add(&mut self, peer: u64, as_of_ns: Nanos, report: ServerReport) {
         let id = report.server;
         let succeeded = report.succeeded;
-        let previous = self.reports.insert((id, peer), (as_of_ns, report));
-        if previous.is_some_and(|(_, previous)| previous.succeeded < succeeded) {
+        let previous = self.reports.insert((id, peer), DatedReport { as_of_ns, report });
+        if previous.is_some_and(|previous| previous.report.succeeded < succeeded) {
             self.record_success(id, peer, as_of_ns);
         }
         let reports_of_server = self.reports.range((id, 0)..=(id, u64::MAX));
         if reports_of_server.clone().count() > MAX {
-            let oldest = reports_of_server.min_by_key(|(_, (as_of_ns, _))| *as_of_ns).map(|(key, _)| *key);
+            let oldest = reports_of_server.min_by_key(|(_, dated)| dated.as_of_ns).map(|(key, _)| *key);
             oldest.map(|key| self.reports.remove(&key));
         }
     }
 
     fn record_success(&mut self, id: ServerId, peer: u64, as_of_ns: Nanos) {
         let latest = self.successes.entry(id).or_default();
-        match latest.iter().position(|(reporter, _)| *reporter == peer) {
-            Some(index) => latest[index].1 = latest[index].1.max(as_of_ns),
-            None if as_of_ns > latest[1].1 => latest[1] = (peer, as_of_ns),
+        match latest.iter().position(|success| success.peer == peer) {
+            Some(index) => latest[index].as_of_ns = latest[index].as_of_ns.max(as_of_ns),
+            None if as_of_ns > latest[1].as_of_ns => latest[1] = PeerSuccess { peer, as_of_ns },
             None => {}
         }
-        latest.sort_by_key(|(_, as_of_ns)| std::cmp::Reverse(*as_of_ns));
+        latest.sort_by_key(|success| Reverse(success.as_of_ns));
     }
 
     /// The latest time by which two peers have reported further successes at a server: the earlier of their
     /// last two times, so that no single peer determines it. 0 if unknown.
     pub fn last_success_ns(&self, id: ServerId) -> Nanos {
-        self.successes.get(&id).map_or(0, |latest| latest[1].1)
+        self.successes.get(&id).map_or(0, |latest| latest[1].as_of_ns)
     }
 
     /// Removes the reports whose observations were made at `end_ns` or before.
     pub fn remove_up_to(&mut self, end_ns: Nanos) {
-        self.reports.retain(|_, (as_of_ns, _)| *as_of_ns > end_ns);
-        self.successes.retain(|_, latest| latest[0].1 > end_ns);
+        self.reports.retain(|_, dated| dated.as_of_ns > end_ns);
+        self.successes.retain(|_, latest| latest[0].as_of_ns > end_ns);
     }
 
-    /// The reports about a server, with the times of their observations.
-    pub fn for_server(&self, id: ServerId) -> impl Iterator<Item = &(Nanos, ServerReport)> {
-        self.reports.range((id, 0)..=(id, u64::MAX)).map(|(_, entry)| entry)
+    /// The reports about a server.
+    pub fn for_server(&self, id: ServerId) -> impl Iterator<Item = &DatedReport> {
+        self.reports.range((id, 0)..=(id, u64::MAX)).map(|(_, dated)| dated)
     }
 
     /// The sum of `count_of` over the reports about a server that are newer than `since_ns`. Each report
@@ -65,11 +81,13 @@
         max_each: usize,
         count_of: fn(&ServerReport) -> u32,
     ) -> usize {
-        let recent = self.for_server(id).filter(|(as_of_ns, _)| *as_of_ns > since_ns);
-        let counts = recent.map(|(_, report)| (count_of(report) as usize).min(max_each));
-        let (sum, largest, second) = counts.fold((0, 0, 0), |(sum, largest, second), count| {
-            (sum + count, largest.max(count), second.max(largest.min(count)))
-        });
+        let (mut sum, mut largest, mut second) = (0, 0, 0);
+        for dated in self.for_server(id).filter(|dated| dated.as_of_ns > since_ns) {
+            let count = (count_of(&dated.report) as usize).min(max_each);
+            sum += count;
+            second = second.max(largest.min(count));
+            largest = largest.max(count);
+        }
         sum - largest + second
     }
 
@@ -84,11 +102,11 @@
         neutral_weight: f64,
         value: &dyn Fn(&ServerReport) -> f64,
     ) -> Option<f64> {
-        let weight = |as_of_ns: &Nanos| {
-            let age_ns = now.saturating_sub(*as_of_ns);
+        let weight = |dated: &DatedReport| {
+            let age_ns = now.saturating_sub(dated.as_of_ns);
             0.5f64.powf(age_ns as f64 / half_life_ns as f64)
         };
-        let reported = self.for_server(id).map(|(as_of_ns, report)| (value(report), weight(as_of_ns)));
+        let reported = self.for_server(id).map(|dated| (value(&dated.report), weight(dated)));
         let mut weighted: Vec<(f64, f64)> = reported.chain([(0.0, neutral_weight)]).collect();
         weighted.sort_by(|a, b| a.0.total_cmp(&b.0));
         let total_weight = weighted.iter().map(|(_, weight)| weight).sum::<f64>();
@@ -103,9 +121,7 @@
     /// The time since which the reports about a server are complete: that of the oldest, if as many reports
     /// are kept as are allowed; `None` if all reports are kept.
     pub fn complete_since(&self, id: ServerId) -> Option<Nanos> {
-        let times = self.for_server(id).map(|(as_of_ns, _)| *as_of_ns);
-        let (count, oldest_ns) =
-            times.fold((0, Nanos::MAX), |(count, oldest_ns), at_ns| (count + 1, oldest_ns.min(at_ns)));
-        (count >= MAX).then_some(oldest_ns)
+        let oldest_ns = self.for_server(id).map(|dated| dated.as_of_ns).min().unwrap_or(Nanos::MAX);
+        (self.for_server(id).count() >= MAX).then_some(oldest_ns)
     }
 }
--- a/crates/lilacpitch/src/pending_queue.rs
+++ b/crates/lilacpitch/src/pending_queue.rs
@@ -4,9 +4,23 @@
 use crate::interface::{CallId, Nanos};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A pending call: the deadline of its wait, and, if it is in a group, the key of the group and the time by
-/// which the group is ordered.
-pub type PendingEntry<K> = (Nanos, Option<(K, Nanos)>);
+/// The entry of a pending call.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub struct PendingEntry<K> {
+    /// When its wait ends.
+    pub deadline_ns: Nanos,
+    /// The group that it is in, if any.
+    pub group: Option<Membership<K>>,
+}
+
+/// The membership of a call in a group.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub struct Membership<K> {
+    /// The key of the group.
+    pub key: K,
+    /// The time by which the calls of the group are ordered.
+    pub since_ns: Nanos,
+}
 
 /// Pending calls, ordered by deadline and, within each group, by age. `K` is the key of a group.
 #[derive(Debug, Clone)]
@@ -32,23 +46,27 @@
         if let Some(previous) = previous {
             self.remove(id, previous);
         }
-        if let Some((deadline_ns, group)) = entry {
-            self.entries.insert(id, (deadline_ns, group));
-            self.deadlines.insert((deadline_ns, id));
-            if let Some((key, since_ns)) = group {
-                self.groups.entry(key).or_default().insert((since_ns, id));
-            }
+        if let Some(entry) = entry {
+            self.insert(id, entry);
+        }
+    }
+
+    fn insert(&mut self, id: CallId, entry: PendingEntry<K>) {
+        self.entries.insert(id, entry);
+        self.deadlines.insert((entry.deadline_ns, id));
+        if let Some(membership) = entry.group {
+            self.groups.entry(membership.key).or_default().insert((membership.since_ns, id));
         }
     }
 
-    fn remove(&mut self, id: CallId, (deadline_ns, group): PendingEntry<K>) {
+    fn remove(&mut self, id: CallId, entry: PendingEntry<K>) {
         self.entries.remove(&id);
-        self.deadlines.remove(&(deadline_ns, id));
-        let Some((key, since_ns)) = group else { return };
-        let Some(members) = self.groups.get_mut(&key) else { return };
-        members.remove(&(since_ns, id));
+        self.deadlines.remove(&(entry.deadline_ns, id));
+        let Some(membership) = entry.group else { return };
+        let Some(members) = self.groups.get_mut(&membership.key) else { return };
+        members.remove(&(membership.since_ns, id));
         if members.is_empty() {
-            self.groups.remove(&key);
+            self.groups.remove(&membership.key);
         }
     }
 
