--- a/crates/lilacpitch/src/controller/overload.rs
+++ b/crates/lilacpitch/src/controller/overload.rs
@@ -10,7 +10,9 @@
         let is_response = matches!(outcome, Outcome::Completed | Outcome::Fault | Outcome::LinesBusy);
         self.record_attempt_end(server, id, is_response, outcome == Outcome::Completed);
         if is_symptom(outcome) {
-            self.update_server(server, |s| s.symptom_ratio += (1.0 - s.symptom_ratio) / RATIO_SAMPLES);
+            self.update_server(server, |server| {
+                server.symptom_ratio += (1.0 - server.symptom_ratio) / RATIO_SAMPLES
+            });
         }
         match outcome {
             Outcome::Overloaded(retry_after_ns) => self.record_processor_full(server, retry_after_ns),
--- a/crates/lilacpitch/src/wire.rs
+++ b/crates/lilacpitch/src/wire.rs
@@ -115,10 +115,11 @@
         }
     }
 
-    fn report(&self, site: &Site) -> Result<LoadReport, FieldError> {
+    fn report(&self, settings: &Site) -> Result<LoadReport, FieldError> {
         let text = self.get("pressure").filter(|text| !text.is_empty() && *text != "-");
         let parts: Vec<&str> = text.map_or(Vec::new(), |text| text.split(',').collect());
-        site.report(|index, _| parts.get(index).copied())
+        settings
+            .report(|index, _| parts.get(index).copied())
             .or_else(|error| invalid("pressure", error.to_string()))
     }
 }
@@ -134,7 +135,7 @@
 /// Nanoseconds in a millisecond.
 const NS_PER_MS: u64 = 1_000_000;
 
-fn outcome(fields: &Fields) -> Result<Outcome, FieldError> {
+fn parse_outcome(fields: &Fields) -> Result<Outcome, FieldError> {
     let note = fields.u64_or("note", 0)?;
     Ok(match fields.required("result")? {
         "pass" => Outcome::Completed,
@@ -154,7 +155,7 @@
     })
 }
 
-fn endpoint(fields: &Fields) -> Result<Endpoint, FieldError> {
+fn parse_endpoint(fields: &Fields) -> Result<Endpoint, FieldError> {
     Ok(Endpoint {
         server: fields.u64("server")?,
         number: fields.u32("number")?,
@@ -194,7 +195,15 @@
 /// A front of the simulation.
 struct Front {
     controller: Controller,
-    site: Site,
+    settings: Site,
+}
+
+/// An endpoint list whose rows are being read.
+#[derive(Clone, Copy)]
+struct UnfinishedList {
+    id: u64,
+    /// Number of rows still to come, 1 or more.
+    missing_rows: u64,
 }
 
 /// Hosts the fronts of one process: takes input lines and returns a reply at the end of each batch. The
@@ -206,8 +215,8 @@
     fronts: BTreeMap<u64, Front>,
     /// Endpoint lists by their id.
     lists: BTreeMap<u64, Vec<Endpoint>>,
-    /// The id of the list whose rows are being read, and the number of rows that are missing.
-    unfinished_list: Option<(u64, u64)>,
+    /// The list whose rows are being read, if any.
+    unfinished_list: Option<UnfinishedList>,
     /// Buffer for the actions of one event.
     actions: Vec<Action>,
     lines_read: u64,
@@ -257,8 +266,8 @@
         }
         let last_field = if line.starts_with("LAUNCH\t") { "info" } else { "" };
         let (name, fields) = Fields::parse(line, last_field)?;
-        if let Some((list, missing)) = self.unfinished_list {
-            self.add_row(list, missing, name, &fields)?;
+        if let Some(list) = self.unfinished_list {
+            self.add_row(list, name, &fields)?;
             return Ok(false);
         }
         if name == "TURN" {
@@ -288,19 +297,21 @@
     }
 
     fn begin_list(&mut self, fields: &Fields) -> Result<(), FieldError> {
-        let (list, count) = (fields.u64("set_id")?, fields.u64("records")?);
-        self.lists.insert(list, Vec::new());
-        self.unfinished_list = (count > 0).then_some((list, count));
+        let id = fields.u64("set_id")?;
+        let missing_rows = fields.u64("records")?;
+        self.lists.insert(id, Vec::new());
+        self.unfinished_list = (missing_rows > 0).then_some(UnfinishedList { id, missing_rows });
         Ok(())
     }
 
-    fn add_row(&mut self, list: u64, missing: u64, name: &str, fields: &Fields) -> Result<(), FieldError> {
+    fn add_row(&mut self, list: UnfinishedList, name: &str, fields: &Fields) -> Result<(), FieldError> {
         if name != "ROW" {
-            return invalid("records", format!("{missing} rows missing"));
+            return invalid("records", format!("{} rows missing", list.missing_rows));
         }
-        let endpoint = endpoint(fields)?;
-        self.lists.entry(list).or_default().push(endpoint);
-        self.unfinished_list = (missing > 1).then_some((list, missing - 1));
+        let endpoint = parse_endpoint(fields)?;
+        self.lists.entry(list.id).or_default().push(endpoint);
+        let missing_rows = list.missing_rows - 1;
+        self.unfinished_list = (missing_rows > 0).then_some(UnfinishedList { missing_rows, ..list });
         Ok(())
     }
 
@@ -315,29 +326,31 @@
         if !FRONT_MESSAGES.contains(&name) {
             return invalid(&format!("{name:.40}"), "unknown message");
         }
-        let front = fields.u64("front")?;
+        let front_id = fields.u64("front")?;
         match name {
-            "LAUNCH" => return self.start_front(front, fields),
-            "DETACH" => _ = self.fronts.remove(&front),
+            "LAUNCH" => return self.start_front(front_id, fields),
+            "DETACH" => _ = self.fronts.remove(&front_id),
             _ => {}
         }
         // Messages that arrive late for a front that was stopped are legal and have no effect.
-        let Some(hosted) = self.fronts.get_mut(&front) else { return Ok(()) };
-        let Some(event) = event(name, fields, &hosted.site, &self.lists)? else { return Ok(()) };
+        let Some(front) = self.fronts.get_mut(&front_id) else { return Ok(()) };
+        let event = parse_event(name, fields, &front.settings, &self.lists)?;
+        let Some(event) = event else { return Ok(()) };
         self.actions.clear();
-        hosted.controller.handle(now, event, &mut self.actions);
+        front.controller.handle(now, event, &mut self.actions);
         for action in &self.actions {
-            write_action(front, action, reply);
+            write_action(front_id, action, reply);
         }
         Ok(())
     }
 
-    fn start_front(&mut self, front: u64, fields: &Fields) -> Result<(), FieldError> {
+    fn start_front(&mut self, front_id: u64, fields: &Fields) -> Result<(), FieldError> {
         let seed = fields.u64("seed")?;
         let info = fields.required("info")?;
-        let site = Site::read(info).map_err(|error| FieldError { field: error.field, what: error.what })?;
-        let controller = Controller::new(site.settings.clone(), seed);
-        self.fronts.insert(front, Front { controller, site });
+        let front_settings =
+            Site::read(info).map_err(|error| FieldError { field: error.field, what: error.what })?;
+        let controller = Controller::new(front_settings.settings.clone(), seed);
+        self.fronts.insert(front_id, Front { controller, settings: front_settings });
         Ok(())
     }
 }
@@ -357,15 +370,15 @@
 ];
 
 /// Converts a message for a front to an event; `None` for messages that the controller does not use.
-fn event(
+fn parse_event(
     name: &str,
     fields: &Fields,
-    site: &Site,
+    settings: &Site,
     lists: &BTreeMap<u64, Vec<Endpoint>>,
 ) -> Result<Option<Event>, FieldError> {
     Ok(Some(match name {
-        "ROSTER_CHANGE" => Event::EndpointsUpdated(endpoint_update(fields, lists)?),
-        "ASK" => Event::CallArrived(call(fields, site)?),
+        "ROSTER_CHANGE" => Event::EndpointsUpdated(parse_endpoint_update(fields, lists)?),
+        "ASK" => Event::CallArrived(parse_call(fields, settings)?),
         "CLIENT_GONE" => Event::ClientDisconnected(fields.u64("handle")?),
         "FIRED" => {
             fields.u64("key_back")?;
@@ -376,13 +389,13 @@
             call: fields.u64("handle")?,
             attempt: fields.u32("hop")?,
             server: fields.u64("server")?,
-            outcome: outcome(fields)?,
+            outcome: parse_outcome(fields)?,
             is_final: fields.flag("closed")?,
-            report: fields.report(site)?,
+            report: fields.report(settings)?,
         },
         "ECHO" => {
             fields.required("result")?;
-            let report = fields.report(site)?;
+            let report = fields.report(settings)?;
             Event::ServerLoadReported { server: fields.u64("server")?, report }
         }
         // Messages between fronts.
@@ -390,7 +403,7 @@
     }))
 }
 
-fn endpoint_update(
+fn parse_endpoint_update(
     fields: &Fields,
     lists: &BTreeMap<u64, Vec<Endpoint>>,
 ) -> Result<EndpointUpdate, FieldError> {
@@ -407,9 +420,9 @@
     })
 }
 
-fn call(fields: &Fields, site: &Site) -> Result<Call, FieldError> {
+fn parse_call(fields: &Fields, settings: &Site) -> Result<Call, FieldError> {
     let class = fields.u64_or("category", 0)? as usize;
-    if class >= site.class_names.len() {
+    if class >= settings.class_names.len() {
         return invalid("category", "no such class");
     }
     Ok(Call {
--- a/crates/lilacpitch/tests/calls.rs
+++ b/crates/lilacpitch/tests/calls.rs
@@ -35,7 +35,7 @@
         Action::ForwardSetup { timeout_ns, .. } => Some(*timeout_ns),
         _ => None,
     });
-    assert!(timeout.is_some_and(|t| t <= 1_500 * MS), "{timeout:?}");
+    assert!(timeout.is_some_and(|timeout_ns| timeout_ns <= 1_500 * MS), "{timeout:?}");
 }
 
 #[test]
@@ -162,9 +162,15 @@
     front.handle(Event::TimerFired);
     front.advance(4 * S);
     let (id, actions) = front.place_call(1);
-    assert!(timeout(&actions).is_some_and(|t| t <= 1_500 * MS), "the margin for the stall is kept 4 s later");
+    assert!(
+        timeout(&actions).is_some_and(|timeout_ns| timeout_ns <= 1_500 * MS),
+        "the margin for the stall is kept 4 s later"
+    );
     front.establish(id, 0);
     front.advance(180 * S);
     let (_, actions) = front.place_call(1);
-    assert!(timeout(&actions).is_some_and(|t| t > 2_800 * MS), "the margin is gone after three minutes");
+    assert!(
+        timeout(&actions).is_some_and(|timeout_ns| timeout_ns > 2_800 * MS),
+        "the margin is gone after three minutes"
+    );
 }
--- a/crates/lilacpitch/tests/peer_reports.rs
+++ b/crates/lilacpitch/tests/peer_reports.rs
@@ -29,11 +29,15 @@
         "the second report of peer 1 replaces its first"
     );
     assert_eq!(
-        reports.bounded_sum(5, 0, 4, |f| f.in_flight),
+        reports.bounded_sum(5, 0, 4, |report| report.in_flight),
         2 + 2 + 1,
         "7 is limited to 4, and as the largest to the second largest, 2"
     );
-    assert_eq!(reports.bounded_sum(5, 30, 4, |f| f.in_flight), 0, "a single report is newer than 30");
+    assert_eq!(
+        reports.bounded_sum(5, 30, 4, |report| report.in_flight),
+        0,
+        "a single report is newer than 30"
+    );
     reports.add(4, 50, report(5, 0));
     assert_eq!(
         (reports.for_server(5).count(), reports.complete_since(5)),
@@ -42,7 +46,7 @@
     );
     reports.add(5, 60, report(5, 3));
     assert_eq!(
-        reports.bounded_sum(5, 40, 4, |f| f.in_flight),
+        reports.bounded_sum(5, 40, 4, |report| report.in_flight),
         0,
         "a single report with set-ups in flight is newer than 40"
     );
