--- a/crates/lilacpitch/tests/fleet.rs
+++ b/crates/lilacpitch/tests/fleet.rs
@@ -104,39 +104,44 @@
                 Action::SetTimer(at) => {
                     self.fronts[front].timers.insert(at);
                 }
-                Action::ForwardSetup { call, server, .. } => {
-                    self.sends.push_back((self.now, front, server));
-                    let last_attempts = &mut self.fronts[front].last_attempts;
-                    let attempt = last_attempts.get(&call).map_or(0, |(attempt, _)| attempt + 1);
-                    last_attempts.insert(call, (attempt, server));
-                    let (behaviour, busy_until_ns) = self.servers.get_mut(&server).unwrap();
-                    let (at, outcome) = match behaviour {
-                        ServerBehaviour::Silent => continue,
-                        ServerBehaviour::Full => (self.now, Some(Outcome::Overloaded(Some(2 * S)))),
-                        ServerBehaviour::Serving(_) if *busy_until_ns > self.now + 3 * S => {
-                            (self.now, Some(Outcome::Overloaded(Some(*busy_until_ns - self.now))))
-                        }
-                        ServerBehaviour::Serving(per_s) => {
-                            *busy_until_ns = (*busy_until_ns).max(self.now) + (1e9 / *per_s) as Nanos;
-                            (*busy_until_ns, None)
-                        }
-                    };
-                    let answer = Answer { front, call, attempt, server, outcome };
-                    self.answers.insert((at + 30 * MS, self.serial), answer);
-                }
-                // The server processes a cancelled set-up all the same, but its answer is dropped.
-                Action::CancelAttempt { call, attempt } => {
-                    self.answers.retain(|_, answer| (answer.front, answer.call) != (front, call));
-                    let server = self.fronts[front].last_attempts[&call].1;
-                    let answer = Answer { front, call, attempt, server, outcome: Some(Outcome::Cancelled) };
-                    self.answers.insert((self.now + 20 * MS, self.serial), answer);
-                }
+                Action::ForwardSetup { call, server, .. } => self.send_setup(front, call, server),
+                Action::CancelAttempt { call, attempt } => self.cancel_attempt(front, call, attempt),
                 Action::Reject { retry_after_ns, .. } => self.retry_waits_ns.extend(retry_after_ns),
                 _ => {}
             }
         }
     }
 
+    /// Sends a set-up to a server and schedules the answer, if there will be one.
+    fn send_setup(&mut self, front: usize, call: CallId, server: ServerId) {
+        self.sends.push_back((self.now, front, server));
+        let last_attempts = &mut self.fronts[front].last_attempts;
+        let attempt = last_attempts.get(&call).map_or(0, |(attempt, _)| attempt + 1);
+        last_attempts.insert(call, (attempt, server));
+        let (behaviour, busy_until_ns) = self.servers.get_mut(&server).unwrap();
+        let (at, outcome) = match behaviour {
+            ServerBehaviour::Silent => return,
+            ServerBehaviour::Full => (self.now, Some(Outcome::Overloaded(Some(2 * S)))),
+            ServerBehaviour::Serving(_) if *busy_until_ns > self.now + 3 * S => {
+                (self.now, Some(Outcome::Overloaded(Some(*busy_until_ns - self.now))))
+            }
+            ServerBehaviour::Serving(per_s) => {
+                *busy_until_ns = (*busy_until_ns).max(self.now) + (1e9 / *per_s) as Nanos;
+                (*busy_until_ns, None)
+            }
+        };
+        let answer = Answer { front, call, attempt, server, outcome };
+        self.answers.insert((at + 30 * MS, self.serial), answer);
+    }
+
+    /// Cancels an attempt. The server processes the set-up all the same, but its answer is dropped.
+    fn cancel_attempt(&mut self, front: usize, call: CallId, attempt: u32) {
+        self.answers.retain(|_, answer| (answer.front, answer.call) != (front, call));
+        let server = self.fronts[front].last_attempts[&call].1;
+        let answer = Answer { front, call, attempt, server, outcome: Some(Outcome::Cancelled) };
+        self.answers.insert((self.now + 20 * MS, self.serial), answer);
+    }
+
     /// Runs for a while with a call at each front every [`CALL_INTERVAL_NS`].
     fn run(&mut self, duration: Nanos) {
         let end = self.now + duration;
@@ -185,16 +190,16 @@
 
     /// Set-ups a second that all fronts together sent to a server over the last `duration`.
     fn sent_per_s(&self, server: ServerId, duration: Nanos) -> f64 {
-        let from = self.now - duration;
-        self.sends.iter().filter(|(at, _, s)| *at > from && *s == server).count() as f64 * 1e9
-            / duration as f64
+        let start = self.now - duration;
+        let sent = self.sends.iter().filter(|(at, _, sent_to)| *at > start && *sent_to == server);
+        sent.count() as f64 * 1e9 / duration as f64
     }
 
     /// Calls a second that a server established over the last `duration`.
     fn succeeded_per_s(&self, server: ServerId, duration: Nanos) -> f64 {
-        let from = self.now - duration;
-        self.succeeded.iter().filter(|(at, s)| *at > from && *s == server).count() as f64 * 1e9
-            / duration as f64
+        let start = self.now - duration;
+        let succeeded = self.succeeded.iter().filter(|(at, served_by)| *at > start && *served_by == server);
+        succeeded.count() as f64 * 1e9 / duration as f64
     }
 }
 
