--- a/crates/lilacpitch/src/controller.rs
+++ b/crates/lilacpitch/src/controller.rs
@@ -35,27 +35,24 @@
 
 /// Length of a counting period (Sabourin).
 const PERIOD_NS: Nanos = 100_000_000;
-/// Number of periods in the counting window (Sabourin: 3 s). A single front counts too few calls in a shorter
-/// one.
+/// Number of periods in the counting window (Sabourin: 3 s). A shorter one holds too few calls of one front.
 const WINDOW_PERIODS: u64 = 30;
 /// Length of the counting window.
 const WINDOW_NS: Nanos = PERIOD_NS * WINDOW_PERIODS;
 /// Least time that the window is taken to cover, just after the front's start.
 const MIN_WINDOW_NS: Nanos = WINDOW_NS / 3;
-/// Set-ups that a count keeps even when they are older than the window, so that a single one changes the rate
-/// only slightly.
+/// Set-ups that a count keeps even when they are older than the window, so that one more or less changes the
+/// estimated rate only slightly.
 const MIN_SAMPLES: usize = 4;
-/// Number of windows without a symptom after which a ceiling is removed; also the longest interval between
-/// probes.
+/// Windows without a symptom after which a ceiling is removed; also the longest interval between probes.
 const MAX_CLEAN_WINDOWS: u64 = 20;
 /// Set-ups that count as successful over the observed time at a server where none has succeeded.
 const UNPROVEN_SETUPS: f64 = 0.2;
 /// Shortest observed time to which [`UNPROVEN_SETUPS`] is applied, in seconds.
 const UNPROVEN_MIN_S: f64 = 10.0;
-/// Load, as a share of the ceiling, above which calls below the highest priority are held back (Sabourin's
-/// S1).
+/// Share of the ceiling above which calls below the highest priority are held back (Sabourin's S1).
 const STATE_1_THRESHOLD: f64 = 0.8;
-/// Load, as a share of the ceiling, above which all calls but urgent ones are held back (Sabourin's S2).
+/// Share of the ceiling above which all calls but urgent ones are held back (Sabourin's S2).
 const STATE_2_THRESHOLD: f64 = 0.9;
 /// Cost of a rejected call, in set-ups; 0, since a rejection by the front costs the server nothing.
 const REJECT_COST: f64 = 0.0;
@@ -74,8 +71,7 @@
 const LATE_CALL_WAIT_SHARE: f64 = 0.5;
 /// Expected wait, in resend intervals, above which a server is in overload state 2.
 const STATE_2_WAIT_INTERVALS: f64 = 2.0;
-/// Least share of the ceiling that a late response leaves: the rate in a window of few samples may be low by
-/// chance.
+/// Least share of the ceiling that a late response leaves: a rate of few samples may be low by chance.
 const MILD_DECREASE_FACTOR: f64 = 0.8;
 /// Least share of the ceiling that 'processor full', a time-out or an unresponsive server leaves.
 const SEVERE_DECREASE_FACTOR: f64 = 0.5;
@@ -96,8 +92,7 @@
 const DELAY_DECAY: f64 = 0.5;
 /// [`DELAY_DECAY`] where the window holds few set-ups.
 const DELAY_DECAY_SPARSE: f64 = 0.15;
-/// Share of the shortest latency objective that serves as the resend interval where the network resends
-/// nothing.
+/// Share of the shortest latency objective that replaces the resend interval where nothing is resent.
 const FALLBACK_RESEND_SHARE: f64 = 0.3;
 /// Number of set-ups over which the ratios of symptoms and successes are averaged.
 const RATIO_SAMPLES: f64 = 16.0;
@@ -115,23 +110,20 @@
 const CLEAN_PERIODS: u64 = 10;
 /// Most periods over which a ceiling is relaxed in one step.
 const MAX_RELAX_PERIODS: u64 = WINDOW_PERIODS * 4;
-/// Largest factor by which a ceiling is relaxed in a period: relaxation is slower than the detection of
-/// overload.
+/// Largest factor by which a ceiling is relaxed in a period: slower than an overload is detected.
 const RELAX_MAX_FACTOR: f64 = 1.015;
 /// Share by which a ceiling is relaxed in the normal interval between two set-ups.
 const RELAX_SHARE_UNCONFIRMED: f64 = 0.07;
 /// [`RELAX_SHARE_UNCONFIRMED`] once a set-up has succeeded quickly since the last symptom.
 const RELAX_SHARE_CONFIRMED: f64 = 0.2;
-/// Share of its normal interval within which each front starts to use a queue again that peers report as
-/// short.
+/// Share of its normal interval within which a front uses a queue again after peers report it as short.
 const QUEUE_JOIN_SPREAD: f64 = 0.1;
 /// Multiple of the offered or normal rate at which a ceiling is removed: this leaves room for calls whose
 /// first choice is another server.
 const CEILING_REMOVAL_MULTIPLE: f64 = 2.5;
 /// Lowest ceiling, as a share of the normal rate: without some set-ups the end of an overload goes unnoticed.
 const CEILING_FLOOR_SHARE: f64 = 0.1;
-/// Share of its latency objective for which a call without an attempt is queued when every server is closed
-/// to it.
+/// Share of its latency objective for which a call without an attempt is queued while no server is open.
 const QUEUE_TIME_SHARE: f64 = 0.4;
 /// Multiple of this front's longest recent stall that is subtracted from a client's time budget.
 const STALL_MARGIN: f64 = 1.25;
@@ -151,8 +143,7 @@
 const MAX_PROBE_DOUBLINGS: u32 = 4;
 /// Half-life of the weight of a peer report about a server's state.
 const PEER_REPORT_HALF_LIFE_NS: Nanos = WINDOW_NS * 5;
-/// Half-life of the weight of a wait that a peer reports; also the age up to which set-ups in flight are
-/// counted.
+/// Half-life of the weight of a wait that a peer reports; its set-ups in flight count up to this age.
 const PEER_WAIT_HALF_LIFE_NS: Nanos = PERIOD_NS * 10;
 /// Age at which peer reports are dropped.
 const PEER_REPORT_MAX_AGE_NS: Nanos = WINDOW_NS * 10;
--- a/crates/lilacpitch/src/controller/calls.rs
+++ b/crates/lilacpitch/src/controller/calls.rs
@@ -73,8 +73,7 @@
         self.record_attempt_end(server, id, true, true);
     }
 
-    /// Handles the end of an attempt that leaves the call open: releases it if necessary, and dispatches it
-    /// again.
+    /// Handles the end of an attempt that leaves the call open: releases it if necessary, then retries it.
     pub(super) fn complete_attempt(
         &mut self,
         id: CallId,
@@ -111,8 +110,7 @@
         self.try_dispatch(id, actions);
     }
 
-    /// Sends a call to a server if one is open to it, answers it if it cannot be served, or else leaves it
-    /// pending.
+    /// Sends a call to a server that is open to it, answers it if it cannot be served, or leaves it pending.
     fn try_dispatch(&mut self, id: CallId, actions: &mut Vec<Action>) {
         let Some(record) = self.calls.get_mut(&id) else { return };
         if record.phase == CallPhase::Releasing && self.now >= record.not_before_ns {
@@ -282,8 +280,7 @@
         budget_ns - margin_ns
     }
 
-    /// Pauses a dialled number whose lines are all busy. Set-ups to it are wasted work, apart from single
-    /// probes.
+    /// Pauses a dialled number whose lines are all busy. Apart from single probes, set-ups to it are wasted.
     fn pause_busy_number(&mut self, id: CallId) {
         if let Some(number) = self.calls.get(&id).and_then(|record| record.call.dialled) {
             self.busy_numbers.insert(number, self.now + BUSY_NUMBER_PAUSE_NS);
--- a/crates/lilacpitch/src/controller/gossip.rs
+++ b/crates/lilacpitch/src/controller/gossip.rs
@@ -3,8 +3,7 @@
 use super::*;
 
 impl Controller {
-    /// Reports what this front has observed of servers by its own set-ups. Reports of peers are not passed
-    /// on.
+    /// Reports what this front observed of servers by its own set-ups. Reports of peers are not passed on.
     pub fn server_reports(&self) -> Vec<ServerReport> {
         let used = self.servers.values().filter(|server| server.last_sent_ns > 0);
         used.map(|server| self.server_report(server)).collect()
--- a/crates/lilacpitch/src/controller/overload.rs
+++ b/crates/lilacpitch/src/controller/overload.rs
@@ -5,8 +5,7 @@
 impl Controller {
     /// Updates the state of a server by the outcome of an attempt.
     pub(super) fn record_outcome(&mut self, server: ServerId, id: CallId, outcome: Outcome) {
-        // A rejected set-up did not wait, so its delay is no evidence about those in flight; its retry-after
-        // is.
+        // A rejected set-up did not wait: only its retry-after is evidence about the set-ups in flight.
         let is_response = matches!(outcome, Outcome::Completed | Outcome::Fault | Outcome::LinesBusy);
         self.record_attempt_end(server, id, is_response, outcome == Outcome::Completed);
         if is_symptom(outcome) {
@@ -34,8 +33,7 @@
         self.lower_ceiling(id, true);
         self.update_server(id, |server| {
             server.last_response_ns = now;
-            // With DELAY_DECAY the delay decays by half of the time passed, so that it is 0 when this wait
-            // ends.
+            // With DELAY_DECAY the delay decays by half of the time passed: it is 0 when this wait ends.
             server.last_delay_ns = wait_ns / 2;
         });
     }
@@ -164,8 +162,7 @@
         self.peer_reports.remove_up_to(now.saturating_sub(PEER_REPORT_MAX_AGE_NS));
     }
 
-    /// The time that the window covers at present, in seconds; less than a full window just after the front's
-    /// start.
+    /// The time that the window covers at present, in seconds; less than a full window after the start.
     pub(super) fn window_s(&self) -> f64 {
         let age_ns = self.now - self.started_ns.unwrap_or(self.now);
         age_ns.clamp(MIN_WINDOW_NS, WINDOW_NS) as f64 / 1e9
@@ -191,8 +188,7 @@
     }
 
     /// A lower bound for the wait of a set-up sent now: the longest of the age of the oldest in flight, the
-    /// time that those in flight take at the server's success rate, and what remains of the last delay after
-    /// its decay.
+    /// time that those in flight take at the server's success rate, and the last delay after its decay.
     pub(super) fn expected_wait_ns(&self, server: &Server) -> Nanos {
         let own_waiting = server.in_flight.iter().filter(|attempt| !attempt.is_overtaken).count();
         let (waiting, success_per_s) = match server.peer_success_per_s {
@@ -226,8 +222,7 @@
     }
 
     /// Lowers the ceiling to this front's recent success rate there, after a symptom of overload. A severe
-    /// symptom ('processor full', a time-out or an unresponsive server) may decrease it further than a mild
-    /// one.
+    /// symptom ('processor full', a time-out or an unresponsive server) may decrease it further.
     pub(super) fn lower_ceiling(&mut self, id: ServerId, is_severe: bool) {
         let now = self.now;
         let resend_ns = self.resend_ns;
@@ -257,8 +252,7 @@
         server.ceiling_per_s = Some(success_per_s.max(least_per_s).max(floor_per_s));
     }
 
-    /// Relaxes ceilings step by step after a time without symptoms. Removing them at once would cause
-    /// oscillation.
+    /// Relaxes ceilings in steps after a time without symptoms. If removed at once, they would oscillate.
     fn relax_ceilings(&mut self, periods: u64) {
         let ids: Vec<ServerId> = self.servers.keys().copied().collect();
         for id in ids {
@@ -294,8 +288,7 @@
         }
     }
 
-    /// The share by which the ceiling of a server is relaxed in a nanosecond, before the limit of
-    /// [`RELAX_MAX_FACTOR`].
+    /// The share by which a ceiling is relaxed in a nanosecond, not yet limited by [`RELAX_MAX_FACTOR`].
     fn relaxation_per_ns(&self, server: &Server) -> f64 {
         let quick_ns = scaled(self.resend_ns, QUICK_INTERVALS);
         // Where peers report quick responses, only RELAX_MAX_FACTOR limits the relaxation.
@@ -372,8 +365,7 @@
         }
     }
 
-    /// Records the delays of a successful set-up: `total_delay_ns` from its sending, `delay_ns` without the
-    /// network delay.
+    /// Records the delays of a successful set-up: in total, and without the network delay.
     fn record_success(&mut self, total_delay_ns: Nanos, delay_ns: Nanos) {
         self.delays.record(delay_ns, 1.0 / RATIO_SAMPLES);
         self.success_ratio += (1.0 - self.success_ratio) / RATIO_SAMPLES;
--- a/crates/lilacpitch/src/controller/server_selection.rs
+++ b/crates/lilacpitch/src/controller/server_selection.rs
@@ -49,8 +49,8 @@
         // If other fronts' set-ups wait there too, the first choice is not preferred: else all fronts would
         // queue there.
         let is_long = |wait_ns| wait_ns > scaled(self.resend_ns, LONG_PEER_WAIT_INTERVALS);
-        let has_long_queue = server.peer_in_flight > 1 && server.peer_wait_ns.is_some_and(is_long);
-        let is_preferred = server.endpoint.number == record.call.first_choice && !has_long_queue;
+        let has_long_peer_queue = server.peer_in_flight > 1 && server.peer_wait_ns.is_some_and(is_long);
+        let is_preferred = server.endpoint.number == record.call.first_choice && !has_long_peer_queue;
         // The server of the last attempt is used again only if no other is open.
         let has_failed = record.attempts > 0 && record.server == server.endpoint.server;
         u8::from(!is_preferred) + 2 * u8::from(has_failed)
@@ -120,8 +120,7 @@
         {
             return true;
         }
-        // A probe of a server that peers reported as unresponsive is not held back by the wait that the same
-        // peers report.
+        // A probe is due. The wait that peers report must not hold it back from a server they had ejected.
         if self.is_probe_due(server) || server.ejection.is_some_and(|ejection| ejection.is_by_peers_only) {
             return false;
         }
@@ -133,8 +132,7 @@
         match self.overload_state(server) {
             0 => false,
             1 => self.priority(record) < self.top_priority && !is_urgent,
-            // Calls that were cut are retried all at once: even urgent calls are held back if they would be
-            // late.
+            // Calls that were cut are all retried at once: urgent calls are held back if they would be late.
             _ => !is_urgent || self.expected_wait_ns(server) > self.class(record).latency_objective_ns,
         }
     }
--- a/crates/lilacpitch/src/controller/state.rs
+++ b/crates/lilacpitch/src/controller/state.rs
@@ -36,8 +36,7 @@
     pub(super) probes: u32,
     /// Whether the ejection is based on peer reports alone.
     pub(super) is_by_peers_only: bool,
-    /// `probe_interval_ns` as a multiple of the normal interval between set-ups; drawn when the server is
-    /// ejected.
+    /// `probe_interval_ns` as a multiple of the normal interval between set-ups; drawn at the ejection.
     pub(super) interval_fraction: f64,
 }
 
@@ -141,8 +140,7 @@
     pub(super) in_flight: Vec<InFlightAttempt>,
     /// Delay of the last response, without the network delay.
     pub(super) last_delay_ns: Nanos,
-    /// Exponentially weighted share of successes among successes and first attempts with a fault; starts at
-    /// 0.
+    /// Exponentially weighted share of successes among successes and faulted first attempts; 0 at first.
     pub(super) success_ratio: f64,
     /// Delays of successful set-ups.
     pub(super) delays: LatencyDeviation,
@@ -213,8 +211,7 @@
     pub(super) zone: u32,
     /// The number of its server.
     pub(super) number: u32,
-    /// When the call arrived, which is no later than the attempt: the retention time of its key counts from
-    /// here.
+    /// When the call arrived, which is no later than the attempt. The retention of its key counts from here.
     pub(super) call_arrived_ns: Nanos,
 }
 
@@ -281,8 +278,7 @@
         fault_ratio
     }
 
-    /// The network delay; 0 where few set-ups succeeded, since the shortest of few delays may include
-    /// waiting.
+    /// The network delay; 0 where few set-ups succeeded, as the shortest of few delays may include waiting.
     pub(super) fn network_delay_ns(&self, period: u64) -> Nanos {
         self.shortest_delay_ns.filter(|_| !self.succeeded.is_sparse(period)).unwrap_or(0)
     }
--- a/crates/lilacpitch/src/interface.rs
+++ b/crates/lilacpitch/src/interface.rs
@@ -117,8 +117,7 @@
     Failed,
 }
 
-/// The part of a server's load report that is used. Its processor figures are ignored: they are late and
-/// noisy.
+/// The part of a server's load report that is used. Its processor load is ignored: it is late and noisy.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
 pub struct LoadReport {
     /// Free circuits towards the server, or free agents at it; `None` if unknown.
@@ -157,8 +156,7 @@
     LinesBusy,
     /// No circuit or agent was free; the set-up had no effect.
     NoCircuit,
-    /// The server's processor was full; the set-up had no effect. Holds the server's retry-after, if it gave
-    /// one.
+    /// The server's processor was full; the set-up had no effect. Holds the server's retry-after, if any.
     Overloaded(Option<Nanos>),
     /// No answer arrived in time; the set-up may have taken effect.
     TimedOut,
--- a/crates/lilacpitch/src/settings.rs
+++ b/crates/lilacpitch/src/settings.rs
@@ -1,5 +1,4 @@
-//! Reads the JSON settings that a front gets at its start. The adapter and the front node both use this
-//! reader.
+//! Reads the JSON settings that a front gets at its start, for both the adapter and the front node.
 
 use crate::interface::{Class, Idempotency, LoadReport, Nanos, Scope, Settings};
 use serde_json::Value;
--- a/crates/lilacpitch/tests/calls.rs
+++ b/crates/lilacpitch/tests/calls.rs
@@ -1,5 +1,4 @@
-//! Call handling through the public interface: final answers, redialled calls, busy numbers, stalls of the
-//! front.
+//! Call handling through the public interface: answers, redialled calls, busy numbers, stalls of the front.
 
 mod common;
 use common::*;
--- a/crates/lilacpitch/tests/wire.rs
+++ b/crates/lilacpitch/tests/wire.rs
@@ -1,5 +1,4 @@
-//! The adapter's line protocol: framing, every event and outcome, malformed lines, and the adapter as a
-//! process.
+//! The adapter's line protocol: framing, events and outcomes, malformed lines, and the adapter's process.
 
 use lilacpitch::wire::Host;
 use std::io::Write;
