--- a/crates/lilacpitch/src/pending_queue.rs
+++ b/crates/lilacpitch/src/pending_queue.rs
@@ -1,13 +1,28 @@
-//! Calls that wait for a server or for their release: a container, which decides nothing. Calls that server
-//! selection cannot tell apart form one group, of which only the oldest needs to be tried.
+//! The queue of calls that wait for a server or for their release. Calls that server selection treats alike
+//! form a group, of which only the oldest needs to be tried.
 
 use crate::interface::{CallId, Nanos};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A pending call: when its waiting ends, and the group it is in since when, if in any.
-pub type PendingEntry<K> = (Nanos, Option<(K, Nanos)>);
+/// The entry of a pending call.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub struct PendingEntry<K> {
+    /// When its wait ends.
+    pub deadline_ns: Nanos,
+    /// The group that it is in, if any.
+    pub group: Option<Membership<K>>,
+}
+
+/// The membership of a call in a group.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub struct Membership<K> {
+    /// The key of the group.
+    pub key: K,
+    /// The time by which the calls of the group are ordered.
+    pub since_ns: Nanos,
+}
 
-/// Pending calls by when their waiting ends, and by group, the oldest of a group first.
+/// Pending calls, ordered by deadline and, within each group, by age. `K` is the key of a group.
 #[derive(Debug, Clone)]
 pub struct PendingQueue<K> {
     entries: BTreeMap<CallId, PendingEntry<K>>,
@@ -22,56 +37,60 @@
 }
 
 impl<K: Ord + Copy> PendingQueue<K> {
-    /// Adds a call, changes its entry, or removes it.
+    /// Adds or replaces the entry of a call; `None` removes it.
     pub fn set(&mut self, id: CallId, entry: Option<PendingEntry<K>>) {
-        let before = self.entry(id);
-        if entry == before {
+        let previous = self.entry(id);
+        if entry == previous {
             return;
         }
-        if let Some(before) = before {
-            self.remove(id, before);
+        if let Some(previous) = previous {
+            self.remove(id, previous);
         }
-        if let Some((deadline_ns, group)) = entry {
-            self.entries.insert(id, (deadline_ns, group));
-            self.deadlines.insert((deadline_ns, id));
-            if let Some((key, since_ns)) = group {
-                self.groups.entry(key).or_default().insert((since_ns, id));
-            }
+        if let Some(entry) = entry {
+            self.insert(id, entry);
+        }
+    }
+
+    fn insert(&mut self, id: CallId, entry: PendingEntry<K>) {
+        self.entries.insert(id, entry);
+        self.deadlines.insert((entry.deadline_ns, id));
+        if let Some(membership) = entry.group {
+            self.groups.entry(membership.key).or_default().insert((membership.since_ns, id));
         }
     }
 
-    fn remove(&mut self, id: CallId, (deadline_ns, group): PendingEntry<K>) {
+    fn remove(&mut self, id: CallId, entry: PendingEntry<K>) {
         self.entries.remove(&id);
-        self.deadlines.remove(&(deadline_ns, id));
-        let Some((key, since_ns)) = group else { return };
-        let Some(members) = self.groups.get_mut(&key) else { return };
-        members.remove(&(since_ns, id));
+        self.deadlines.remove(&(entry.deadline_ns, id));
+        let Some(membership) = entry.group else { return };
+        let Some(members) = self.groups.get_mut(&membership.key) else { return };
+        members.remove(&(membership.since_ns, id));
         if members.is_empty() {
-            self.groups.remove(&key);
+            self.groups.remove(&membership.key);
         }
     }
 
-    /// The entry of a call.
+    /// The entry of a call; `None` if it is not pending.
     pub fn entry(&self, id: CallId) -> Option<PendingEntry<K>> {
         self.entries.get(&id).copied()
     }
 
-    /// The calls whose waiting has ended by `now`.
+    /// The calls whose deadline has passed at `now`, earliest first.
     pub fn due(&self, now: Nanos) -> impl Iterator<Item = CallId> + '_ {
         self.deadlines.range(..=(now, CallId::MAX)).map(|(_, id)| *id)
     }
 
-    /// When the waiting of the next call ends.
+    /// The earliest deadline.
     pub fn next_deadline_ns(&self) -> Option<Nanos> {
         self.deadlines.first().map(|(deadline_ns, _)| *deadline_ns)
     }
 
-    /// The keys of all groups, in their order.
+    /// The keys of all groups, in ascending order.
     pub fn groups(&self) -> Vec<K> {
         self.groups.keys().copied().collect()
     }
 
-    /// The oldest call of a group.
+    /// The oldest call of a group; `None` if there is no such group.
     pub fn oldest(&self, key: K) -> Option<CallId> {
         self.groups.get(&key).and_then(|members| members.first()).map(|(_, id)| *id)
     }
