--- a/crates/lilacpitch-node/src/core/active_calls.rs
+++ b/crates/lilacpitch-node/src/core/active_calls.rs
@@ -158,7 +158,7 @@
 
     /// Tells a caller that its call is over: on the set-up's connection, else on another, else on the next.
     fn release_to_caller(&mut self, caller: CallerId, wire_id: u64, cause: u16, effects: &mut Vec<Effect>) {
-        self.send_release(Some(caller), Request::bye(&format!("{wire_id:016x}"), cause), effects);
+        self.send_release(Some(caller), Request::encode_bye(&format!("{wire_id:016x}"), cause), effects);
     }
 
     fn send_release(&mut self, caller: Option<CallerId>, bytes: Vec<u8>, effects: &mut Vec<Effect>) {
--- a/crates/lilacpitch-node/src/core/callers.rs
+++ b/crates/lilacpitch-node/src/core/callers.rs
@@ -49,14 +49,14 @@
         };
         if let Err((status, reason)) = handled {
             *self.counters.rejected_messages.entry(status).or_default() += 1;
-            effects.push(Effect::ToCaller(id, request.response(status, reason)));
+            effects.push(Effect::ToCaller(id, request.encode_response(status, reason)));
         }
     }
 
     /// Answers a test of whether the node is ready. After SIGTERM late arrivals are admitted, but no test is passed.
     fn answer_test(&self, caller: CallerId, request: &Request, effects: &mut Vec<Effect>) {
         let (status, reason) = if self.is_ready() { (200, "OK") } else { (503, "Service Unavailable") };
-        effects.push(Effect::ToCaller(caller, request.response(status, reason)));
+        effects.push(Effect::ToCaller(caller, request.encode_response(status, reason)));
     }
 
     fn handle_invite(
@@ -83,7 +83,7 @@
             number: number.to_string(),
             left_ms: left_ms(request)?,
             body: session_description(request)?,
-            echo: request.echo(),
+            echo: request.copied_fields(),
             first_choice: path.first_choice,
             circuits: path.circuits,
             may_retry_after_cut: path.may_retry_after_cut,
@@ -143,7 +143,7 @@
         let is_established = |id: &CallId| self.calls.get(id).is_some_and(|call| call.is_established());
         let id = id.filter(is_established).ok_or(NO_SUCH_CALL)?;
         self.end_call_by_caller(id, effects);
-        effects.push(Effect::ToCaller(caller, request.response(200, "OK")));
+        effects.push(Effect::ToCaller(caller, request.encode_response(200, "OK")));
         Ok(())
     }
 
--- a/crates/lilacpitch-node/src/core/calls.rs
+++ b/crates/lilacpitch-node/src/core/calls.rs
@@ -86,7 +86,7 @@
         self.callers.entry(caller).and_modify(|caller| _ = caller.open_calls.remove(&id));
         self.counters.succeeded += 1;
         self.pending_events.push_back(Event::CallEstablished { call: id, attempt: attempt.number });
-        let response = Response::bytes(200, "OK", &setup.echo, &[], body.as_bytes());
+        let response = Response::encode(200, "OK", &setup.echo, &[], body.as_bytes());
         effects.push(Effect::ToCaller(caller, response));
     }
 
@@ -136,7 +136,7 @@
         self.cancel_open_attempt(id, effects);
         let Some(call) = self.remove_call(id) else { return false };
         if let Some(setup) = call.setup {
-            let response = Response::bytes(status, reason, &setup.echo, fields, &[]);
+            let response = Response::encode(status, reason, &setup.echo, fields, &[]);
             effects.push(Effect::ToCaller(call.caller, response));
         }
         true
--- a/crates/lilacpitch-node/src/net/codecs.rs
+++ b/crates/lilacpitch-node/src/net/codecs.rs
@@ -26,7 +26,7 @@
     }
 
     fn final_response(error: &SipError) -> Option<Vec<u8>> {
-        error.final_response().map(|(status, reason, request)| request.response(status, reason))
+        error.final_response().map(|(status, reason, request)| request.encode_response(status, reason))
     }
 
     /// A set-up whose CANCEL was read with it is removed: nobody has seen it, and nobody waits for it.
--- a/crates/lilacpitch-sip/src/decoder.rs
+++ b/crates/lilacpitch-sip/src/decoder.rs
@@ -1,45 +1,46 @@
-//! Decodes the bytes of a stream into messages, incrementally.
+//! Incremental decoder of a byte stream into SIP messages.
 //!
-//! A head is parsed as soon as it is complete; a body over the limit is known from the head, before any of it is
-//! kept. After an error the stream can't be read on.
+//! A head is parsed as soon as it is complete, so a body over the limit is rejected before any of it is
+//! buffered. After an error the position of the next message is unknown, and decoding can't continue.
 
-use crate::message::{is_call_id, Message, Request, Response};
+use crate::message::{is_valid_call_id, Message, Request, Response};
 use lilacpitch_protocol::http::{self, Fields, HeadError};
 use thiserror::Error;
 
 /// Longest message in bytes, head and body together.
 pub const MAX_MESSAGE_BYTES: usize = 16 * 1024;
-/// An empty buffer of more capacity is freed: most connections are idle most of the time.
+/// An empty buffer of more capacity, in bytes, is freed: most connections are idle most of the time.
 const IDLE_CAPACITY_BYTES: usize = 4096;
 
-/// Why a stream can't be read on: look at what that peer sends. Where the head could be read, the error carries the
-/// request, so that it can be answered.
+/// Why a stream can't be decoded any further: its peer sent something malformed or too long. If the head
+/// could be parsed, the error carries the request, so that it can be answered.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum SipError {
     /// The head is malformed or too long.
     #[error("head: {0}")]
     Head(#[from] HeadError),
-    /// The start line is neither a request's nor a response's (RFC 3261 section 7.1 and 7.2).
+    /// The start line is neither a request line nor a status line (RFC 3261 section 7.1 and 7.2).
     #[error("start line: {0}")]
     StartLine(&'static str),
-    /// No length, or one that can't be used (RFC 3261 section 18.3 and 20.14).
+    /// `Content-Length` is missing or invalid (RFC 3261 section 18.3 and 20.14).
     #[error("Content-Length: {problem}")]
     Length {
-        /// What is wrong with it.
+        /// What is wrong with the field.
         problem: &'static str,
-        /// The request that it is in.
+        /// The request with this field; `None` if the message is a response.
         request: Option<Box<Request>>,
     },
-    /// A message of more than [`MAX_MESSAGE_BYTES`].
-    #[error("message of over {MAX_MESSAGE_BYTES} bytes")]
+    /// The message is longer than [`MAX_MESSAGE_BYTES`].
+    #[error("message longer than {MAX_MESSAGE_BYTES} bytes")]
     TooLong {
-        /// The request that is too long.
+        /// The request that is too long; `None` if the message is a response.
         request: Option<Box<Request>>,
     },
 }
 
 impl SipError {
-    /// The last response on this stream, where the request is known: status, reason phrase and the request.
+    /// Returns the response to send before the stream is closed, as status, reason phrase and the request
+    /// that it answers; `None` if the request is unknown.
     pub fn final_response(&self) -> Option<(u16, &'static str, &Request)> {
         match self {
             SipError::Length { request: Some(request), .. } => Some((400, "Bad Content-Length", request)),
@@ -49,43 +50,44 @@
     }
 }
 
-/// Decodes one stream.
+/// Decodes the messages of one stream.
 #[derive(Debug, Default)]
 pub struct Decoder {
-    bytes: Vec<u8>,
-    /// A message whose head was read and whose body is incomplete, with the body's length.
+    buffer: Vec<u8>,
+    /// A message whose head was parsed and whose body is incomplete, with the body's length in bytes.
     partial: Option<(Message, usize)>,
 }
 
 impl Decoder {
     /// Appends bytes read from the stream.
     pub fn feed(&mut self, bytes: &[u8]) {
-        self.bytes.extend_from_slice(bytes);
+        self.buffer.extend_from_slice(bytes);
     }
 
     /// Whether a message has begun and is incomplete.
     pub fn has_partial_message(&self) -> bool {
-        self.partial.is_some() || !self.bytes.is_empty()
+        self.partial.is_some() || !self.buffer.is_empty()
     }
 
     /// Returns the next complete message, or `None` until more bytes arrive.
     ///
     /// # Errors
-    /// Where the bytes are not SIP, or exceed a limit. The decoder is of no further use.
+    /// Returns a [`SipError`] if the bytes are not SIP, or exceed a limit. The decoder must not be used
+    /// afterwards.
     pub fn next_message(&mut self) -> Result<Option<Message>, SipError> {
         if self.partial.is_none() {
             // Line ends before a start line are ignored (RFC 3261 section 7.5).
-            let blank = self.bytes.iter().take_while(|b| matches!(b, b'\r' | b'\n')).count();
-            self.consume(blank);
-            let Some((start_line, fields, head_length)) = http::head(&self.bytes)? else { return Ok(None) };
+            let leading_line_ends = self.buffer.iter().take_while(|b| matches!(b, b'\r' | b'\n')).count();
+            self.consume(leading_line_ends);
+            let Some((start_line, fields, head_length)) = http::head(&self.buffer)? else { return Ok(None) };
             self.consume(head_length);
             let (message, length) = parse_head(&start_line, fields, head_length)?;
             self.partial = Some((message, length));
         }
-        let is_complete = self.partial.as_ref().is_some_and(|(_, length)| self.bytes.len() >= *length);
+        let is_complete = self.partial.as_ref().is_some_and(|(_, length)| self.buffer.len() >= *length);
         let Some((mut message, length)) = self.partial.take_if(|_| is_complete) else { return Ok(None) };
         if let Message::Request(request) = &mut message {
-            request.body = self.bytes[..length].to_vec();
+            request.body = self.buffer[..length].to_vec();
         }
         self.consume(length);
         Ok(Some(message))
@@ -93,22 +95,22 @@
 
     /// Removes bytes from the front of the buffer.
     fn consume(&mut self, count: usize) {
-        self.bytes.drain(..count);
-        if self.bytes.is_empty() && self.bytes.capacity() > IDLE_CAPACITY_BYTES {
-            self.bytes = Vec::new();
+        self.buffer.drain(..count);
+        if self.buffer.is_empty() && self.buffer.capacity() > IDLE_CAPACITY_BYTES {
+            self.buffer = Vec::new();
         }
     }
 }
 
-/// Parses a head: the message without its body, and the body's length.
+/// Converts a head to a message without its body, and returns it with the body's length in bytes.
 fn parse_head(start_line: &str, fields: Fields, head_length: usize) -> Result<(Message, usize), SipError> {
-    let call_id = field(&fields, "Call-ID", "i").filter(|id| is_call_id(id)).map(str::to_string);
+    let call_id = field(&fields, "Call-ID", "i").filter(|id| is_valid_call_id(id)).map(str::to_string);
     let cseq = fields.get("CSeq").unwrap_or("").to_string();
     let body_length = content_length(&fields);
-    let message = if let Some(rest) = start_line.strip_prefix("SIP/2.0 ") {
-        let status = rest.split(' ').next().and_then(|code| code.parse().ok());
+    let message = if let Some(status_line) = start_line.strip_prefix("SIP/2.0 ") {
+        let status = status_line.split(' ').next().and_then(|code| code.parse().ok());
         let Some(status) = status.filter(|code| (100..700).contains(code)) else {
-            return Err(SipError::StartLine("status is not 100 to 699"));
+            return Err(SipError::StartLine("status code not within 100 to 699"));
         };
         Message::Response(Response { status, call_id, cseq })
     } else {
@@ -116,7 +118,7 @@
         let (Some(method), Some(uri), Some("SIP/2.0"), None) =
             (parts.next(), parts.next(), parts.next(), parts.next())
         else {
-            return Err(SipError::StartLine("not 'method address SIP/2.0'"));
+            return Err(SipError::StartLine("expected 'METHOD URI SIP/2.0'"));
         };
         let (method, uri) = (method.to_string(), uri.to_string());
         Message::Request(Request { method, uri, call_id, cseq, fields, body: Vec::new() })
@@ -130,7 +132,7 @@
     }
 }
 
-/// The request, for an error that can be answered.
+/// Returns the request for an error that can be answered; `None` for a response.
 fn into_request(message: Message) -> Option<Box<Request>> {
     match message {
         Message::Request(request) => Some(Box::new(request)),
@@ -138,20 +140,21 @@
     }
 }
 
-/// A field by its name, else by its compact form (RFC 3261 section 7.3.3).
+/// Returns a field by its name, else by its compact form (RFC 3261 section 7.3.3).
 fn field<'a>(fields: &'a Fields, name: &str, compact: &str) -> Option<&'a str> {
     fields.get(name).or_else(|| fields.get(compact))
 }
 
+/// Parses the body's length in bytes, or returns what is wrong with the field.
 fn content_length(fields: &Fields) -> Result<usize, &'static str> {
     let mut values = fields.all("Content-Length").chain(fields.all("l"));
     let Some(text) = values.next() else { return Err("missing") };
     if values.next().is_some() {
-        return Err("given twice");
+        return Err("repeated");
     }
     if text.is_empty() || !text.bytes().all(|b| b.is_ascii_digit()) {
         return Err("not a whole number");
     }
-    // Digits that don't fit are a length far over the limit.
+    // A number that overflows is over the limit in any case.
     Ok(text.parse::<u32>().map_or(usize::MAX / 2, |length| length as usize))
 }
--- a/crates/lilacpitch-sip/src/lib.rs
+++ b/crates/lilacpitch-sip/src/lib.rs
@@ -1,9 +1,9 @@
-//! SIP over a stream (RFC 3261 section 18.3), as far as a front node speaks it, without any I/O: bytes in,
-//! messages out, and messages to bytes.
+//! Decoder and encoder for the part of SIP over a stream transport (RFC 3261 section 18.3) that a front node
+//! uses. No I/O: the [`Decoder`] is fed bytes and returns messages, and the `encode` functions return bytes.
 //!
-//! Each size has a limit, named as a constant; what exceeds it is rejected from the head, before a body is kept.
-//! Heads are parsed by the project's parser of HTTP heads, which have the same form (RFC 3261 section 7); folded
-//! lines (section 7.3.1) are rejected.
+//! Every size is bounded by a named constant. A message over its limit is rejected when its head is parsed,
+//! before any of its body is buffered. SIP heads have the form of HTTP heads (RFC 3261 section 7) and are
+//! parsed by [`lilacpitch_protocol::http`]; folded header lines (section 7.3.1) are rejected.
 #![forbid(unsafe_code)]
 
 mod decoder;
--- a/crates/lilacpitch-sip/src/message.rs
+++ b/crates/lilacpitch-sip/src/message.rs
@@ -1,8 +1,8 @@
-//! Requests and responses, and the encoding of those that a front node sends.
+//! SIP requests and responses, and the encoders for those that a front node sends.
 
 use lilacpitch_protocol::http::Fields;
 
-/// A message read from a stream.
+/// A message decoded from a stream.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Message {
     /// A request.
@@ -14,13 +14,13 @@
 /// A request (RFC 3261 section 7.1).
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Request {
-    /// The method, as sent.
+    /// The method, as received.
     pub method: String,
-    /// The request URI, as sent.
+    /// The request URI, as received.
     pub uri: String,
-    /// `Call-ID`, where it is valid.
+    /// The value of `Call-ID`; `None` if it is missing or invalid.
     pub call_id: Option<String>,
-    /// `CSeq`, as sent; empty where there is none.
+    /// The value of `CSeq`, as received; empty if it is missing.
     pub cseq: String,
     /// All header fields.
     pub fields: Fields,
@@ -33,29 +33,30 @@
 pub struct Response {
     /// The status code.
     pub status: u16,
-    /// `Call-ID`, where it is valid.
+    /// The value of `Call-ID`; `None` if it is missing or invalid.
     pub call_id: Option<String>,
-    /// `CSeq`, as sent.
+    /// The value of `CSeq`, as received; empty if it is missing.
     pub cseq: String,
 }
 
-/// Longest `Call-ID` that is kept, in bytes.
+/// Longest valid `Call-ID`, in bytes.
 const MAX_CALL_ID_BYTES: usize = 128;
 
-/// Whether a `Call-ID` can be copied into a head as it is, and is of a bounded length.
-pub(crate) fn is_call_id(id: &str) -> bool {
+/// Whether a `Call-ID` is short enough and can be copied into the head of another message unchanged.
+pub(crate) fn is_valid_call_id(id: &str) -> bool {
     (1..=MAX_CALL_ID_BYTES).contains(&id.len()) && id.bytes().all(|b| b.is_ascii_graphic())
 }
 
 impl Request {
-    /// The user part of the request URI: the dialled number (RFC 3261 section 19.1.1).
+    /// Returns the user part of the request URI: the dialled number (RFC 3261 section 19.1.1).
     pub fn user(&self) -> Option<&str> {
-        let rest = self.uri.strip_prefix("sip:")?;
-        rest.split_once('@').map(|(user, _)| user).filter(|user| !user.is_empty())
+        let address = self.uri.strip_prefix("sip:")?;
+        address.split_once('@').map(|(user, _)| user).filter(|user| !user.is_empty())
     }
 
-    /// The fields that a response copies from this request (RFC 3261 section 8.2.6.2), as header lines.
-    pub fn echo(&self) -> String {
+    /// Returns the fields that a response copies from this request (RFC 3261 section 8.2.6.2), as header
+    /// lines.
+    pub fn copied_fields(&self) -> String {
         let mut lines = String::new();
         for name in ["Via", "From", "To"] {
             self.fields.all(name).for_each(|value| push_field(&mut lines, name, value));
@@ -66,13 +67,13 @@
     }
 
     /// Encodes a response to this request, without a body.
-    pub fn response(&self, status: u16, reason: &str) -> Vec<u8> {
-        Response::bytes(status, reason, &self.echo(), &[], &[])
+    pub fn encode_response(&self, status: u16, reason: &str) -> Vec<u8> {
+        Response::encode(status, reason, &self.copied_fields(), &[], &[])
     }
 
-    /// Encodes the request that a front node sends: `BYE` (RFC 3261 section 15.1.1) with its reason (RFC 3326) as a
-    /// Q.850 cause.
-    pub fn bye(call_id: &str, cause: u16) -> Vec<u8> {
+    /// Encodes a `BYE` (RFC 3261 section 15.1.1), the only request that a front node sends. Its reason (RFC
+    /// 3326) is a Q.850 cause.
+    pub fn encode_bye(call_id: &str, cause: u16) -> Vec<u8> {
         format!(
             "BYE sip:call@net SIP/2.0\r\nVia: SIP/2.0/TCP front\r\nCall-ID: {call_id}\r\nCSeq: 2 BYE\r\n\
              Reason: Q.850;cause={cause}\r\nContent-Length: 0\r\n\r\n"
@@ -82,9 +83,16 @@
 }
 
 impl Response {
-    /// Encodes a response: `echo` holds the lines copied from the request, `fields` further header fields.
-    pub fn bytes(status: u16, reason: &str, echo: &str, fields: &[(&str, String)], body: &[u8]) -> Vec<u8> {
-        let mut head = format!("SIP/2.0 {status} {reason}\r\n{echo}");
+    /// Encodes a response. `copied_fields` are the header lines that [`Request::copied_fields`] returned for
+    /// its request, `fields` further header fields as name and value.
+    pub fn encode(
+        status: u16,
+        reason: &str,
+        copied_fields: &str,
+        fields: &[(&str, String)],
+        body: &[u8],
+    ) -> Vec<u8> {
+        let mut head = format!("SIP/2.0 {status} {reason}\r\n{copied_fields}");
         fields.iter().for_each(|(name, value)| push_field(&mut head, name, value));
         push_field(&mut head, "Content-Length", &body.len().to_string());
         head.push_str("\r\n");
@@ -94,6 +102,7 @@
     }
 }
 
+/// Appends one header line.
 fn push_field(lines: &mut String, name: &str, value: &str) {
     lines.push_str(name);
     lines.push_str(": ");
--- a/crates/lilacpitch-sip/tests/pinned_bytes.rs
+++ b/crates/lilacpitch-sip/tests/pinned_bytes.rs
@@ -1,7 +1,8 @@
-//! Pins the bytes of requests and responses as a front node writes them, and what is read from pinned bytes.
+//! Compatibility of the SIP wire format: the bytes that a front node writes, and what it decodes from
+//! recorded bytes.
 //!
-//! Callers are programs of others: field names, their order and the fixed parts of a message must stay as they
-//! are. Each data file is a stream of whole messages, with CRLF line ends.
+//! Callers are third-party programs, so the names and order of fields and the fixed parts of each message
+//! must not change. Each data file is a stream of complete messages with CRLF line ends.
 
 use lilacpitch_sip::{Decoder, Message, Request, Response};
 
@@ -9,49 +10,49 @@
 const RESPONSE_STREAM: &[u8] = include_bytes!("data/response_stream.sip");
 const FRONT_STREAM: &[u8] = include_bytes!("data/front_stream.sip");
 
-/// The messages of a stream that must be read whole.
-fn read_all(bytes: &[u8]) -> Vec<Message> {
+/// Decodes a stream of complete messages.
+fn decode_all(bytes: &[u8]) -> Vec<Message> {
     let mut decoder = Decoder::default();
     decoder.feed(bytes);
     let messages = std::iter::from_fn(|| decoder.next_message().unwrap()).collect();
-    assert!(!decoder.has_partial_message(), "nothing is left over");
+    assert!(!decoder.has_partial_message(), "bytes remain after the last message");
     messages
 }
 
 fn caller_requests() -> Vec<Request> {
-    let request = |message| match message {
+    let into_request = |message| match message {
         Message::Request(request) => request,
         Message::Response(response) => panic!("not a request: {response:?}"),
     };
-    read_all(CALLER_STREAM).into_iter().map(request).collect()
+    decode_all(CALLER_STREAM).into_iter().map(into_request).collect()
 }
 
-/// Each kind of message that a front node sends, in the order of the pinned stream.
-fn written_messages() -> Vec<Vec<u8>> {
+/// One message of each kind that a front node sends, in the order of the pinned stream.
+fn encoded_messages() -> Vec<Vec<u8>> {
     let requests = caller_requests();
-    let echo = requests[0].echo();
+    let copied_fields = requests[0].copied_fields();
     let retry_after = ("Retry-After", "2".to_string());
     vec![
-        Response::bytes(200, "OK", &echo, &[], b"c=IN IP4 10.0.0.9\r\n"),
-        Response::bytes(503, "Service Unavailable", &echo, &[retry_after], &[]),
-        requests[0].response(400, "Bad Call-ID"),
-        requests[1].response(200, "OK"),
-        requests[2].response(405, "Method Not Allowed"),
-        Request::bye("00000000000000a1", 16),
-        Request::bye("00000000000000a2", 41),
+        Response::encode(200, "OK", &copied_fields, &[], b"c=IN IP4 10.0.0.9\r\n"),
+        Response::encode(503, "Service Unavailable", &copied_fields, &[retry_after], &[]),
+        requests[0].encode_response(400, "Bad Call-ID"),
+        requests[1].encode_response(200, "OK"),
+        requests[2].encode_response(405, "Method Not Allowed"),
+        Request::encode_bye("00000000000000a1", 16),
+        Request::encode_bye("00000000000000a2", 41),
     ]
 }
 
 #[test]
-fn writes_every_kind_of_message_as_pinned() {
-    let written = written_messages().concat();
-    assert_eq!(String::from_utf8_lossy(&written), String::from_utf8_lossy(FRONT_STREAM));
-    assert_eq!(written, FRONT_STREAM);
+fn encodes_every_kind_of_message_as_pinned() {
+    let encoded = encoded_messages().concat();
+    assert_eq!(String::from_utf8_lossy(&encoded), String::from_utf8_lossy(FRONT_STREAM));
+    assert_eq!(encoded, FRONT_STREAM);
 }
 
 #[test]
-fn reads_requests_as_pinned() {
-    let read: Vec<_> = caller_requests()
+fn decodes_requests_as_pinned() {
+    let decoded: Vec<_> = caller_requests()
         .into_iter()
         .map(|request| {
             let field = |name: &str| request.fields.get(name).unwrap_or("").to_string();
@@ -84,11 +85,11 @@
         ),
         (text("INFO"), text("tel:15550001"), text(""), None, text(""), none, text("")),
     ];
-    assert_eq!(read, expected);
+    assert_eq!(decoded, expected);
 }
 
 #[test]
-fn reads_responses_as_pinned() {
+fn decodes_responses_as_pinned() {
     let expected = [
         Message::Response(Response {
             status: 200,
@@ -97,13 +98,13 @@
         }),
         Message::Response(Response { status: 481, call_id: None, cseq: String::new() }),
     ];
-    assert_eq!(read_all(RESPONSE_STREAM), expected);
+    assert_eq!(decode_all(RESPONSE_STREAM), expected);
 }
 
 #[test]
-fn reads_back_what_it_writes_as_pinned() {
-    let read = read_all(FRONT_STREAM);
-    let statuses: Vec<Option<u16>> = read
+fn decodes_what_a_front_node_sends_as_pinned() {
+    let decoded = decode_all(FRONT_STREAM);
+    let statuses: Vec<Option<u16>> = decoded
         .iter()
         .map(|message| match message {
             Message::Response(response) => Some(response.status),
