--- a/crates/lilacpitch-net/src/clock.rs
+++ b/crates/lilacpitch-net/src/clock.rs
@@ -1,35 +1,36 @@
-//! The front's clock: Unix time at the start plus the monotonic time since, which no step of the machine's clock
-//! changes.
+//! A monotonic clock of Unix time: the system time at its start plus the monotonic time elapsed since, so
+//! that adjustments of the system clock don't affect it.
 
 use lilacpitch::interface::Nanos;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// Reads nanoseconds since 1970; never goes back.
+/// Reads the time in nanoseconds since the Unix epoch. Never goes backwards.
 #[derive(Debug, Clone, Copy)]
 pub struct Clock {
-    unix_ns: Nanos,
+    /// Unix time at `start`.
+    start_unix_ns: Nanos,
     start: Instant,
 }
 
 impl Clock {
-    /// Starts a clock at the machine's time.
+    /// Starts a clock at the system time.
     pub fn start() -> Self {
-        let since = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-        Clock { unix_ns: nanos(since), start: Instant::now() }
+        let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
+        Clock { start_unix_ns: nanos(since_epoch), start: Instant::now() }
     }
 
-    /// Nanoseconds since 1970.
+    /// Returns the current time in nanoseconds since the Unix epoch.
     pub fn now(&self) -> Nanos {
-        self.unix_ns + nanos(self.start.elapsed())
+        self.start_unix_ns + nanos(self.start.elapsed())
     }
 
-    /// Converts a moment for the runtime's timers.
+    /// Converts a time of this clock to an instant for the timers of the tokio runtime.
     pub fn instant(&self, at: Nanos) -> tokio::time::Instant {
-        (self.start + Duration::from_nanos(at.saturating_sub(self.unix_ns))).into()
+        (self.start + Duration::from_nanos(at.saturating_sub(self.start_unix_ns))).into()
     }
 }
 
-/// Saturates after some 584 years.
+/// Converts a duration to nanoseconds; saturates after about 584 years.
 fn nanos(duration: Duration) -> Nanos {
     duration.as_nanos().try_into().unwrap_or(Nanos::MAX)
 }
--- a/crates/lilacpitch-net/src/closing.rs
+++ b/crates/lilacpitch-net/src/closing.rs
@@ -1,7 +1,8 @@
-//! Connections that have ended for their owner and still flush their last bytes.
+//! Connections whose end was reported to their owner and that still flush their last bytes.
 //!
-//! Closing a socket with unread input resets it, and the other end may lose what it was just sent. So the last bytes
-//! are written, and input is discarded until the other end closes. [`DrainQuota`] bounds how many do so at a time.
+//! Closing a socket with unread input resets the connection, and the peer may lose what it was just sent. So
+//! the last bytes are written, and input is discarded until the peer closes. [`DrainQuota`] limits how many
+//! connections do so at a time.
 
 use crate::connection::READ_BYTES;
 use std::cell::Cell;
@@ -11,10 +12,10 @@
 use tokio::io::AsyncWriteExt;
 use tokio::net::TcpStream;
 
-/// How long the other end may take to read the last bytes and to close.
+/// How long the peer may take to read the last bytes and to close.
 const LINGER: Duration = Duration::from_millis(300);
 
-/// How many connections may drain at a time.
+/// Limits how many connections may drain at a time.
 #[derive(Debug)]
 pub struct DrainQuota {
     used: Cell<usize>,
@@ -22,12 +23,12 @@
 }
 
 impl DrainQuota {
-    /// A quota of `limit` connections.
+    /// Creates a quota of `limit` connections.
     pub fn new(limit: usize) -> Self {
         DrainQuota { used: Cell::new(0), limit }
     }
 
-    /// Takes a slot, if one is free.
+    /// Acquires a slot, if one is free.
     fn acquire(self: &Rc<Self>) -> Option<DrainSlot> {
         if self.used.get() >= self.limit {
             return None;
@@ -37,7 +38,7 @@
     }
 }
 
-/// A slot of the quota, given back when dropped.
+/// A slot of the quota, released when dropped.
 struct DrainSlot(Rc<DrainQuota>);
 
 impl Drop for DrainSlot {
@@ -46,20 +47,20 @@
     }
 }
 
-/// A connection that has ended for its owner, with the bytes that the other end is still to read.
+/// A connection whose end was reported to its owner, with the last bytes for its peer.
 pub struct ClosingConnection {
     pub(crate) stream: TcpStream,
-    /// What is still to be written.
+    /// The bytes that are still to be written.
     pub(crate) bytes: Vec<u8>,
-    /// Whether the other end is there to read it.
-    pub(crate) is_flushed: bool,
+    /// Whether `bytes` are to be written; else the socket is closed at once.
+    pub(crate) must_flush: bool,
 }
 
 impl ClosingConnection {
-    /// Writes what is left and waits for the other end to close, for [`LINGER`] at most. With the quota used up,
-    /// writes what the socket takes and closes at once.
+    /// Writes the remaining bytes and waits for the peer to close, for 300 ms at most. If the quota is used
+    /// up, writes what the socket accepts and closes at once.
     pub async fn drain(mut self, quota: &Rc<DrainQuota>) {
-        if !self.is_flushed {
+        if !self.must_flush {
             return;
         }
         let Some(_slot) = quota.acquire() else {
@@ -70,6 +71,7 @@
         let _ = tokio::time::timeout(LINGER, self.flush()).await;
     }
 
+    /// Writes the remaining bytes, closes the sending side, and discards input until the peer closes.
     async fn flush(&mut self) -> io::Result<()> {
         self.stream.write_all(&self.bytes).await?;
         self.stream.shutdown().await?;
@@ -80,11 +82,11 @@
     }
 }
 
-/// Reads and discards what is there; 0 once the other end has closed or the socket has failed.
+/// Reads and discards available input. Returns 0 once the peer has closed or the socket has failed.
 fn discard_input(stream: &TcpStream) -> io::Result<usize> {
     let mut buffer = [0; READ_BYTES];
     match stream.try_read(&mut buffer) {
         Err(e) if e.kind() != io::ErrorKind::WouldBlock => Ok(0),
-        other => other,
+        result => result,
     }
 }
--- a/crates/lilacpitch-net/src/connection.rs
+++ b/crates/lilacpitch-net/src/connection.rs
@@ -1,8 +1,8 @@
-//! One TCP connection: bytes to messages and messages to bytes, in one task that owns the socket.
+//! A TCP connection that carries messages both ways, run by one task that owns the socket.
 //!
-//! The owner holds the connection's [`Outbox`] and gets a [`ConnectionEvent`] for each message. When the connection
-//! has ended for its owner, a [`ClosingConnection`] still flushes the last bytes, so that a close does not discard
-//! them at the other end.
+//! The owner holds the connection's [`Outbox`] and receives a [`ConnectionEvent`] for each message. After the
+//! end of the connection is reported to the owner, a [`ClosingConnection`] flushes the last bytes, so that
+//! the peer does not lose them when the socket is closed.
 
 use crate::clock::Clock;
 use crate::closing::ClosingConnection;
@@ -14,31 +14,33 @@
 use tokio::net::TcpStream;
 use tokio::time::Instant;
 
-/// Most bytes taken from a socket by one read.
+/// Maximum number of bytes taken from a socket by one read.
 pub(crate) const READ_BYTES: usize = 16 * 1024;
-/// While messages wait for the owner, the socket is checked this often for a close by the other end.
+/// How often the socket is checked for a close by the peer while messages wait for the owner.
 const CLOSE_CHECK_INTERVAL: Duration = Duration::from_millis(20);
-/// Time for the runtime to show what has already arrived, on the first check of a connection that is to finish.
+/// How long the runtime may take to report input that has already arrived, when a connection is to be closed
+/// once all input is answered.
 const ARRIVAL_GRACE: Duration = Duration::from_millis(2);
 
-/// Turns the bytes of a stream into messages.
+/// Decodes a byte stream of one protocol into messages.
 pub trait Codec {
     /// A complete message.
     type Message;
-    /// Why the stream can't be read on.
+    /// Why the stream can't be decoded any further.
     type Error: std::error::Error;
     /// Appends bytes read from the stream.
     fn feed(&mut self, bytes: &[u8]);
     /// Returns the next complete message, or `None` until more bytes arrive.
     ///
     /// # Errors
-    /// Bytes that are no message of the protocol; the connection is to be closed.
+    /// Returns an error if the bytes are not a message of the protocol; the connection is then to be closed.
     fn next_message(&mut self) -> Result<Option<Self::Message>, Self::Error>;
     /// Whether a message has begun and is incomplete.
     fn has_partial_message(&self) -> bool;
-    /// The last bytes to send to a peer that caused this error, if any.
+    /// Returns the last bytes to send to a peer that caused this error, if any.
     fn final_response(error: &Self::Error) -> Option<Vec<u8>>;
-    /// Removes messages that others of the same batch, read together, have cancelled.
+    /// Removes messages that are cancelled by later ones of the same batch. A batch is what is decoded after
+    /// one read.
     fn remove_cancelled(_batch: &mut Vec<Self::Message>) {}
 }
 
@@ -46,7 +48,7 @@
 pub enum ConnectionEvent<M> {
     /// A message arrived.
     Message(M),
-    /// The outgoing message with this number was dropped unwritten: its last moment had passed.
+    /// The outgoing message with this number was dropped unwritten because its deadline had passed.
     MessageDropped(u64),
 }
 
@@ -54,72 +56,74 @@
 #[derive(Debug, Error)]
 pub enum EndReason<E> {
     /// The owner closed it at once.
-    #[error("cut off")]
+    #[error("closed immediately")]
     CutOff,
-    /// The owner closed it with its queue flushed.
-    #[error("done")]
+    /// The owner closed it to be flushed.
+    #[error("closed after flush")]
     Flushed,
-    /// The owner evicted it, and nothing had arrived.
+    /// The owner evicted it, and nothing unprocessed had arrived.
     #[error("evicted")]
     Evicted,
     /// The owner closed it, and all that had arrived is answered.
-    #[error("finished")]
+    #[error("closed after answers")]
     Finished,
-    /// The other end took too long over a message.
-    #[error("no whole message in time")]
+    /// The peer did not complete a message in time.
+    #[error("read timeout: no complete message")]
     ReadTimeout,
-    /// The other end closed.
-    #[error("closed by the other end")]
+    /// The peer closed it.
+    #[error("closed by peer")]
     ClosedByPeer,
-    /// Reading failed.
+    /// Reading from the socket failed.
     #[error("reading: {0}")]
     Read(#[source] io::Error),
-    /// Writing failed.
+    /// Writing to the socket failed.
     #[error("writing: {0}")]
     Write(#[source] io::Error),
-    /// A message was partly written at its last moment: only the connection's end keeps the rest back.
-    #[error("writing: a message was half written when its time was over")]
-    ExpiredInWriting,
-    /// What arrived is not of the agreed form.
+    /// The deadline of a partly written message passed: only closing the connection stops its remaining
+    /// bytes.
+    #[error("writing: deadline of a partly written message passed")]
+    PartialMessageExpired,
+    /// The peer sent bytes that are not a message of the protocol.
     #[error("{0}")]
     Malformed(E),
-    /// The owner takes no more events.
-    #[error("nobody listens")]
+    /// The owner accepts no more events.
+    #[error("owner stopped")]
     OwnerStopped,
 }
 
 /// How a connection ended.
 #[derive(Debug)]
 pub struct ConnectionEnd<E> {
-    /// Of the messages given to the connection, so many may have left, at least in part.
+    /// How many of the messages given to the connection were written, at least in part.
     pub written: u64,
     /// Why it ended.
     pub reason: EndReason<E>,
 }
 
-/// An open connection, and what it needs to run.
+/// An open connection that has yet to be run.
 pub struct Connection<C> {
     /// The socket.
     pub stream: TcpStream,
-    /// Decodes what arrives.
+    /// Decodes the input.
     pub codec: C,
-    /// Measures the last moments of outgoing messages.
+    /// The clock of the deadlines of outgoing messages.
     pub clock: Clock,
-    /// Limit for the first message to be complete, and for each that has begun; `None` for no limit.
+    /// How long the peer may take to complete its first message, and each later one that it has begun; `None`
+    /// for no limit.
     pub read_timeout: Option<Duration>,
-    /// Messages to write, and how to close.
+    /// The messages to write, and how to close the connection.
     pub outbox: Outbox,
 }
 
-/// Whether the other end has closed, and whom to notify.
+/// Whether the peer has closed the connection, and the callback for that.
 struct PeerState<F> {
     has_closed: bool,
     on_disconnect: F,
 }
 
 impl<F: Fn()> PeerState<F> {
-    /// Notifies the owner of a close, the first time.
-    fn note_closed(&mut self) {
+    /// Records a close by the peer, and notifies the owner of the first one.
+    fn record_closed(&mut self) {
         if !self.has_closed {
             self.has_closed = true;
             (self.on_disconnect)();
@@ -127,20 +131,22 @@
     }
 }
 
-/// What one wait for the socket, the outbox and the read deadline brought.
+/// The result of one wait for the socket, the outbox or the read deadline.
 enum Step<E> {
     /// Nothing to process: wait again.
     Continue,
-    /// Bytes went into the codec, or the read failed.
+    /// This many bytes were fed to the codec, or the read failed.
     Read(io::Result<usize>),
     /// The connection ends.
     End(EndReason<E>),
 }
 
 impl<C: Codec> Connection<C> {
-    /// Carries messages both ways until the connection ends or its outbox closes it. While `on_event` is pending,
-    /// nothing more is read; `false` from it ends the connection. `on_disconnect` is called as soon as the other end
-    /// has closed, though what it sent before may still be to be delivered, and again at the end.
+    /// Carries messages both ways until the connection ends or is closed through its outbox.
+    ///
+    /// While `on_event` is pending, nothing more is read; if it returns `false`, the connection ends.
+    /// `on_disconnect` is called as soon as the peer is known to have closed, even if messages that it sent
+    /// before are yet to be delivered, and again at the end.
     pub async fn run(
         mut self,
         on_disconnect: impl Fn(),
@@ -166,7 +172,7 @@
                 Some(CloseMode::Immediately) => return EndReason::CutOff,
                 Some(CloseMode::AfterFlush) => return EndReason::Flushed,
                 Some(CloseMode::IfIdle) => self.step_to_eviction(on_event).await,
-                Some(CloseMode::AfterAnswers) => self.step_to_finish(on_event).await,
+                Some(CloseMode::AfterAnswers) => self.step_to_answered(on_event).await,
                 None => self.step(read_deadline, peer, on_event).await,
             };
             match step {
@@ -189,7 +195,7 @@
         }
     }
 
-    /// Waits for one thing to happen on a connection that is to stay open.
+    /// Waits for the next step of a connection that is to stay open.
     async fn step(
         &mut self,
         read_deadline: Option<Instant>,
@@ -201,7 +207,7 @@
             ready = self.stream.ready(Interest::READABLE) => {
                 let read = ready.and_then(|ready| {
                     if ready.is_read_closed() {
-                        peer.note_closed();
+                        peer.record_closed();
                     }
                     self.read()
                 });
@@ -213,7 +219,7 @@
             ready = self.stream.writable(), if has_output => self.write(ready, on_event).await,
             () = self.outbox.changed() => Step::Continue,
             () = sleep_until(read_deadline), if read_deadline.is_some() => {
-                // After a stall of this process the message may be there, in time and unread.
+                // After a stall of this process, a message that arrived in time may still be unread.
                 tokio::task::yield_now().await;
                 match self.read() {
                     Err(e) if e.kind() == io::ErrorKind::WouldBlock => Step::End(EndReason::ReadTimeout),
@@ -223,19 +229,20 @@
         }
     }
 
-    /// Reads what has arrived by now on a connection that is to be evicted, and ends it where that is nothing.
+    /// Reads what has arrived on a connection that is to be evicted, or ends the connection if nothing has.
     async fn step_to_eviction(
         &mut self,
         on_event: &mut impl AsyncFnMut(ConnectionEvent<C::Message>) -> bool,
     ) -> Step<C::Error> {
         let has_output = self.outbox.queued().messages > 0;
-        // The runtime looks at the socket meanwhile.
+        // Lets the runtime poll the socket.
         tokio::task::yield_now().await;
         self.read_arrived(has_output, EndReason::Evicted, on_event).await
     }
 
-    /// Reads what has arrived by now on a connection that is to finish, and ends it once all of that is answered.
-    async fn step_to_finish(
+    /// Reads what has arrived on a connection that is to be closed after its answers, or ends the connection
+    /// once everything is answered.
+    async fn step_to_answered(
         &mut self,
         on_event: &mut impl AsyncFnMut(ConnectionEvent<C::Message>) -> bool,
     ) -> Step<C::Error> {
@@ -244,8 +251,8 @@
         self.read_arrived(has_output, EndReason::Finished, on_event).await
     }
 
-    /// Reads without waiting. Where nothing has arrived, the connection ends with `reason`, or waits while its owner
-    /// has messages to process or some are still to be written.
+    /// Reads without waiting. If nothing has arrived, ends the connection with `reason`, or waits if its
+    /// owner still has messages to process or some are still to be written.
     async fn read_arrived(
         &mut self,
         has_output: bool,
@@ -265,7 +272,7 @@
         }
     }
 
-    /// Delivers all complete messages; their count, or why the connection ends.
+    /// Delivers all complete messages. Returns their count, or why the connection ends.
     async fn deliver_messages(
         &mut self,
         peer: &mut PeerState<impl Fn()>,
@@ -276,15 +283,15 @@
         if count > 0 {
             self.outbox.cancel_eviction();
         }
-        let is_owner_listening = self.deliver_batch(batch, peer, on_event).await;
+        let is_owner_running = self.deliver_batch(batch, peer, on_event).await;
         match error {
             Some(error) => Err(EndReason::Malformed(error)),
-            None if !is_owner_listening => Err(EndReason::OwnerStopped),
+            None if !is_owner_running => Err(EndReason::OwnerStopped),
             None => Ok(count),
         }
     }
 
-    /// Decodes all complete messages, up to the first error.
+    /// Decodes all complete messages up to the first error.
     fn decode_batch(&mut self) -> (Vec<C::Message>, Option<C::Error>) {
         let mut batch = Vec::new();
         let error = loop {
@@ -298,48 +305,49 @@
         (batch, error)
     }
 
-    /// Delivers messages one by one, watching for a close by the other end; `false` once the owner takes no more.
+    /// Delivers messages one by one, checking for a close by the peer meanwhile. Returns `false` once the
+    /// owner accepts no more.
     async fn deliver_batch(
         &self,
         batch: Vec<C::Message>,
         peer: &mut PeerState<impl Fn()>,
         on_event: &mut impl AsyncFnMut(ConnectionEvent<C::Message>) -> bool,
     ) -> bool {
-        // All at once: what is read and waits here counts as unprocessed.
-        batch.iter().for_each(|_| self.outbox.note_received());
+        // Counts the whole batch at once, since messages that wait here are unprocessed too.
+        batch.iter().for_each(|_| self.outbox.record_received());
         for message in batch {
             let mut delivery = std::pin::pin!(on_event(ConnectionEvent::Message(message)));
-            let is_owner_listening = loop {
+            let is_owner_running = loop {
                 tokio::select! {
                     biased;
-                    is_owner_listening = &mut delivery => break is_owner_listening,
+                    is_owner_running = &mut delivery => break is_owner_running,
                     () = tokio::time::sleep(CLOSE_CHECK_INTERVAL), if !peer.has_closed => {
                         if is_read_closed(&self.stream).await {
-                            peer.note_closed();
+                            peer.record_closed();
                         }
                     }
                 }
             };
-            if !is_owner_listening {
+            if !is_owner_running {
                 return false;
             }
         }
         true
     }
 
-    /// Sets the deadline anew after a read that completed `count` messages.
+    /// Updates the read deadline after a read that completed `count` messages.
     fn update_read_deadline(&self, deadline: &mut Option<Instant>, count: usize) {
         let Some(timeout) = self.read_timeout else { return };
         let has_partial = self.codec.has_partial_message();
         if count > 0 {
-            // A complete message shows good will; what has begun since is timed anew.
+            // A completed message ends its own deadline; one that has begun since gets the full time.
             *deadline = has_partial.then(|| Instant::now() + timeout);
         } else if has_partial && deadline.is_none() {
             *deadline = Some(Instant::now() + timeout);
         }
     }
 
-    /// Reads what is there into the codec. The buffer is not kept while a connection waits.
+    /// Feeds available input to the codec. The read buffer is not retained while a connection waits.
     fn read(&mut self) -> io::Result<usize> {
         let mut buffer = [0; READ_BYTES];
         let count = self.stream.try_read(&mut buffer)?;
@@ -347,7 +355,7 @@
         Ok(count)
     }
 
-    /// Writes what the socket takes, and reports messages that were dropped.
+    /// Writes as much as the socket accepts, and reports messages that were dropped.
     async fn write(
         &self,
         ready: io::Result<()>,
@@ -356,7 +364,7 @@
         let now = self.clock.now();
         let progress = ready.and_then(|()| self.outbox.write(now, |bytes| self.stream.try_write(bytes)));
         match progress {
-            Ok(progress) if progress.is_expired_in_writing => Step::End(EndReason::ExpiredInWriting),
+            Ok(progress) if progress.is_partial_expired => Step::End(EndReason::PartialMessageExpired),
             Ok(progress) => {
                 for number in progress.expired {
                     on_event(ConnectionEvent::MessageDropped(number)).await;
@@ -367,28 +375,30 @@
         }
     }
 
+    /// Separates what is reported to the owner from the connection that still has to be closed.
     fn end(
         self,
         reason: EndReason<C::Error>,
-        is_peer_closed: bool,
+        has_peer_closed: bool,
     ) -> (ConnectionEnd<C::Error>, ClosingConnection) {
         let outbox = &self.outbox;
-        let is_flushed = !is_peer_closed && outbox.close_mode() != Some(CloseMode::Immediately);
+        let must_flush = !has_peer_closed && outbox.close_mode() != Some(CloseMode::Immediately);
         let written = outbox.written();
-        // What was queued before the end goes out too, if the other end reads at all.
-        let mut bytes = if is_flushed { outbox.take_final_bytes() } else { Vec::new() };
+        // Messages that were queued before the end are still written, if the peer reads.
+        let mut bytes = if must_flush { outbox.take_final_bytes() } else { Vec::new() };
         if let EndReason::Malformed(error) = &reason {
             bytes.extend(C::final_response(error).unwrap_or_default());
         }
-        (ConnectionEnd { written, reason }, ClosingConnection { stream: self.stream, bytes, is_flushed })
+        (ConnectionEnd { written, reason }, ClosingConnection { stream: self.stream, bytes, must_flush })
     }
 }
 
+/// Sleeps until the deadline; must not be polled without one.
 async fn sleep_until(deadline: Option<Instant>) {
     tokio::time::sleep_until(deadline.unwrap_or_else(Instant::now)).await;
 }
 
-/// Whether the other end has closed, though what it sent before may be unread.
+/// Whether the peer has closed, even if data that it sent before is unread.
 async fn is_read_closed(stream: &TcpStream) -> bool {
     tokio::select! {
         biased;
--- a/crates/lilacpitch-net/src/lib.rs
+++ b/crates/lilacpitch-net/src/lib.rs
@@ -1,8 +1,8 @@
-//! What the shells around lilacpitch's cores share: the clock, the timer queue, stall detection, and connections
-//! with their outboxes.
+//! Building blocks for the I/O layers of lilacpitch's programs: a clock, a timer queue, stall detection, and
+//! TCP connections with their queues of outgoing messages.
 //!
-//! Nothing here knows a protocol or decides anything: a [`Codec`] brings the protocol, and the owner of a
-//! [`Connection`] decides what is sent, cancelled and closed.
+//! Nothing here depends on a protocol or makes decisions: a [`Codec`] supplies the protocol, and the owner of
+//! a [`Connection`] decides what is sent, cancelled and closed.
 #![forbid(unsafe_code)]
 
 mod addresses;
--- a/crates/lilacpitch-net/src/stall.rs
+++ b/crates/lilacpitch-net/src/stall.rs
@@ -1,30 +1,35 @@
-//! Detects stalls of the process: a late timer shows that it did not run, so what is read next may have waited.
+//! Detects stalls of the process. A timer that fires late shows that the process was not running, so input
+//! that is read soon afterwards may have waited for that long.
 
 use lilacpitch::interface::Nanos;
 
-/// For so long after a stall, what is read may have waited through it.
+/// For this long after a stall, input may be read that arrived during it.
 const CATCH_UP_NS: Nanos = 100_000_000;
 
-/// The last stall of this process, and until when it may have kept messages waiting.
+/// Remembers the last stall of this process.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct StallDetector {
-    span_ns: Nanos,
-    until_ns: Nanos,
+    /// How long the stall lasted.
+    duration_ns: Nanos,
+    /// Until when input may be read that arrived during the stall.
+    caught_up_ns: Nanos,
 }
 
 impl StallDetector {
-    /// Notes by how much the first timer is late; a delay of up to `usual_ns` is no stall.
-    pub fn note(&mut self, now: Nanos, first_due: Option<Nanos>, usual_ns: Nanos) {
+    /// Records a stall if the next timer, due at `first_due`, is late by more than `tolerance_ns`.
+    pub fn note(&mut self, now: Nanos, first_due: Option<Nanos>, tolerance_ns: Nanos) {
         let late_ns = first_due.map_or(0, |due| now.saturating_sub(due));
-        if late_ns > usual_ns {
-            *self = StallDetector { span_ns: late_ns.max(self.span_ns(now)), until_ns: now + CATCH_UP_NS };
+        if late_ns > tolerance_ns {
+            let duration_ns = late_ns.max(self.span_ns(now));
+            *self = StallDetector { duration_ns, caught_up_ns: now + CATCH_UP_NS };
         }
     }
 
-    /// How long what is read now may have waited, in nanoseconds.
+    /// Returns how long input that is read now may have waited, in nanoseconds; 0 if there was no recent
+    /// stall.
     pub fn span_ns(&self, now: Nanos) -> Nanos {
-        if now < self.until_ns {
-            self.span_ns
+        if now < self.caught_up_ns {
+            self.duration_ns
         } else {
             0
         }
--- a/crates/lilacpitch-net/src/timers.rs
+++ b/crates/lilacpitch-net/src/timers.rs
@@ -1,66 +1,67 @@
-//! A timer queue: one entry for each key, in the order in which they are due.
+//! A timer queue with at most one timer for each key, ordered by due time.
 
 use lilacpitch::interface::Nanos;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Timers by key, which says what each is for. Ties are ordered by key.
+/// A queue of timers. The key of a timer identifies its purpose; timers due at the same time fire in key
+/// order.
 #[derive(Debug)]
 pub struct Timers<K> {
-    due: BTreeSet<(Nanos, K)>,
-    set: BTreeMap<K, Nanos>,
+    by_due_time: BTreeSet<(Nanos, K)>,
+    due_by_key: BTreeMap<K, Nanos>,
 }
 
 impl<K> Default for Timers<K> {
     fn default() -> Self {
-        Timers { due: BTreeSet::new(), set: BTreeMap::new() }
+        Timers { by_due_time: BTreeSet::new(), due_by_key: BTreeMap::new() }
     }
 }
 
 impl<K: Ord + Copy> Timers<K> {
-    /// Sets a timer, in place of an earlier setting.
+    /// Sets a timer to fire at `at`, replacing its earlier due time.
     pub fn set(&mut self, timer: K, at: Nanos) {
         self.clear(timer);
-        self.set.insert(timer, at);
-        self.due.insert((at, timer));
+        self.due_by_key.insert(timer, at);
+        self.by_due_time.insert((at, timer));
     }
 
-    /// Sets a timer, unless it is due sooner already.
+    /// Sets a timer to fire at `at`, unless it is already due sooner.
     pub fn set_no_later(&mut self, timer: K, at: Nanos) {
-        self.set(timer, self.at(timer).map_or(at, |before| before.min(at)));
+        self.set(timer, self.at(timer).map_or(at, |current| current.min(at)));
     }
 
     /// Cancels a timer.
     pub fn clear(&mut self, timer: K) {
-        if let Some(at) = self.set.remove(&timer) {
-            self.due.remove(&(at, timer));
+        if let Some(at) = self.due_by_key.remove(&timer) {
+            self.by_due_time.remove(&(at, timer));
         }
     }
 
-    /// When a timer is due, if it is set.
+    /// Returns when a timer is due, if it is set.
     pub fn at(&self, timer: K) -> Option<Nanos> {
-        self.set.get(&timer).copied()
+        self.due_by_key.get(&timer).copied()
     }
 
-    /// When the first timer is due.
+    /// Returns when the next timer is due, if any is set.
     pub fn first(&self) -> Option<Nanos> {
-        self.due.first().map(|(at, _)| *at)
+        self.by_due_time.first().map(|(at, _)| *at)
     }
 
-    /// Removes and returns the first timer that is due by now.
+    /// Removes and returns the next timer if it is due at `now`.
     pub fn pop_due(&mut self, now: Nanos) -> Option<K> {
-        let (at, timer) = self.due.first().copied().filter(|(at, _)| *at <= now)?;
-        self.due.remove(&(at, timer));
-        self.set.remove(&timer);
+        let (at, timer) = self.by_due_time.first().copied().filter(|(at, _)| *at <= now)?;
+        self.by_due_time.remove(&(at, timer));
+        self.due_by_key.remove(&timer);
         Some(timer)
     }
 
-    /// Number of timers that are set.
+    /// Returns the number of timers that are set.
     pub fn len(&self) -> usize {
-        self.set.len()
+        self.due_by_key.len()
     }
 
-    /// Whether none is set.
+    /// Whether no timer is set.
     pub fn is_empty(&self) -> bool {
-        self.set.is_empty()
+        self.due_by_key.is_empty()
     }
 }
--- a/crates/lilacpitch-net/tests/connection.rs
+++ b/crates/lilacpitch-net/tests/connection.rs
@@ -1,5 +1,5 @@
-//! Connections on real sockets in the moments in which they close or a message is cancelled. The peer reads, stops
-//! reading, writes and closes on command.
+//! Connections on real sockets while they close or a message is cancelled. Each test controls when the peer
+//! reads, writes and closes, and when the owner processes messages.
 
 use lilacpitch_net::{
     CancelOutcome, Clock, CloseMode, Codec, Connection, ConnectionEnd, ConnectionEvent, DrainQuota, Outbox,
@@ -15,11 +15,11 @@
 use tokio::sync::Notify;
 use tokio::task::{spawn_local, JoinHandle, LocalSet};
 
-/// Far more than the kernel buffers between two ends.
+/// Far more than the kernel buffers for one connection.
 const LONG_BYTES: usize = 1024 * 1024;
 const TIMEOUT: Duration = Duration::from_secs(20);
 
-/// A line is a message.
+/// A protocol in which each line is a message.
 #[derive(Default)]
 struct Lines(Vec<u8>);
 
@@ -54,7 +54,7 @@
     received: Rc<RefCell<Vec<String>>>,
     dropped: Rc<RefCell<Vec<u64>>>,
     is_disconnected: Rc<Cell<bool>>,
-    /// Whether the owner processes messages.
+    /// Whether the owner processes messages; else it waits for `resumed`.
     is_processing: Rc<Cell<bool>>,
     resumed: Rc<Notify>,
     end: JoinHandle<ConnectionEnd<Infallible>>,
@@ -75,18 +75,18 @@
         let (is_processing, resumed) = (Rc::new(Cell::new(true)), Rc::new(Notify::new()));
         let connection =
             Connection { stream, codec: Lines::default(), clock, read_timeout: None, outbox: outbox.clone() };
-        let own = (outbox.clone(), received.clone(), dropped.clone(), is_disconnected.clone());
+        let shared = (outbox.clone(), received.clone(), dropped.clone(), is_disconnected.clone());
         let (may_process, on_resume) = (is_processing.clone(), resumed.clone());
         let end = spawn_local(async move {
-            let (outbox, received, dropped, is_disconnected) = own;
+            let (outbox, received, dropped, is_disconnected) = shared;
             let on_event = async |event: ConnectionEvent<String>| {
                 match event {
                     ConnectionEvent::Message(line) => {
                         while !may_process.get() {
                             on_resume.notified().await;
                         }
-                        if line.starts_with("ask") {
-                            // The owner answers in the step that processes the message.
+                        if line.starts_with("request") {
+                            // The owner answers while it processes the message.
                             outbox.push(OutgoingMessage {
                                 number: 0,
                                 bytes: b"answer\n".to_vec(),
@@ -94,7 +94,7 @@
                             });
                         }
                         received.borrow_mut().push(line);
-                        outbox.note_processed();
+                        outbox.record_processed();
                     }
                     ConnectionEvent::MessageDropped(number) => dropped.borrow_mut().push(number),
                 }
@@ -118,7 +118,7 @@
         }
     }
 
-    /// Queues a message that repeats one letter; its number.
+    /// Queues a message that repeats one letter, and returns its number.
     fn push(&mut self, letter: u8, bytes: usize, not_after_ns: Option<u64>) -> u64 {
         let number = self.next_number;
         self.next_number += 1;
@@ -131,57 +131,65 @@
     }
 
     /// Queues a message larger than the kernel's buffers: it stays partly written until the peer reads.
-    async fn fill(&mut self) -> u64 {
+    async fn fill_socket(&mut self) -> u64 {
         let number = self.push(b'.', LONG_BYTES, None);
         self.wait_until_stable().await;
         let QueueSize { messages, bytes } = self.outbox.queued();
-        assert!(messages == 1 && bytes > 0 && bytes < LONG_BYTES, "{messages} messages, {bytes} bytes wait");
+        assert!(
+            messages == 1 && bytes > 0 && bytes < LONG_BYTES,
+            "{messages} messages, {bytes} bytes queued"
+        );
         number
     }
 
     /// Waits until the queue no longer changes.
     async fn wait_until_stable(&self) {
-        let mut before = QueueSize { messages: usize::MAX, bytes: usize::MAX };
-        while before != self.outbox.queued() {
-            before = self.outbox.queued();
+        let mut previous = QueueSize { messages: usize::MAX, bytes: usize::MAX };
+        while previous != self.outbox.queued() {
+            previous = self.outbox.queued();
             tokio::time::sleep(Duration::from_millis(30)).await;
         }
     }
 
-    /// The owner processes messages again.
+    /// Lets the owner process messages again.
     fn resume_processing(&self) {
         self.is_processing.set(true);
         self.resumed.notify_one();
     }
 
-    /// All that the peer reads until the end; an error where the connection was reset.
+    /// Reads as the peer to the end of the stream; returns an error if the connection was reset.
     async fn read_all(&mut self) -> std::io::Result<Vec<u8>> {
         let mut bytes = Vec::new();
-        tokio::time::timeout(TIMEOUT, self.peer.read_to_end(&mut bytes)).await.expect("an end")?;
-        // It closes in its turn.
+        tokio::time::timeout(TIMEOUT, self.peer.read_to_end(&mut bytes))
+            .await
+            .expect("no end of stream in time")?;
+        // The peer closes its side too.
         self.peer.shutdown().await?;
         Ok(bytes)
     }
 
     async fn read_line(&mut self, bytes: usize) -> Vec<u8> {
         let mut line = vec![0; bytes + 1];
-        tokio::time::timeout(TIMEOUT, self.peer.read_exact(&mut line)).await.expect("in time").unwrap();
+        tokio::time::timeout(TIMEOUT, self.peer.read_exact(&mut line))
+            .await
+            .expect("no line in time")
+            .unwrap();
         line
     }
 }
 
 async fn wait_until(condition: impl Fn() -> bool) {
-    let done = async {
+    let poll = async {
         while !condition() {
             tokio::time::sleep(Duration::from_millis(2)).await;
         }
     };
-    tokio::time::timeout(TIMEOUT, done).await.expect("in time");
+    tokio::time::timeout(TIMEOUT, poll).await.expect("condition not met in time");
 }
 
-fn run_local<F: Future<Output = ()>>(connection: impl FnOnce() -> F) {
+fn run_local<F: Future<Output = ()>>(test: impl FnOnce() -> F) {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
-    LocalSet::new().block_on(&runtime, connection());
+    LocalSet::new().block_on(&runtime, test());
 }
 
 fn count_byte(bytes: &[u8], letter: u8) -> usize {
@@ -192,16 +200,12 @@
 fn removes_cancelled_message_before_its_first_byte() {
     run_local(|| async {
         let mut connection = TestConnection::new().await;
-        connection.fill().await;
+        connection.fill_socket().await;
         let (first, _second) = (connection.push(b'a', 100, None), connection.push(b'b', 100, None));
         assert_eq!(connection.outbox.cancel(first), CancelOutcome::Removed);
-        assert_eq!(
-            connection.outbox.cancel(first),
-            CancelOutcome::AlreadyWritten,
-            "it is not there any more"
-        );
+        assert_eq!(connection.outbox.cancel(first), CancelOutcome::AlreadyWritten, "no longer queued");
         connection.read_line(LONG_BYTES).await;
-        assert_eq!(count_byte(&connection.read_line(100).await, b'b'), 100, "the next one follows");
+        assert_eq!(count_byte(&connection.read_line(100).await, b'b'), 100, "the second message is written");
     });
 }
 
@@ -209,7 +213,7 @@
 fn only_a_close_stops_a_partly_written_message() {
     run_local(|| async {
         let mut connection = TestConnection::new().await;
-        let number = connection.fill().await;
+        let number = connection.fill_socket().await;
         connection.push(b'a', 100, None);
         assert_eq!(connection.outbox.cancel(number), CancelOutcome::PartlyWritten);
         connection.outbox.close(CloseMode::Immediately);
@@ -219,7 +223,11 @@
                 && count_byte(&read, b'\n') == 0
                 && count_byte(&read, b'a') == 0
         );
-        assert_eq!(connection.end.await.unwrap().written, number + 1, "it may have been read in part");
+        assert_eq!(
+            connection.end.await.unwrap().written,
+            number + 1,
+            "a partly written message counts as written"
+        );
     });
 }
 
@@ -234,15 +242,19 @@
 }
 
 #[test]
-fn drops_and_reports_a_queued_message_past_its_last_moment() {
+fn drops_and_reports_a_queued_message_past_its_deadline() {
     run_local(|| async {
         let mut connection = TestConnection::new().await;
-        connection.fill().await;
-        let late = connection.push(b'a', 100, Some(connection.clock.now()));
+        connection.fill_socket().await;
+        let expired = connection.push(b'a', 100, Some(connection.clock.now()));
         connection.push(b'b', 100, Some(u64::MAX));
         connection.read_line(LONG_BYTES).await;
-        assert_eq!(count_byte(&connection.read_line(100).await, b'b'), 100, "the late one never leaves");
-        assert_eq!(*connection.dropped.borrow(), [late]);
+        assert_eq!(
+            count_byte(&connection.read_line(100).await, b'b'),
+            100,
+            "the expired message is not written"
+        );
+        assert_eq!(*connection.dropped.borrow(), [expired]);
     });
 }
 
@@ -250,20 +262,20 @@
 fn closes_when_a_partly_written_message_expires() {
     run_local(|| async {
         let mut connection = TestConnection::new().await;
-        let until_ns = connection.clock.now() + 50_000_000;
-        connection.push(b'a', LONG_BYTES, Some(until_ns));
+        let deadline_ns = connection.clock.now() + 50_000_000;
+        connection.push(b'a', LONG_BYTES, Some(deadline_ns));
         connection.wait_until_stable().await;
-        wait_until(|| connection.clock.now() > until_ns).await;
+        wait_until(|| connection.clock.now() > deadline_ns).await;
         let read = connection.read_all().await.unwrap_or_default();
-        assert!(count_byte(&read, b'a') < LONG_BYTES && count_byte(&read, b'\n') == 0, "never whole");
+        assert!(count_byte(&read, b'a') < LONG_BYTES && count_byte(&read, b'\n') == 0, "never complete");
     });
 }
 
 #[test]
-fn close_flushes_only_messages_without_a_last_moment() {
+fn close_flushes_only_messages_without_a_deadline() {
     run_local(|| async {
         let mut connection = TestConnection::new().await;
-        connection.fill().await;
+        connection.fill_socket().await;
         connection.push(b'a', 100, Some(u64::MAX));
         connection.push(b'b', 100, None);
         connection.outbox.close(CloseMode::AfterFlush);
@@ -276,7 +288,7 @@
 fn unread_input_does_not_discard_the_final_response() {
     run_local(|| async {
         let mut connection = TestConnection::new().await;
-        // All was written; what the other end says meanwhile is not read any more.
+        // Everything is written; what the peer sends meanwhile is no longer read.
         connection.push(b'a', 100, None);
         connection.wait_until_stable().await;
         connection.outbox.close(CloseMode::AfterFlush);
@@ -290,14 +302,14 @@
 fn message_that_crosses_an_eviction_cancels_it() {
     run_local(|| async {
         let mut connection = TestConnection::new().await;
-        // The bytes are there first, the eviction is said before anybody looked.
+        // The bytes have arrived before the eviction is requested, but are unread.
         connection.peer.write_all(b"call\n").await.unwrap();
         connection.outbox.close(CloseMode::IfIdle);
         wait_until(|| connection.received.borrow().len() == 1).await;
         connection.push(b'a', 100, None);
         connection.read_line(100).await;
-        assert_eq!(connection.outbox.close_mode(), None, "it goes on");
-        // The other order: nothing was there, and it is closed in order.
+        assert_eq!(connection.outbox.close_mode(), None, "the connection stays open");
+        // Nothing has arrived before this eviction, so the connection is closed gracefully.
         connection.outbox.close(CloseMode::IfIdle);
         assert_eq!(connection.read_all().await.unwrap(), b"");
         assert_eq!(connection.end.await.unwrap().reason.to_string(), "evicted");
@@ -308,7 +320,7 @@
 fn partial_message_does_not_cancel_an_eviction() {
     run_local(|| async {
         let mut connection = TestConnection::new().await;
-        connection.peer.write_all(b"half of one").await.unwrap();
+        connection.peer.write_all(b"partial").await.unwrap();
         connection.outbox.close(CloseMode::IfIdle);
         assert_eq!(connection.read_all().await.unwrap(), b"");
         assert_eq!(connection.end.await.unwrap().reason.to_string(), "evicted");
@@ -323,7 +335,7 @@
         connection.peer.write_all(b"one\ntwo\n").await.unwrap();
         wait_until(|| connection.outbox.unprocessed() == 2).await;
         connection.outbox.close(CloseMode::IfIdle);
-        // The owner processes them and cancels the eviction, as the driver does.
+        // The owner cancels the eviction and processes the messages, as the driver does.
         connection.outbox.cancel_eviction();
         connection.resume_processing();
         wait_until(|| connection.received.borrow().len() == 2).await;
@@ -333,14 +345,14 @@
 }
 
 #[test]
-fn answers_all_received_messages_before_finishing() {
+fn answers_all_received_messages_before_closing() {
     run_local(|| async {
         let mut connection = TestConnection::new().await;
         connection.is_processing.set(false);
-        connection.peer.write_all(b"ask one\n").await.unwrap();
+        connection.peer.write_all(b"request one\n").await.unwrap();
         wait_until(|| connection.outbox.unprocessed() == 1).await;
-        // This one lies in the receive buffer, behind the one whose owner is busy.
-        connection.peer.write_all(b"ask two\n").await.unwrap();
+        // This message waits in the receive buffer while the owner is busy with the first.
+        connection.peer.write_all(b"request two\n").await.unwrap();
         connection.outbox.close(CloseMode::AfterAnswers);
         connection.resume_processing();
         assert_eq!(connection.read_all().await.unwrap(), b"answer\nanswer\n");
@@ -348,19 +360,19 @@
 }
 
 #[test]
-fn slow_reader_gets_all_output_before_finishing() {
+fn slow_reader_gets_all_output_before_the_close() {
     run_local(|| async {
         let mut connection = TestConnection::new().await;
-        connection.fill().await;
+        connection.fill_socket().await;
         connection.outbox.close(CloseMode::AfterAnswers);
-        // Longer than a connection that is closed lingers.
+        // Longer than a closing connection waits for its peer.
         tokio::time::sleep(Duration::from_millis(700)).await;
         assert_eq!(count_byte(&connection.read_all().await.unwrap(), b'.'), LONG_BYTES);
     });
 }
 
 #[test]
-fn reports_a_close_ahead_of_unprocessed_messages() {
+fn reports_a_close_before_unprocessed_messages_are_processed() {
     run_local(|| async {
         let mut connection = TestConnection::new().await;
         connection.is_processing.set(false);
@@ -369,10 +381,10 @@
         connection.peer.write_all(b"three\n").await.unwrap();
         connection.peer.shutdown().await.unwrap();
         wait_until(|| connection.is_disconnected.get()).await;
-        assert!(connection.received.borrow().is_empty(), "ahead of what waits");
+        assert!(connection.received.borrow().is_empty(), "reported only after the messages");
         connection.resume_processing();
         wait_until(|| connection.end.is_finished()).await;
-        assert_eq!(connection.end.await.unwrap().reason.to_string(), "closed by the other end");
+        assert_eq!(connection.end.await.unwrap().reason.to_string(), "closed by peer");
         assert_eq!(*connection.received.borrow(), ["one", "two", "three"]);
     });
 }
--- a/crates/lilacpitch-node/src/net/driver.rs
+++ b/crates/lilacpitch-node/src/net/driver.rs
@@ -164,7 +164,7 @@
         match &input {
             Input::CallerMessage(caller, _) => {
                 if let Some(connection) = self.callers.get(caller) {
-                    connection.outbox.note_processed();
+                    connection.outbox.record_processed();
                     connection.outbox.cancel_eviction();
                     self.evicting.remove(caller);
                 }
