--- a/crates/lilacpitch-node/src/config.rs
+++ b/crates/lilacpitch-node/src/config.rs
@@ -1,7 +1,7 @@
-//! The configuration file of a node, and how its descriptors are shared out.
+//! The configuration file of a node, and how file descriptors are divided among the kinds of connections.
 //!
-//! The file is one JSON object; its keys are the platform's. Errors name file, field and problem, so that an operator
-//! can mend the file.
+//! The file is one JSON object with keys defined by the platform. Errors name the file, the field and the
+//! problem, so that an operator can correct the file.
 
 use crate::coordinator::{self, PollResponse, PollResponseError};
 use lilacpitch::settings::Site;
@@ -11,26 +11,26 @@
 use std::num::ParseIntError;
 use thiserror::Error;
 
-/// Why a configuration can't be used.
+/// Why a configuration can't be loaded.
 #[derive(Debug, Error)]
 pub enum ConfigError {
-    /// The file can't be read: mend its path or its permissions.
+    /// The file can't be read: check its path and permissions.
     #[error("{file}: {error}")]
     Unreadable {
         /// Path of the file.
         file: String,
-        /// Why not.
+        /// The error of the read.
         #[source]
         error: std::io::Error,
     },
-    /// A field is missing or can't be used: mend it in the file.
+    /// A field is missing or invalid.
     #[error("{file}: {field}: {problem}")]
     Field {
         /// Path of the file.
         file: String,
         /// Path of the field within the file.
         field: String,
-        /// What is wrong with it.
+        /// What is wrong with the field.
         #[source]
         problem: FieldProblem,
     },
@@ -39,72 +39,73 @@
 /// What is wrong with a field.
 #[derive(Debug, Error)]
 pub enum FieldProblem {
-    /// The file is not JSON, or lacks a key.
+    /// The file is not JSON, lacks a key, or has a value of the wrong type.
     #[error(transparent)]
     Json(#[from] serde_json::Error),
-    /// A setting is missing or out of its range.
+    /// A setting is missing or out of range.
     #[error("{0}")]
     Setting(String),
-    /// The coordinator's events so far can't be read.
+    /// The coordinator's events that are known from the start are malformed.
     #[error(transparent)]
     KnownEvents(#[from] PollResponseError),
-    /// Not a number in hexadecimal.
+    /// The seed is not a hexadecimal number.
     #[error(transparent)]
     Seed(#[from] ParseIntError),
-    /// A limit under what a node needs.
-    #[error("a node needs {minimum} at least")]
+    /// A limit is lower than a node needs.
+    #[error("must be at least {minimum}")]
     LimitTooLow {
-        /// The least that works.
+        /// Lowest valid value.
         minimum: u64,
     },
 }
 
-/// Limits on the process.
+/// Resource limits of the process.
 #[derive(Debug, Clone, Copy, Deserialize)]
 pub struct Limits {
-    /// Descriptors that the process may hold open.
+    /// Number of file descriptors that the process may hold open.
     pub sockets: usize,
     /// Memory that the process may use, in MiB; `None` for no limit.
     #[serde(default)]
     pub memory_mb: Option<u64>,
 }
 
-/// How many connections of each kind a node may hold, so that none starves another.
+/// How many connections of each kind a node may hold, so that no kind starves another.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Budget {
-    /// Connections of callers.
+    /// Callers' connections.
     pub callers: usize,
-    /// Closed connections that wait for the other end to read the last bytes.
+    /// Closed connections that wait for their peer to read the last bytes.
     pub draining: usize,
-    /// Connections to servers, beyond one to each.
+    /// Connections to servers, beyond the first one to each.
     pub upstreams: usize,
 }
 
-/// Descriptors that are neither callers' nor servers': the runtime's own, the listener, the coordinator, spare.
+/// Descriptors reserved for the runtime, the listener, the coordinator's connection and spare ones.
 const OTHER_SOCKETS: usize = 32;
-/// One descriptor in so many is for connections to servers.
+/// One in this many descriptors is for connections to servers.
 const UPSTREAM_FRACTION: usize = 8;
-/// One in so many of the others is for closed connections whose last bytes are unread.
+/// One in this many of the remaining descriptors is for closed connections that are still draining.
 const DRAINING_FRACTION: usize = 8;
-/// With fewer descriptors, those kept back would leave too few to serve callers.
+/// Lowest descriptor limit: with fewer, the reserved ones would leave too few for callers.
 const MIN_SOCKETS: usize = 2 * OTHER_SOCKETS;
-/// More than an idle node uses, in MiB.
+/// Lowest memory limit in MiB: more than an idle node uses.
 const MIN_MEMORY_MB: u64 = 8;
-/// Memory of one caller's connection, in KiB: a partial message and unread responses. Callers get half of the limit.
+/// Memory of one caller's connection in KiB: a partial message and unread responses. Callers may use half of
+/// the memory limit.
 const KIB_PER_CALLER: u64 = 32;
 
 impl Limits {
-    /// Shares the descriptors out.
+    /// Divides the descriptors among the kinds of connections.
     pub fn budget(&self) -> Budget {
         let upstreams = self.sockets / UPSTREAM_FRACTION;
-        let rest = self.sockets.saturating_sub(upstreams).saturating_sub(OTHER_SOCKETS);
-        let draining = rest / DRAINING_FRACTION;
-        let by_memory = self.memory_mb.map_or(u64::MAX, |mb| mb.saturating_mul(1024) / 2 / KIB_PER_CALLER);
-        let callers = (rest - draining).min(usize::try_from(by_memory).unwrap_or(usize::MAX));
+        let remaining = self.sockets.saturating_sub(upstreams).saturating_sub(OTHER_SOCKETS);
+        let draining = remaining / DRAINING_FRACTION;
+        let memory_bound = self.memory_mb.map_or(u64::MAX, |mb| mb.saturating_mul(1024) / 2 / KIB_PER_CALLER);
+        let callers = (remaining - draining).min(usize::try_from(memory_bound).unwrap_or(usize::MAX));
         Budget { callers, draining, upstreams }
     }
 
-    /// Checks the lower bounds; an error names the field.
+    /// Checks the lower bounds. An error consists of the field's path and the problem.
     fn validate(&self) -> Result<(), (&'static str, FieldProblem)> {
         if self.sockets < MIN_SOCKETS {
             return Err(("limits.sockets", FieldProblem::LimitTooLow { minimum: MIN_SOCKETS as u64 }));
@@ -118,7 +119,7 @@
     }
 }
 
-/// The file as written.
+/// The keys of the file.
 #[derive(Deserialize)]
 struct ConfigFile {
     name: String,
@@ -130,53 +131,54 @@
     settings: Value,
 }
 
-/// A valid configuration.
+/// A validated configuration.
 #[derive(Debug, Clone)]
 pub struct Config {
     /// The node's name.
     pub name: String,
-    /// Address that callers connect to.
+    /// Address on which callers are accepted.
     pub listen: SocketAddr,
-    /// Seed of the random numbers.
+    /// Seed of the controller's random numbers.
     pub seed: u64,
-    /// Limits on the process.
+    /// Resource limits of the process.
     pub limits: Limits,
     /// Address of the coordinator.
     pub coordinator: SocketAddr,
-    /// The coordinator's events at the time the file was written.
+    /// The coordinator's events that were known when the file was written.
     pub known: PollResponse,
-    /// Settings of the decision module and of the platform.
+    /// Settings of the controller and of the platform.
     pub site: Site,
 }
 
 impl Config {
-    /// Reads and checks a file.
+    /// Reads and validates a configuration file.
     ///
     /// # Errors
-    /// Where the file can't be read, or a field can't be used.
+    /// Returns an error if the file can't be read, or a field is missing or invalid.
     pub fn load(path: &str) -> Result<Config, ConfigError> {
         let text = std::fs::read_to_string(path)
             .map_err(|error| ConfigError::Unreadable { file: path.into(), error })?;
-        Config::read(path, &text)
+        Config::parse(path, &text)
     }
 
-    /// Parses and checks the text of a file; `path` is named in errors.
+    /// Parses and validates the text of a configuration file. Errors name `path` as its origin.
     ///
     /// # Errors
-    /// Where a field is missing or can't be used.
-    pub fn read(path: &str, text: &str) -> Result<Config, ConfigError> {
-        let wrong = |field: &str, problem: FieldProblem| ConfigError::Field {
+    /// Returns an error if a field is missing or invalid.
+    pub fn parse(path: &str, text: &str) -> Result<Config, ConfigError> {
+        let field_error = |field: &str, problem: FieldProblem| ConfigError::Field {
             file: path.into(),
             field: field.into(),
             problem,
         };
-        let file: ConfigFile = serde_json::from_str(text).map_err(|e| wrong("configuration", e.into()))?;
+        let file: ConfigFile =
+            serde_json::from_str(text).map_err(|e| field_error("configuration", e.into()))?;
         let site = Site::from_value(&file.settings)
-            .map_err(|e| wrong(&format!("settings.{}", e.field), FieldProblem::Setting(e.what)))?;
-        let known =
-            coordinator::parse_response(&file.known.to_string()).map_err(|e| wrong("known", e.into()))?;
-        let seed = u64::from_str_radix(&file.seed, 16).map_err(|e| wrong("seed", e.into()))?;
-        file.limits.validate().map_err(|(field, problem)| wrong(field, problem))?;
+            .map_err(|e| field_error(&format!("settings.{}", e.field), FieldProblem::Setting(e.what)))?;
+        let known = coordinator::parse_response(&file.known.to_string())
+            .map_err(|e| field_error("known", e.into()))?;
+        let seed = u64::from_str_radix(&file.seed, 16).map_err(|e| field_error("seed", e.into()))?;
+        file.limits.validate().map_err(|(field, problem)| field_error(field, problem))?;
         Ok(Config {
             name: file.name,
             listen: file.listen,
--- a/crates/lilacpitch-node/src/coordinator.rs
+++ b/crates/lilacpitch-node/src/coordinator.rs
@@ -1,72 +1,73 @@
-//! The coordinator's protocol: numbered events about the list of servers, as JSON.
+//! The coordinator's protocol: numbered events about the endpoint list, as JSON.
 //!
-//! A poll names the last event in hand, and the response carries those after it. [`EventFollower`] keeps that
-//! number, drops events it has had and starts over after a gap. No I/O; requests are made in [`crate::net`].
+//! A poll names the last event received, and its response carries the events after that one.
+//! [`EventFollower`] keeps this number, drops events that it has already returned, and requests the complete
+//! list after a gap. No I/O; polls are made in [`crate::net`].
 
 use serde::Deserialize;
 use std::net::SocketAddr;
 use thiserror::Error;
 
-/// Why a response of the coordinator can't be read: not JSON of the agreed form. Look at what the coordinator sends.
+/// A response of the coordinator is not JSON, or lacks a field.
 #[derive(Debug, Error)]
 #[error(transparent)]
 pub struct PollResponseError(#[from] serde_json::Error);
 
-/// A response to a poll: the events after the one that the poll named.
+/// The response to a poll: the events after the one that the poll named.
 #[derive(Debug, Clone, Deserialize)]
 pub struct PollResponse {
-    /// Number of the coordinator's last event.
+    /// Number of the coordinator's latest event.
     pub index: u64,
     /// The events, in ascending order of their numbers.
     #[serde(default)]
     pub updates: Vec<Update>,
 }
 
-/// One event.
+/// An event of the coordinator.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Update {
-    /// Its number, from 1.
+    /// Number of the event, from 1.
     pub index: u64,
-    /// The servers it is about.
+    /// The servers that it lists.
     pub endpoints: Endpoints,
 }
 
-/// The servers of an event.
+/// The servers that an event lists.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Endpoints {
-    /// Whether this is the complete list; else only what has changed.
+    /// Whether the list is complete; else it holds only servers that have changed.
     pub all: bool,
     /// The servers.
     pub targets: Vec<Target>,
 }
 
-/// Whether a server may be used.
+/// Whether a server accepts set-ups.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum State {
     /// Accepts set-ups.
     InService,
-    /// Draining: finishes its calls and accepts no more.
+    /// Draining: completes its calls and accepts no set-ups.
     Terminating,
-    /// Removed.
+    /// Removed from service.
     Terminated,
 }
 
-/// A server.
+/// A server of the endpoint list.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 pub struct Target {
     /// Its id, never reused for another server.
     pub uid: String,
-    /// Its address, which another server may have later.
+    /// Its address, which may later be another server's.
     pub endpoint: SocketAddr,
     /// Name of its zone.
     #[serde(default)]
     pub az: String,
-    /// Its number, which calls name as first choice.
+    /// Its number, by which calls name their first choice of server.
     pub pod_group: u32,
-    /// Whether it may be used.
+    /// Whether it accepts set-ups.
     pub state: State,
-    /// When it started, in Unix milliseconds; 0 where unknown, which counts as long ago.
+    /// When it started, in Unix milliseconds; 0 if unknown, which counts as long ago.
     #[serde(default)]
     pub boot_ms: u64,
 }
@@ -74,25 +75,28 @@
 /// Parses a response.
 ///
 /// # Errors
-/// Where the text is not JSON of the agreed form.
+/// Returns an error if the text is not JSON, or lacks a field.
 pub fn parse_response(text: &str) -> Result<PollResponse, PollResponseError> {
     Ok(serde_json::from_str(text)?)
 }
 
-/// Keeps the number of the last event in hand.
+/// Selects the new events of each response, by the number of the last event received.
 #[derive(Debug, Default)]
 pub struct EventFollower {
     index: u64,
 }
 
 impl EventFollower {
-    /// Number of the last event in hand, for the next poll; 0 asks for the complete list.
+    /// Returns the number of the last event received, for the next poll; 0 requests the complete list.
     pub fn index(&self) -> u64 {
         self.index
     }
 
-    /// Returns the new events of a response, in order. After a gap the rest of the response is dropped and the next
-    /// poll asks for the complete list, as it does where the coordinator's own number went back (it was restarted).
+    /// Returns the new events of a response, in order.
+    ///
+    /// After a gap in the numbers, the rest of the response is dropped and the next poll requests the
+    /// complete list. It does so too if the coordinator's latest number is lower than before, since the
+    /// coordinator was restarted.
     pub fn accept(&mut self, response: PollResponse) -> Vec<Endpoints> {
         let mut events = Vec::new();
         for update in response.updates {
--- a/crates/lilacpitch-node/src/core/active_calls.rs
+++ b/crates/lilacpitch-node/src/core/active_calls.rs
@@ -1,4 +1,5 @@
-//! Established calls: adopted, released by either side, ended with their server. They outlive both connections.
+//! Established calls: how they are adopted, released by either side, or lost with their server. An
+//! established call outlives the connections of its set-up.
 
 use super::health_checks::UNREACHABLE_NS;
 use super::records::{Attempt, AttemptState, Call, PendingRelease};
@@ -7,13 +8,13 @@
 use lilacpitch::interface::{CallId, LoadReport, Outcome, ServerId};
 use lilacpitch_sip::Request;
 
-/// Releases to callers that are kept until a connection can carry them; beyond, the oldest are dropped.
+/// Most releases that wait for a caller's connection; with more, the oldest is dropped.
 const MAX_UNSENT_RELEASES: usize = 4096;
-/// Stands for the connection of an adopted call's set-up, which this node never had.
+/// Placeholder for the connection of an adopted call's set-up, which was another node's.
 const NO_UPSTREAM: super::UpstreamId = 0;
 
 impl NodeCore {
-    /// Adopts a call that its caller says is established at a server already: no response is owed.
+    /// Adopts a call that its caller reports as already established at a server. It gets no response.
     pub(super) fn adopt_call(
         &mut self,
         caller: CallerId,
@@ -28,7 +29,7 @@
             return;
         }
         let Some(server) = server else {
-            // A server that was never listed, or was removed: the call is over.
+            // The server was never listed, or is removed, so the call is over.
             self.release_to_caller(caller, wire_id, CAUSE_CUT, effects);
             return;
         };
@@ -50,11 +51,11 @@
         self.calls.insert(id, call);
         self.calls_by_wire_id.insert(wire_id, id);
         self.servers.entry(server).and_modify(|server| _ = server.active_calls.insert(id));
-        // The server reports on a new connection what is over; with none open it could not.
+        // The server reports the end of the call on any connection, so there must be one.
         self.ensure_connection(server, effects);
     }
 
-    /// The server ended an established call.
+    /// Ends an established call that its server has ended.
     pub(super) fn end_call_by_server(
         &mut self,
         id: CallId,
@@ -68,22 +69,22 @@
         self.record_outcome(attempt.id(id), outcome, true, report);
     }
 
-    /// The server ended a call ahead of its answer: it was established there and is over, so its caller gets a failure
-    /// and it is not retried.
+    /// Ends a call that its server has ended without an answer to the set-up. The call was established there
+    /// and is over, so its caller gets a failure and it is not retried.
     pub(super) fn end_unanswered_call(&mut self, id: CallId, report: LoadReport, effects: &mut Vec<Effect>) {
         let Some(attempt) = self.remove_attempt(id) else { return };
         self.record_outcome(attempt.id(id), Outcome::Completed, true, report);
         self.fail_call(id, effects);
     }
 
-    /// The caller ended an established call.
+    /// Ends an established call that its caller has ended.
     pub(super) fn end_call_by_caller(&mut self, id: CallId, effects: &mut Vec<Effect>) {
         let Some((call, attempt)) = self.remove_active_call(id) else { return };
         self.release_at_server(attempt, call.wire_id, effects);
         self.record_outcome(attempt.id(id), Outcome::Completed, true, LoadReport::default());
     }
 
-    /// A server is gone: all calls established there are released.
+    /// Releases all calls established at a server that is gone to their callers.
     pub(super) fn release_orphaned_calls(
         &mut self,
         server: ServerId,
@@ -95,33 +96,34 @@
         calls.into_iter().for_each(|call| self.release_orphaned_call(call, reason, effects));
     }
 
-    /// The server of an established call is gone: its caller is told.
+    /// Releases an established call whose server is gone to its caller.
     pub(super) fn release_orphaned_call(&mut self, id: CallId, reason: &str, effects: &mut Vec<Effect>) {
         self.counters.orphaned += 1;
         tracing::trace!(call = id, reason, "call orphaned");
         self.end_call_by_server(id, CAUSE_CUT, LoadReport::default(), effects);
     }
 
+    /// Removes an established call and its attempt from the tables.
     fn remove_active_call(&mut self, id: CallId) -> Option<(Call, Attempt)> {
         self.calls.get(&id).filter(|call| call.is_established())?;
         let attempt = self.remove_attempt(id)?;
         Some((self.remove_call(id)?, attempt))
     }
 
-    /// Releases a call at its server: on the connection of its set-up, else on another.
+    /// Sends a call's server a release, on the connection of its set-up or else on another.
     fn release_at_server(&mut self, attempt: Attempt, wire_id: u64, effects: &mut Vec<Effect>) {
-        let own = match attempt.state {
+        let setup_upstream = match attempt.state {
             AttemptState::Established(upstream) => Some(upstream).filter(|id| self.is_upstream_up(*id)),
             _ => None,
         };
         let bytes = signalling::encode_stop(wire_id, CAUSE_NORMAL);
-        match own.or_else(|| self.select_upstream(attempt.server, &[], effects)) {
+        match setup_upstream.or_else(|| self.select_upstream(attempt.server, &[], effects)) {
             Some(upstream) if self.is_upstream_up(upstream) => {
                 self.transmit(upstream, bytes, None, effects);
             }
             Some(upstream) => {
                 let until_ns = self.now + UNREACHABLE_NS;
-                // Its server does not know of its end yet.
+                // The id stays in use, since the server does not know yet that the call has ended.
                 self.retired_wire_ids.insert(wire_id, until_ns);
                 let release = PendingRelease { until_ns, bytes };
                 self.upstreams.entry(upstream).and_modify(|upstream| upstream.releases.push(release));
@@ -130,7 +132,8 @@
         }
     }
 
-    /// Moves releases whose connection never came up to the next, while the server may still be there.
+    /// Moves releases whose connection was never established to another one, while the server may still be
+    /// running.
     pub(super) fn requeue_releases(
         &mut self,
         server: ServerId,
@@ -149,18 +152,22 @@
         }
     }
 
-    /// A message that a caller's connection did not carry: a release goes to another caller's.
+    /// Handles a message that was not written on its caller's connection: a release is sent on another
+    /// caller's.
     pub(super) fn redeliver_release(&mut self, bytes: Vec<u8>, effects: &mut Vec<Effect>) {
         if bytes.starts_with(b"BYE ") {
             self.send_release(None, bytes, effects);
         }
     }
 
-    /// Tells a caller that its call is over: on the set-up's connection, else on another, else on the next.
+    /// Sends a caller a release, on the connection of the set-up or else on another caller's, the next one if
+    /// there is none.
     fn release_to_caller(&mut self, caller: CallerId, wire_id: u64, cause: u16, effects: &mut Vec<Effect>) {
         self.send_release(Some(caller), Request::encode_bye(&format!("{wire_id:016x}"), cause), effects);
     }
 
+    /// Sends a release on a caller's connection if it is open, else on that of the newest verified caller. If
+    /// there is none, the release waits for the next one.
     fn send_release(&mut self, caller: Option<CallerId>, bytes: Vec<u8>, effects: &mut Vec<Effect>) {
         let is_connected = |id: &CallerId| self.callers.get(id).is_some_and(|caller| !caller.is_disconnected);
         let newest_verified = || {
@@ -179,7 +186,7 @@
         }
     }
 
-    /// A caller is verified: it gets the releases that no connection could carry.
+    /// Sends a verified caller the releases that were waiting for a connection.
     pub(super) fn flush_unsent_releases(&mut self, caller: CallerId, effects: &mut Vec<Effect>) {
         if self.callers.get(&caller).is_some_and(|caller| !caller.is_disconnected) {
             effects.extend(self.unsent_releases.drain(..).map(|bytes| Effect::ToCaller(caller, bytes)));
--- a/crates/lilacpitch-node/src/core/attempt_trace.rs
+++ b/crates/lilacpitch-node/src/core/attempt_trace.rs
@@ -1,11 +1,12 @@
-//! Trace records of attempts: what the controller holds of a server as an attempt is sent, succeeds or completes.
+//! Trace records of attempts: the controller's state of a server when an attempt is sent, succeeds or
+//! completes.
 
 use super::NodeCore;
 use lilacpitch::interface::{Action, CallId, ServerId};
 use lilacpitch::Event;
 
 impl NodeCore {
-    /// Writes one record for each attempt that an event or the actions on it concern.
+    /// Writes a record for each attempt that an event, or the controller's actions on it, concern.
     pub(super) fn trace_attempts(&self, event: &Event, actions: &[Action]) {
         match event {
             Event::CallEstablished { call, .. } => {
@@ -24,6 +25,7 @@
         }
     }
 
+    /// Writes the controller's state of a server at this step of a call's attempt.
     fn trace_server(&self, step: &str, call: CallId, server: ServerId) {
         let Some(record) = self.servers.get(&server) else { return };
         let reports = self.controller.server_reports();
--- a/crates/lilacpitch-node/src/core/attempts.rs
+++ b/crates/lilacpitch-node/src/core/attempts.rs
@@ -1,4 +1,4 @@
-//! Attempts: forwarded to a server, answered, cancelled or timed out, and completed once with an outcome.
+//! Attempts: how they are forwarded to a server, cancelled or timed out, and completed once with an outcome.
 
 use super::counters::outcome_name;
 use super::records::{Attempt, AttemptState};
@@ -8,27 +8,30 @@
 use lilacpitch::interface::{CallId, LoadReport, Nanos, Outcome, ServerId};
 use lilacpitch::Event;
 
-/// Cancelled set-ups are remembered for so long, to recognize their late answers: longer than any that was seen.
+/// How long cancelled set-ups are kept, so that their late answers are recognized: longer than any answer
+/// observed.
 const CANCELLED_RETENTION_NS: Nanos = 30_000_000_000;
 
-/// Names an attempt to the controller.
+/// Identifies an attempt to the controller.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct AttemptId {
+    /// The call.
     pub call: CallId,
-    /// Its number among the call's attempts, from 0.
+    /// The attempt's number among the call's attempts, from 0.
     pub number: u32,
+    /// The server to which the set-up is sent.
     pub server: ServerId,
 }
 
 impl Attempt {
-    /// Names this attempt of a call.
+    /// Returns the id of this attempt of a call.
     pub(super) fn id(&self, call: CallId) -> AttemptId {
         AttemptId { call, number: self.number, server: self.server }
     }
 }
 
 impl NodeCore {
-    /// Carries out the controller's action: sends a call's set-up to a server.
+    /// Sends a call's set-up to a server, as the controller has decided.
     pub(super) fn forward_setup(
         &mut self,
         id: CallId,
@@ -39,15 +42,15 @@
         let deadline_ns = self.now + timeout_ns;
         self.counters.attempts += 1;
         let Some(call) = self.calls.get_mut(&id) else {
-            // Its caller has disconnected, and the controller is yet to hear of it.
+            // The caller has disconnected, and the controller has yet to handle that event.
             let attempt = AttemptId { call: id, number: 0, server };
             self.record_outcome(attempt, Outcome::NotSent, true, LoadReport::default());
             return;
         };
         let number = call.attempt_count;
         call.attempt_count += 1;
-        let used = call.used_upstreams.clone();
-        let Some(upstream) = self.select_upstream(server, &used, effects) else {
+        let used_upstreams = call.used_upstreams.clone();
+        let Some(upstream) = self.select_upstream(server, &used_upstreams, effects) else {
             let attempt = AttemptId { call: id, number, server };
             self.record_outcome(attempt, Outcome::Unreachable, false, LoadReport::default());
             return;
@@ -62,15 +65,16 @@
         self.transmit_setup(id, effects);
     }
 
-    /// Gives a queued set-up to its connection, if that is up.
+    /// Gives a queued set-up to its connection, if it is up.
     pub(super) fn transmit_setup(&mut self, id: CallId, effects: &mut Vec<Effect>) {
         let Some(call) = self.calls.get(&id) else { return };
         let (Some(attempt), Some(setup)) = (call.attempt, &call.setup) else { return };
         let AttemptState::Queued(upstream) = attempt.state else { return };
         let left_ms = attempt.deadline_ns.saturating_sub(self.now) / 1_000_000;
         let class = self.site.class_names.get(call.class).map_or("", String::as_str);
-        let bytes = signalling::encode_launch(call.wire_id, class, &setup.number, left_ms, &setup.body);
-        // None leaves past the grace after a drain, though it was queued just before.
+        let bytes = signalling::encode_setup(call.wire_id, class, &setup.number, left_ms, &setup.body);
+        // The deadline keeps a set-up that is queued just before a drain from being sent after the drain's
+        // grace period.
         let not_after_ns = Some(self.now + self.site.drain_grace_ns / 2);
         let Some(message) = self.transmit(upstream, bytes, not_after_ns, effects) else { return };
         let now = self.now;
@@ -79,7 +83,7 @@
         }
     }
 
-    /// Carries out the controller's action: cancels an attempt, unless it has been answered meanwhile.
+    /// Cancels an attempt, as the controller has decided, unless it was answered meanwhile.
     pub(super) fn cancel_attempt(&mut self, id: CallId, number: u32, effects: &mut Vec<Effect>) {
         let unanswered = self.calls.get(&id).filter(|call| !call.is_established());
         if unanswered.and_then(|call| call.attempt).is_some_and(|attempt| attempt.number == number) {
@@ -87,18 +91,18 @@
         }
     }
 
-    /// Ends an attempt without an answer by this node's own decision: its server is told.
+    /// Aborts an unanswered attempt and cancels it at its server.
     pub(super) fn abort_attempt(&mut self, id: CallId, outcome: Outcome, effects: &mut Vec<Effect>) {
         let Some(call) = self.calls.get(&id).filter(|call| !call.is_established()) else { return };
         let attempt = call.attempt;
         self.cancel_at_server(id, effects);
         if let Some(Attempt { state: AttemptState::InFlight(upstream, _), sent_ns, .. }) = attempt {
-            self.note_unanswered(upstream, sent_ns, effects);
+            self.record_unanswered(upstream, sent_ns, effects);
         }
         self.complete_attempt(id, outcome, LoadReport::default());
     }
 
-    /// Tells the server of an attempt in flight that it is cancelled.
+    /// Cancels a call's attempt at its server, if the set-up is in flight.
     pub(super) fn cancel_at_server(&mut self, id: CallId, effects: &mut Vec<Effect>) {
         let Some(call) = self.calls.get(&id) else { return };
         let (wire_id, attempt) = (call.wire_id, call.attempt);
@@ -114,7 +118,7 @@
         effects.push(Effect::CancelSetup { upstream, message, stop_message, bytes });
     }
 
-    /// Completes an attempt that did not succeed; the controller may retry the call.
+    /// Completes an attempt that did not succeed. The controller may retry the call.
     pub(super) fn complete_attempt(&mut self, id: CallId, outcome: Outcome, report: LoadReport) {
         if let Some(attempt) = self.remove_attempt(id) {
             self.record_outcome(attempt.id(id), outcome, false, report);
@@ -136,7 +140,8 @@
         Some(attempt)
     }
 
-    /// Counts an outcome and tells the controller. `is_final`: the call is over with it.
+    /// Counts the outcome of an attempt and reports it to the controller. `is_final` means that the call has
+    /// ended.
     pub(super) fn record_outcome(
         &mut self,
         attempt: AttemptId,
--- a/crates/lilacpitch-node/src/core/callers.rs
+++ b/crates/lilacpitch-node/src/core/callers.rs
@@ -1,7 +1,7 @@
-//! Callers' connections and their requests: validated, answered or admitted as calls.
+//! Callers' connections and requests.
 //!
-//! What can't be used is rejected with a status; what a caller owes and is owed when it disconnects or is evicted is
-//! settled here.
+//! Requests are validated, and then answered, admitted as calls or rejected with a status. When a caller
+//! disconnects, its open calls are abandoned. Idle callers are evicted when file descriptors are short.
 
 use super::calls::SetupRequest;
 use super::path::Path;
@@ -11,12 +11,12 @@
 use lilacpitch::interface::{CallId, Nanos};
 use lilacpitch_sip::{Message, Request};
 
-/// Longest time that a caller may say it waits, in milliseconds: an hour.
+/// Longest valid waiting time of a caller, in milliseconds: one hour.
 const MAX_LEFT_MS: u64 = 3_600_000;
 /// Longest dialled number, in bytes.
 const MAX_NUMBER_BYTES: usize = 64;
-/// A caller that connects to set up a call does so within this time; where descriptors are short, others are evicted
-/// first.
+/// A caller that connects to set up a call sends its first request within this time. Callers that have not
+/// are the first to be evicted.
 const FIRST_REQUEST_NS: Nanos = 100_000_000;
 
 /// The response that rejects a request: status and reason phrase.
@@ -34,14 +34,14 @@
     ) {
         let Some(caller) = self.callers.get_mut(&id) else { return };
         (caller.last_active_ns, caller.is_evicting) = (self.now, false);
-        // Responses to releases need no action.
+        // Responses, which callers send to releases, need no action.
         let Message::Request(request) = message else { return };
         let handled = match request.method.as_str() {
             "INVITE" => self.handle_invite(id, &request, effects),
             "CANCEL" => self.handle_cancel(id, &request, effects),
             "BYE" => self.handle_bye(id, &request, effects),
             "OPTIONS" => {
-                self.answer_test(id, &request, effects);
+                self.answer_readiness_check(id, &request, effects);
                 Ok(())
             }
             "ACK" => Ok(()),
@@ -53,8 +53,9 @@
         }
     }
 
-    /// Answers a test of whether the node is ready. After SIGTERM late arrivals are admitted, but no test is passed.
-    fn answer_test(&self, caller: CallerId, request: &Request, effects: &mut Vec<Effect>) {
+    /// Answers a readiness check. After SIGTERM set-ups are still admitted for a while, but readiness checks
+    /// fail.
+    fn answer_readiness_check(&self, caller: CallerId, request: &Request, effects: &mut Vec<Effect>) {
         let (status, reason) = if self.is_ready() { (200, "OK") } else { (503, "Service Unavailable") };
         effects.push(Effect::ToCaller(caller, request.encode_response(status, reason)));
     }
@@ -83,7 +84,7 @@
             number: number.to_string(),
             left_ms: left_ms(request)?,
             body: session_description(request)?,
-            echo: request.copied_fields(),
+            copied_fields: request.copied_fields(),
             first_choice: path.first_choice,
             circuits: path.circuits,
             may_retry_after_cut: path.may_retry_after_cut,
@@ -98,10 +99,11 @@
         Ok(())
     }
 
-    /// Whether one more call may be admitted under this id.
+    /// Checks whether a call may be admitted under this id.
     fn check_admission(&self, wire_id: u64) -> Result<(), Rejection> {
-        // Also while ends of its last call may still arrive: they name the id alone.
-        let is_retired = self.retired_wire_ids.get(&wire_id).is_some_and(|until| self.now < *until);
+        // The id also stays in use while ends of its previous call may still arrive, since they carry only
+        // the id.
+        let is_retired = self.retired_wire_ids.get(&wire_id).is_some_and(|until_ns| self.now < *until_ns);
         if self.calls_by_wire_id.contains_key(&wire_id) || is_retired {
             return Err((482, "Call-ID In Use"));
         }
@@ -114,7 +116,8 @@
         Ok(())
     }
 
-    /// A caller cancels its set-up: nothing more is owed. One that crosses the answer is a release.
+    /// Handles a cancellation: the set-up gets no final response. If it crosses the answer, it releases the
+    /// call.
     fn handle_cancel(
         &mut self,
         caller: CallerId,
@@ -126,7 +129,7 @@
         match self.calls.get(&id) {
             Some(call) if call.is_established() => self.end_call_by_caller(id, effects),
             Some(call) if call.caller == caller => self.abandon_call(id, effects),
-            // Another caller's set-up: only the connection that it came on may cancel it.
+            // A set-up may be cancelled only on the connection on which it arrived.
             _ => return Err(NO_SUCH_CALL),
         }
         Ok(())
@@ -151,7 +154,8 @@
         let Some(caller) = self.callers.get_mut(&id) else { return };
         caller.is_disconnected = true;
         let open_calls = std::mem::take(&mut caller.open_calls);
-        // Those with an attempt go last: the capacity that they free must not go to a call of the same caller.
+        // Calls with an attempt are abandoned last: the capacity that they free must not be used for another
+        // call of this caller.
         let has_attempt = |call: &CallId| self.calls.get(call).is_some_and(|call| call.attempt.is_some());
         let (attempted, queued): (Vec<_>, Vec<_>) = open_calls.into_iter().partition(has_attempt);
         queued.into_iter().chain(attempted).for_each(|call| self.abandon_call(call, effects));
@@ -162,8 +166,9 @@
         self.callers.remove(&id);
     }
 
-    /// Evicts a caller without an open call: one that never set a call up, unless it has only just connected, else the
-    /// one that is idle for longest; never the newest, which is yet to send its first request.
+    /// Evicts a caller without an open call: preferably one that sent no valid set-up in time after
+    /// connecting, else the one that has been idle for the longest time. The newest is never evicted, since
+    /// it has yet to send its first request.
     pub(super) fn evict_idle_caller(&mut self, effects: &mut Vec<Effect>) {
         let now = self.now;
         let newest = self.callers.last_key_value().map(|(id, _)| *id);
@@ -171,10 +176,10 @@
             caller.open_calls.is_empty() && !caller.is_evicting && Some(id) != newest
         };
         let idle = self.callers.iter_mut().filter(|(id, caller)| is_idle(**id, caller));
-        let is_silent =
+        let is_overdue =
             |caller: &Caller| !caller.is_verified && now - caller.last_active_ns > FIRST_REQUEST_NS;
-        let least_active = idle.min_by_key(|(_, caller)| (!is_silent(caller), caller.last_active_ns));
-        if let Some((id, caller)) = least_active {
+        let next_evicted = idle.min_by_key(|(_, caller)| (!is_overdue(caller), caller.last_active_ns));
+        if let Some((id, caller)) = next_evicted {
             caller.is_evicting = true;
             effects.push(Effect::EvictCaller(*id));
         }
@@ -188,17 +193,19 @@
     }
 }
 
+/// Returns the call id of a request.
 fn wire_id(request: &Request) -> Result<u64, Rejection> {
     request.call_id.as_deref().and_then(parse_call_id).ok_or(BAD_CALL_ID)
 }
 
-/// How long the caller waits, in milliseconds.
+/// Returns how long the caller of a set-up waits, in milliseconds.
 fn left_ms(request: &Request) -> Result<u64, Rejection> {
     let text = request.fields.get("P-Time-Left").ok_or((400, "Missing P-Time-Left"))?;
     let left_ms = text.parse().ok().filter(|ms| (1..=MAX_LEFT_MS).contains(ms));
     left_ms.ok_or((400, "Bad P-Time-Left"))
 }
 
+/// Returns the session description of a set-up.
 fn session_description(request: &Request) -> Result<String, Rejection> {
     let body = std::str::from_utf8(&request.body).map_err(|_| (400, "Description Is No Text"))?;
     if body.is_empty() {
--- a/crates/lilacpitch-node/src/core/calls.rs
+++ b/crates/lilacpitch-node/src/core/calls.rs
@@ -1,4 +1,4 @@
-//! Calls until their final response: admitted, established, rejected, failed or abandoned by their caller.
+//! Calls until their final response: how they are admitted, established, rejected, failed or abandoned.
 
 use super::records::{AttemptState, Call, Setup};
 use super::timers::Timer;
@@ -10,26 +10,28 @@
 
 /// A valid set-up request of a caller.
 pub(super) struct SetupRequest {
+    /// The call's id on the wire.
     pub wire_id: u64,
+    /// Index of the call's class in the settings.
     pub class: usize,
     /// The dialled number.
     pub number: String,
     /// Session description.
     pub body: String,
     /// Header lines that a response copies from the request.
-    pub echo: String,
+    pub copied_fields: String,
     /// How long the caller waits, in milliseconds.
     pub left_ms: u64,
     /// Number of the server that is the call's first choice.
     pub first_choice: u32,
-    /// Circuits that the call takes.
+    /// Number of circuits that the call takes.
     pub circuits: f64,
-    /// Whether it may be retried after an attempt that may have reached a server.
+    /// Whether the call may be retried after an attempt that was cut and may have reached a server.
     pub may_retry_after_cut: bool,
 }
 
 impl NodeCore {
-    /// Enters a call and tells the controller.
+    /// Enters a call into the tables and reports it to the controller.
     pub(super) fn admit_call(&mut self, caller: CallerId, request: SetupRequest) {
         let id = self.next_call;
         self.next_call += 1;
@@ -42,7 +44,8 @@
             id,
             class: request.class,
             first_choice: request.first_choice,
-            // The caller's time began when it sent, which may be before a stall of this node.
+            // The caller's waiting time began when it sent the request, which may have been before a stall of
+            // this node.
             budget_ns: (request.left_ms * 1_000_000).saturating_sub(self.stall.span_ns(self.now)),
             dialled: Some(number_hash(&request.number)),
             circuits: request.circuits,
@@ -53,7 +56,11 @@
             caller,
             wire_id: request.wire_id,
             class: request.class,
-            setup: Some(Setup { number: request.number, body: request.body, echo: request.echo }),
+            setup: Some(Setup {
+                number: request.number,
+                body: request.body,
+                copied_fields: request.copied_fields,
+            }),
             attempt: None,
             attempt_count: 0,
             used_upstreams: Vec::new(),
@@ -65,7 +72,7 @@
         self.pending_events.push_back(Event::CallArrived(arrived));
     }
 
-    /// Final response to a set-up that its server has answered: the call is established.
+    /// Establishes a call whose set-up was answered by its server, and sends the final response.
     pub(super) fn establish_call(
         &mut self,
         id: CallId,
@@ -86,31 +93,32 @@
         self.callers.entry(caller).and_modify(|caller| _ = caller.open_calls.remove(&id));
         self.counters.succeeded += 1;
         self.pending_events.push_back(Event::CallEstablished { call: id, attempt: attempt.number });
-        let response = Response::encode(200, "OK", &setup.echo, &[], body.as_bytes());
+        let response = Response::encode(200, "OK", &setup.copied_fields, &[], body.as_bytes());
         effects.push(Effect::ToCaller(caller, response));
     }
 
-    /// Final response to a call that the controller rejects.
+    /// Sends the final response to a call that the controller rejects.
     pub(super) fn reject_call(
         &mut self,
         id: CallId,
         retry_after_ns: Option<Nanos>,
         effects: &mut Vec<Effect>,
     ) {
-        let retry_after = retry_after_ns.map(|wait| ("P-Gap-Ms", wait.div_ceil(1_000_000).to_string()));
+        let retry_after = retry_after_ns.map(|wait_ns| ("P-Gap-Ms", wait_ns.div_ceil(1_000_000).to_string()));
         if self.answer_call(id, 503, "Service Unavailable", retry_after.as_slice(), effects) {
             self.counters.rejected += 1;
         }
     }
 
-    /// Final response to a call that has failed.
+    /// Sends the final response to a call that has failed.
     pub(super) fn fail_call(&mut self, id: CallId, effects: &mut Vec<Effect>) {
         if self.answer_call(id, 500, "Not Set Up", &[], effects) {
             self.counters.failed += 1;
         }
     }
 
-    /// The kill is near: answers the open calls without the controller, which is told that they are gone.
+    /// Sends a final response to each open call shortly before the platform kills the process. The controller
+    /// does not decide about them, and is notified that their callers are gone.
     pub(super) fn answer_open_calls(&mut self, effects: &mut Vec<Effect>) {
         let open = self.calls.iter().filter(|(_, call)| !call.is_established());
         let open: Vec<_> = open.map(|(id, call)| (*id, call.attempt_count)).collect();
@@ -123,7 +131,7 @@
         }
     }
 
-    /// Sends a final response without a body and removes the call; whether it was there.
+    /// Sends a final response without a body and removes the call. Returns whether the call existed.
     fn answer_call(
         &mut self,
         id: CallId,
@@ -132,17 +140,18 @@
         fields: &[(&str, String)],
         effects: &mut Vec<Effect>,
     ) -> bool {
-        // The controller never answers a call with an attempt in flight; a node that is about to be killed does.
+        // The controller never answers a call with an attempt in flight, but a node that is about to be
+        // killed does.
         self.cancel_open_attempt(id, effects);
         let Some(call) = self.remove_call(id) else { return false };
         if let Some(setup) = call.setup {
-            let response = Response::encode(status, reason, &setup.echo, fields, &[]);
+            let response = Response::encode(status, reason, &setup.copied_fields, fields, &[]);
             effects.push(Effect::ToCaller(call.caller, response));
         }
         true
     }
 
-    /// Removes an open call that its caller cancelled, or left by disconnecting: no response is owed.
+    /// Removes an open call whose caller has cancelled it or disconnected. It gets no response.
     pub(super) fn abandon_call(&mut self, id: CallId, effects: &mut Vec<Effect>) {
         if self.calls.get(&id).is_none_or(Call::is_established) {
             return;
@@ -165,7 +174,8 @@
         }
     }
 
-    /// Removes a call from the tables. Its wire id stays in use for the release time, if a server has had it.
+    /// Removes a call from the tables. If a server has had its wire id, the id stays in use for the release
+    /// time.
     pub(super) fn remove_call(&mut self, id: CallId) -> Option<Call> {
         let call = self.calls.remove(&id)?;
         self.open_calls -= usize::from(!call.is_established());
@@ -179,7 +189,7 @@
     }
 }
 
-/// A dialled number as the controller compares it: equal for equal digits.
+/// Hashes a dialled number, so that the controller can compare it: equal numbers have equal hashes.
 fn number_hash(number: &str) -> u64 {
     use std::hash::{DefaultHasher, Hash, Hasher};
     signalling::parse_call_id(number).unwrap_or_else(|| {
--- a/crates/lilacpitch-node/src/core/counters.rs
+++ b/crates/lilacpitch-node/src/core/counters.rs
@@ -1,4 +1,4 @@
-//! What a node counts.
+//! The counters of a node.
 
 use lilacpitch::interface::Outcome;
 use std::collections::BTreeMap;
@@ -6,7 +6,7 @@
 /// Counts since the start.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Counters {
-    /// Set-ups accepted.
+    /// Set-ups admitted.
     pub accepted: u64,
     /// Set-ups that succeeded.
     pub succeeded: u64,
@@ -14,45 +14,45 @@
     pub rejected: u64,
     /// Calls failed by the controller.
     pub failed: u64,
-    /// Set-ups that their callers cancelled, or left by disconnecting.
+    /// Set-ups that their callers cancelled or abandoned by disconnecting.
     pub cancelled: u64,
-    /// Calls adopted that were established by another front.
+    /// Adopted calls, which another front has established.
     pub adopted: u64,
-    /// Callers' messages rejected, by status.
+    /// Rejected messages of callers, by status.
     pub rejected_messages: BTreeMap<u16, u64>,
-    /// Attempts that the controller asked for; each completes once, with one of the outcomes.
+    /// Attempts that the controller requested. Each is completed once, with one of the outcomes.
     pub attempts: u64,
-    /// Attempts and adopted calls by their outcome.
+    /// Completed attempts and adopted calls, by the name of their outcome.
     pub outcomes: BTreeMap<&'static str, u64>,
-    /// Servers' messages that match no call here.
+    /// Messages of servers that match no call.
     pub unmatched: u64,
-    /// Connections to servers that ended.
+    /// Connections to servers that ended or could not be established.
     pub upstreams_lost: u64,
-    /// Connections to servers found unresponsive.
+    /// Connections to servers that became unresponsive.
     pub upstreams_unresponsive: u64,
-    /// Calls released because their server was gone.
+    /// Calls that were released because their server was gone.
     pub orphaned: u64,
 }
 
-/// Calls at a moment.
+/// Current numbers of calls.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct CallCounts {
-    /// Without a final response.
+    /// Calls without a final response.
     pub open: usize,
-    /// Established.
+    /// Established calls.
     pub established: usize,
 }
 
-/// Connections at a moment.
+/// Current numbers of connections.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ConnectionCounts {
-    /// Of callers.
+    /// Callers' connections.
     pub callers: usize,
-    /// To servers.
+    /// Connections to servers.
     pub upstreams: usize,
 }
 
-/// The name under which an outcome is counted; operators' tools read it.
+/// Returns the name under which an outcome is counted. Operators' tools depend on these names.
 pub(super) fn outcome_name(outcome: Outcome) -> &'static str {
     match outcome {
         Outcome::Completed => "passed",
--- a/crates/lilacpitch-node/src/core/endpoint_list.rs
+++ b/crates/lilacpitch-node/src/core/endpoint_list.rs
@@ -1,4 +1,5 @@
-//! The endpoint list: the coordinator's servers as the controller's endpoints, and what a change of them ends.
+//! The endpoint list: converts the coordinator's servers to the controller's endpoints, and ends the calls,
+//! connections and queued set-ups that a change of the list invalidates.
 
 use super::records::{AttemptState, Server};
 use super::{Effect, NodeCore};
@@ -15,7 +16,7 @@
         let mut listed = BTreeSet::new();
         let mut entries = Vec::new();
         for target in &endpoints.targets {
-            // A removed server that was never known needs nothing.
+            // A removed server that was never listed needs no action.
             if target.state == State::Terminated && !self.servers_by_uid.contains_key(&target.uid) {
                 continue;
             }
@@ -34,7 +35,7 @@
             true => EndpointUpdate::Full(entries),
             false => EndpointUpdate::Changes(entries),
         }));
-        // The controller learns of the list before it learns of what the list ends.
+        // The controller handles the new list before the events that result from it.
         self.run_pending_events(effects);
         let ids: Vec<ServerId> = self.servers.keys().copied().collect();
         for id in ids {
@@ -45,7 +46,7 @@
         }
     }
 
-    /// Enters a listed server, or what has changed of it; as the controller is to know it.
+    /// Adds or updates a listed server, and returns its description for the controller.
     fn update_server(&mut self, target: &Target, effects: &mut Vec<Effect>) -> Endpoint {
         let id = self.servers_by_uid.get(&target.uid).copied().unwrap_or(self.next_server);
         let endpoint = self.endpoint(id, target);
@@ -68,7 +69,7 @@
         endpoint
     }
 
-    /// A listed server as the controller knows it.
+    /// Converts a listed server to its description for the controller.
     fn endpoint(&self, id: ServerId, target: &Target) -> Endpoint {
         let zone = self.site.zone_names.iter().position(|name| *name == target.az).unwrap_or(0);
         let availability = match target.state {
@@ -76,15 +77,16 @@
             State::Terminating => Availability::Draining,
             State::Terminated => Availability::Removed,
         };
-        let known = self.servers.get(&id).filter(|server| server.boot_ms == target.boot_ms);
-        let up_since_ns = match known {
+        let current = self.servers.get(&id).filter(|server| server.boot_ms == target.boot_ms);
+        let up_since_ns = match current {
             Some(server) => server.endpoint.up_since_ns,
-            // A start in the future is one of just now: the coordinator's clock or this node's is off.
+            // A start in the future, which results from differing clocks, is taken for the present.
             None => target.boot_ms.saturating_mul(1_000_000).min(self.now),
         };
         Endpoint { server: id, number: target.pod_group, zone: zone as u32, availability, up_since_ns }
     }
 
+    /// Adds a server that was not listed before.
     fn add_server(&mut self, target: &Target, endpoint: Endpoint) {
         self.next_server += 1;
         self.servers_by_uid.insert(target.uid.clone(), endpoint.server);
@@ -101,7 +103,8 @@
         self.servers.insert(endpoint.server, server);
     }
 
-    /// Another process has a server's place: calls that were established at the former one are over.
+    /// Releases the calls that were established at a former process of a server, which has been replaced by
+    /// another.
     fn release_calls_of_former_process(
         &mut self,
         id: ServerId,
@@ -110,14 +113,16 @@
         effects: &mut Vec<Effect>,
     ) {
         let Some(server) = self.servers.get(&id) else { return };
-        let is_former = |call: &CallId| {
+        let is_at_former_process = |call: &CallId| {
             self.calls.get(call).is_some_and(|call| call.established_ns < up_since_ns || is_moved)
         };
-        let former: Vec<_> = server.active_calls.iter().copied().filter(is_former).collect();
-        former.into_iter().for_each(|call| self.release_orphaned_call(call, "server restarted", effects));
+        let former_calls: Vec<_> = server.active_calls.iter().copied().filter(is_at_former_process).collect();
+        former_calls
+            .into_iter()
+            .for_each(|call| self.release_orphaned_call(call, "server restarted", effects));
     }
 
-    /// A server has another address: connections to the former one are closed, and their set-ups cut.
+    /// Closes the connections to the former address of a server, and completes their set-ups as cut.
     fn close_former_connections(&mut self, id: ServerId, effects: &mut Vec<Effect>) {
         let upstreams = self.servers.get(&id).map_or(Vec::new(), |server| server.upstreams.clone());
         for upstream in upstreams {
@@ -129,8 +134,8 @@
         }
     }
 
-    /// Set-ups that wait for a connection to a server that now drains, or was restarted, are not sent: the list binds
-    /// what is queued as well as what the controller decides.
+    /// Completes set-ups as not sent that wait for a connection to a server that now drains or was restarted.
+    /// The endpoint list applies to queued set-ups as well as to new decisions of the controller.
     fn drop_queued_setups(&mut self, id: ServerId) {
         let upstreams = self.servers.get(&id).map_or(&[][..], |server| &server.upstreams);
         let setups = upstreams.iter().filter_map(|id| self.upstreams.get(id)).flat_map(|up| &up.setups);
@@ -144,7 +149,7 @@
             .for_each(|call| self.complete_attempt(call, Outcome::NotSent, LoadReport::default()));
     }
 
-    /// Forgets a removed server once no set-up is in flight and no call is established there.
+    /// Forgets a removed server once no set-up is queued or in flight and no call is established there.
     pub(super) fn forget_removed_server(&mut self, id: ServerId, effects: &mut Vec<Effect>) {
         let Some(server) = self.servers.get(&id) else { return };
         if server.endpoint.availability != Availability::Removed {
@@ -155,7 +160,8 @@
         let is_address_reused =
             self.servers.values().any(|server| is_ready(server) && server.address == address);
         if !has_connection || is_address_reused {
-            // No connection contradicts the list, or none that is surely this server's.
+            // No connection shows that the server is still running, or it may be to the server that has the
+            // address now.
             self.release_orphaned_calls(id, "listed as removed", effects);
         }
         let Some(server) = self.servers.get(&id) else { return };
@@ -172,6 +178,7 @@
     }
 }
 
+/// Whether a server accepts set-ups.
 fn is_ready(server: &Server) -> bool {
     server.endpoint.availability == Availability::Ready
 }
--- a/crates/lilacpitch-node/src/core/health_checks.rs
+++ b/crates/lilacpitch-node/src/core/health_checks.rs
@@ -1,31 +1,34 @@
-//! Health checks of servers: whether those with established calls can be reached, and whether connections answer.
+//! Health checks: whether servers with established calls can be reached, and whether connections are
+//! responsive.
 //!
-//! A dying process resets its connections, but a machine that vanishes gives no sign, and neither does a connection that
-//! is cut off on the way. No probe is sent, which settings may forbid: new connections and answers are the evidence.
+//! A process that terminates resets its connections, but the loss of a machine, or of the path of a
+//! connection, goes unnoticed. The settings may forbid probes, so health is derived from new connections and
+//! from answers to set-ups.
 
 use super::records::Server;
 use super::upstreams::MAX_UPSTREAMS_PER_SERVER;
 use super::{Effect, NodeCore, UpstreamId};
 use lilacpitch::interface::{Nanos, ServerId};
 
-/// A server with established calls and no message for so long is checked by a new connection.
+/// A server with established calls that has sent nothing for this long is checked by a new connection.
 const QUIET_NS: Nanos = 1_500_000_000;
-/// A server that no connection reaches for so long is gone: releases are owed within 8 s, by the protocol page.
+/// A server to which no connection could be made for this long is considered gone. The platform's protocol
+/// page requires that the callers of its calls get their releases within 8 s.
 pub(super) const UNREACHABLE_NS: Nanos = 3_000_000_000;
 
 impl NodeCore {
-    /// Checks all servers, and forgets what has been remembered for long enough.
+    /// Checks all servers, and removes expired entries of cancelled set-ups and retired wire ids.
     pub(super) fn sweep_servers(&mut self, effects: &mut Vec<Effect>) {
         let now = self.now;
         for upstream in self.upstreams.values_mut() {
-            upstream.cancelled.retain(|_, until| now < *until);
+            upstream.cancelled.retain(|_, until_ns| now < *until_ns);
         }
-        self.retired_wire_ids.retain(|_, until| now < *until);
+        self.retired_wire_ids.retain(|_, until_ns| now < *until_ns);
         let ids: Vec<ServerId> = self.servers.keys().copied().collect();
         for id in ids {
             let Some(server) = self.servers.get(&id) else { continue };
             if is_unreachable(server, now) {
-                self.release_orphaned_calls(id, "not reached", effects);
+                self.release_orphaned_calls(id, "server unreachable", effects);
             } else if !server.active_calls.is_empty() && now - server.last_seen_ns > QUIET_NS {
                 self.reconnect(id, effects);
             }
@@ -34,15 +37,16 @@
         }
     }
 
-    /// Notes a sign of life of a server.
-    pub(super) fn note_seen(&mut self, server: ServerId) {
+    /// Records that a server has shown that it is running.
+    pub(super) fn record_seen(&mut self, server: ServerId) {
         let now = self.now;
         self.servers
             .entry(server)
             .and_modify(|server| (server.last_seen_ns, server.unreachable_since_ns) = (now, None));
     }
 
-    /// A server with established calls needs a connection, which can tell of their end, or that none can be made.
+    /// Opens a connection to a server with established calls that has none. It either reports the end of
+    /// these calls, or shows by its failure that the server can't be reached.
     pub(super) fn ensure_connection(&mut self, server: ServerId, effects: &mut Vec<Effect>) {
         let Some(record) = self.servers.get(&server) else { return };
         if !record.active_calls.is_empty() && record.upstreams.is_empty() {
@@ -50,7 +54,8 @@
         }
     }
 
-    /// Opens a new connection to see whether a server is there; where four are open, the oldest idle one is closed.
+    /// Opens a new connection to check whether a server is running. If no more may be open, the oldest one
+    /// without set-ups is closed first.
     fn reconnect(&mut self, id: ServerId, effects: &mut Vec<Effect>) {
         let Some(server) = self.servers.get(&id) else { return };
         let is_connecting = |id: &UpstreamId| self.upstreams.get(id).is_some_and(|up| !up.is_up);
@@ -65,9 +70,9 @@
         self.open_upstream(id, effects);
     }
 
-    /// Notes that a set-up given to a connection at `sent_ns` had no answer. Where nothing has been answered there
-    /// since, the connection may be cut off: the next set-ups use others.
-    pub(super) fn note_unanswered(&mut self, id: UpstreamId, sent_ns: Nanos, effects: &mut Vec<Effect>) {
+    /// Records that a set-up sent on a connection at `sent_ns` got no answer. If nothing was answered there
+    /// since then, the connection counts as unresponsive, and the next set-ups use others.
+    pub(super) fn record_unanswered(&mut self, id: UpstreamId, sent_ns: Nanos, effects: &mut Vec<Effect>) {
         let Some(upstream) = self.upstreams.get_mut(&id) else { return };
         if upstream.is_unresponsive || upstream.last_answer_ns >= sent_ns {
             return;
@@ -82,14 +87,15 @@
         }
     }
 
-    /// Whether a connection that answers is up there.
+    /// Whether a responsive connection to a server is up.
     fn has_responsive_upstream(&self, server: &Server) -> bool {
         let is_responsive =
             |id: &UpstreamId| self.upstreams.get(id).is_some_and(|up| up.is_up && !up.is_unresponsive);
         server.upstreams.iter().any(is_responsive)
     }
 
-    /// Closes unresponsive connections without set-ups, where another answers, or to allow for one.
+    /// Closes unresponsive connections without set-ups, if there is a responsive one or no other may be
+    /// opened.
     fn close_unresponsive(&mut self, id: ServerId, effects: &mut Vec<Effect>) {
         let Some(server) = self.servers.get(&id) else { return };
         if !self.has_responsive_upstream(server) && server.upstreams.len() < MAX_UPSTREAMS_PER_SERVER {
@@ -104,8 +110,8 @@
     }
 }
 
-/// Whether no connection has reached a quiet server for too long. A connection that replaces an unresponsive one may
-/// fail sooner than a quiet server is checked, so both are required.
+/// Whether a server has sent nothing and no connection to it could be made for too long. A connection that
+/// replaces an unresponsive one may fail before the server counts as quiet, so both are required.
 fn is_unreachable(server: &Server, now: Nanos) -> bool {
     let is_quiet = now - server.last_seen_ns > QUIET_NS + UNREACHABLE_NS;
     is_quiet && server.unreachable_since_ns.is_some_and(|since| now - since > UNREACHABLE_NS)
--- a/crates/lilacpitch-node/src/core/mod.rs
+++ b/crates/lilacpitch-node/src/core/mod.rs
@@ -1,9 +1,11 @@
-//! The core of a node, without I/O: inputs in, effects out, time as an argument.
+//! The core of a node: a state machine without I/O that takes the time as an argument, handles [`Input`]s and
+//! returns [`Effect`]s.
 //!
-//! An [`Input`] becomes an event of the decision module, and the module's actions become [`Effect`]s. [`NodeCore`] is
-//! the sole owner of callers, calls, attempts, upstream connections and timers. What it does by itself keeps the rules
-//! on the wire: one final response to each call, nothing sent for it afterwards, one outcome for each attempt, nothing
-//! queued for a draining server, and a release to the caller of each established call that its server ends or loses.
+//! [`NodeCore`] owns all callers, calls, attempts, upstream connections and timers. It turns inputs into
+//! events of the controller, which makes the decisions, and the controller's actions into effects. By itself
+//! it enforces the rules of the protocols: one final response to each call and nothing sent for the call
+//! afterwards, one outcome of each attempt, no set-up queued for a draining server, and a release to the
+//! caller of each established call that its server ends or that is lost with its server.
 
 mod active_calls;
 mod attempt_trace;
@@ -33,79 +35,80 @@
 use std::net::SocketAddr;
 use timers::Timer;
 
-/// A caller's connection, by the number that the shell gives it. Never reused.
+/// Number of a caller's connection, assigned by the I/O layer. Never reused.
 pub type CallerId = u64;
-/// A connection to a server, by the number that the core gives it. Never reused.
+/// Number of a connection to a server, assigned by the core. Never reused.
 pub type UpstreamId = u64;
 
-/// What happens to a node.
+/// An event that the I/O layer reports to the core.
 #[derive(Debug)]
 pub enum Input {
     /// A caller has connected.
     CallerOpened(CallerId),
     /// A caller sent a message.
     CallerMessage(CallerId, Message),
-    /// A caller has closed its end; what it sent before may still come.
+    /// A caller has closed its connection. Messages that it sent before may still follow.
     CallerDisconnected(CallerId),
-    /// A caller's connection has ended.
+    /// A caller's connection has ended, and no message follows.
     CallerClosed(CallerId),
-    /// A message that was not completely written when its caller's connection ended.
+    /// A message to a caller was not completely written when the caller's connection ended.
     CallerMessageUndelivered(Vec<u8>),
     /// A connection to a server is up.
     UpstreamConnected(UpstreamId),
     /// A server sent a message.
     UpstreamMessage(UpstreamId, ServerMessage),
-    /// A connection to a server has ended, or could not be made.
+    /// A connection to a server has ended, or could not be established.
     UpstreamClosed {
         /// The connection.
         upstream: UpstreamId,
-        /// Of the messages given to it, so many may have reached the server.
+        /// How many of the messages given to it may have reached the server.
         written: u64,
-        /// Whether the connection was refused: nobody listens there.
+        /// Whether the connection was refused: no process listens at the address.
         is_refused: bool,
     },
-    /// A message given to a connection was dropped, and will never be written.
+    /// A message given to a connection was dropped unwritten.
     MessageDropped {
         /// The connection.
         upstream: UpstreamId,
         /// The message's number on it, from 0.
         message: u64,
     },
-    /// The coordinator's event.
+    /// The coordinator has reported servers of the endpoint list.
     EndpointsUpdated(Endpoints),
-    /// Descriptors are short: the caller whose connection is idle for longest is to be evicted.
+    /// File descriptors are short: the caller that has been idle for the longest time is to be evicted.
     EvictIdleCaller,
-    /// A caller that was to be evicted stays: something has arrived from it, or waits for it.
+    /// A caller was not evicted, because a message has arrived from it, or one is queued for it.
     EvictionDeclined(CallerId),
-    /// The operator asks the node to stop.
+    /// The node is to stop.
     Stop,
-    /// Time has passed.
+    /// A timer is due.
     Timeout,
 }
 
-/// What the shell is to do.
+/// An operation that the I/O layer is to carry out.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Effect {
     /// Send a caller a message.
     ToCaller(CallerId, Vec<u8>),
-    /// Close a caller's connection, unless something has arrived on it. Answered by [`Input::CallerClosed`] or
-    /// [`Input::EvictionDeclined`].
+    /// Close a caller's connection, unless a message has arrived on it. Followed by [`Input::CallerClosed`]
+    /// or [`Input::EvictionDeclined`].
     EvictCaller(CallerId),
-    /// Connect to a server. Answered by [`Input::UpstreamConnected`] or [`Input::UpstreamClosed`].
+    /// Connect to a server. Followed by [`Input::UpstreamConnected`] or [`Input::UpstreamClosed`].
     Connect(UpstreamId, SocketAddr),
-    /// Send a server a message; a connection's messages are numbered from 0 in their order.
+    /// Send a server a message. The messages of a connection are numbered consecutively from 0.
     ToServer {
         /// The connection.
         upstream: UpstreamId,
         /// The message's number on it.
         message: u64,
-        /// The message.
+        /// The encoded message.
         bytes: Vec<u8>,
-        /// Not to be written after this moment; answered by [`Input::MessageDropped`] then.
+        /// Deadline after which the message is not written, but dropped, and [`Input::MessageDropped`]
+        /// follows.
         not_after_ns: Option<Nanos>,
     },
-    /// Cancel a set-up. If all of it has left, `bytes` follow it as message `stop_message`; if part of it has left, the
-    /// connection ends.
+    /// Cancel a set-up. If it is unwritten, it is removed from the queue; if it is partly written, the
+    /// connection is closed; if it is completely written, `bytes` are sent as message `stop_message`.
     CancelSetup {
         /// The connection.
         upstream: UpstreamId,
@@ -116,14 +119,14 @@
         /// The message that cancels it at the server.
         bytes: Vec<u8>,
     },
-    /// Close a connection to a server: what waits there is written, but for set-ups. No [`Input::UpstreamClosed`]
-    /// follows.
+    /// Close a connection to a server after writing its queued messages, except set-ups. No
+    /// [`Input::UpstreamClosed`] follows.
     Disconnect(UpstreamId),
-    /// Nothing is owed any more.
+    /// The node can exit: no call is open, and no more are admitted.
     Stopped,
 }
 
-/// The core of a node. Same settings, seed and inputs give the same effects.
+/// The core of a node. It is deterministic: the same settings, seed and inputs result in the same effects.
 pub struct NodeCore {
     site: Site,
     max_upstreams: usize,
@@ -131,9 +134,9 @@
     now: Nanos,
     callers: BTreeMap<CallerId, Caller>,
     calls: BTreeMap<CallId, Call>,
-    /// How many calls have no final response yet.
+    /// Number of calls without a final response.
     open_calls: usize,
-    /// Calls by the id that crosses the wire.
+    /// Calls by their id on the wire.
     calls_by_wire_id: BTreeMap<u64, CallId>,
     servers: BTreeMap<ServerId, Server>,
     servers_by_uid: BTreeMap<String, ServerId>,
@@ -143,27 +146,30 @@
     next_call: CallId,
     next_server: ServerId,
     next_upstream: UpstreamId,
-    /// Releases to callers that no connection could carry yet, oldest first.
+    /// Releases to callers that wait for a caller's connection, oldest first.
     unsent_releases: VecDeque<Vec<u8>>,
-    /// Wire ids of calls that went to a server and are over, and until when their ends may still arrive.
+    /// Wire ids of ended calls that a server has had, and until when their ends may still arrive from it.
     retired_wire_ids: BTreeMap<u64, Nanos>,
-    /// Events for the controller that its own actions cause, for after the actions in hand.
+    /// Events that the controller has yet to handle, among them those caused by its own actions.
     pending_events: VecDeque<Event>,
-    /// Reused by each event.
+    /// Buffer for the controller's actions on one event.
     actions: Vec<Action>,
-    /// Whether a complete list of servers has arrived.
+    /// Whether a complete endpoint list has arrived.
     has_endpoint_list: bool,
-    /// Whether the operator has asked the node to stop; late set-ups are still admitted.
+    /// Whether the node was asked to stop. Set-ups are still admitted until `is_admission_closed`.
     is_stopping: bool,
-    /// Whether late set-ups have had their time: none is admitted any more.
+    /// Whether the node is stopping and no longer admits set-ups.
     is_admission_closed: bool,
+    /// Whether [`Effect::Stopped`] was returned.
     is_stopped: bool,
     counters: Counters,
 }
 
 impl NodeCore {
-    /// A core that knows its settings and nothing else. `max_upstreams`: connections to servers, beyond one to each.
-    /// `now`: nanoseconds since 1970, as all times here.
+    /// Creates a core without servers, callers and calls.
+    ///
+    /// `max_upstreams` limits the connections to servers; the first one to each server is always allowed.
+    /// `now` is, as all times of the core, in nanoseconds since the Unix epoch.
     pub fn new(site: Site, max_upstreams: usize, now: Nanos, seed: u64) -> Self {
         let mut core = NodeCore {
             controller: Controller::new(site.settings.clone(), seed),
@@ -196,11 +202,11 @@
         core
     }
 
-    /// Handles one input and appends what is to be done about it.
+    /// Handles one input and appends the resulting effects.
     pub fn handle(&mut self, now: Nanos, input: Input, effects: &mut Vec<Effect>) {
         self.now = self.now.max(now);
         self.stall.note(self.now, self.timers.first(), 2 * self.site.settings.tick_ns);
-        // What was due before is handled before what has been read since.
+        // Timers that were due before the input was read take precedence.
         self.fire_due_timers(effects);
         self.dispatch(input, effects);
         self.run_pending_events(effects);
@@ -210,6 +216,7 @@
         }
     }
 
+    /// Passes an input to its handler.
     fn dispatch(&mut self, input: Input, effects: &mut Vec<Effect>) {
         match input {
             Input::CallerOpened(caller) => drop(self.callers.insert(caller, Caller::new(self.now))),
@@ -235,35 +242,35 @@
         }
     }
 
-    /// When the next [`Input::Timeout`] is due.
+    /// Returns when the next [`Input::Timeout`] is due, if any timer is set.
     pub fn next_timeout(&self) -> Option<Nanos> {
         self.timers.first()
     }
 
-    /// Whether the node passes its test: it has a complete list of servers, and nobody asked it to stop.
+    /// Whether the node passes readiness checks: it has a complete endpoint list and was not asked to stop.
     pub fn is_ready(&self) -> bool {
         self.has_endpoint_list && !self.is_stopping
     }
 
-    /// What was counted since the start.
+    /// Returns the counters since the start.
     pub fn counters(&self) -> &Counters {
         &self.counters
     }
 
-    /// How many calls there are now.
+    /// Returns the current number of calls.
     pub fn call_counts(&self) -> CallCounts {
         CallCounts { open: self.open_calls, established: self.calls.len() - self.open_calls }
     }
 
-    /// How many connections there are now.
+    /// Returns the current number of connections.
     pub fn connection_counts(&self) -> ConnectionCounts {
         ConnectionCounts { callers: self.callers.len(), upstreams: self.upstreams.len() }
     }
 
-    /// Sizes of all containers by name: for tests that nothing grows without bound.
+    /// Returns the sizes of all containers by name, for tests that none grows without bound.
     #[doc(hidden)]
     pub fn sizes(&self) -> Vec<(&'static str, usize)> {
-        let own = [
+        let core_sizes = [
             ("callers", self.callers.len()),
             ("calls", self.calls.len()),
             ("open calls", self.open_calls),
@@ -277,16 +284,16 @@
             ("retired wire ids", self.retired_wire_ids.len()),
             ("releases to servers", self.upstreams.values().map(|upstream| upstream.releases.len()).sum()),
         ];
-        own.into_iter().chain(self.controller.sizes()).collect()
+        core_sizes.into_iter().chain(self.controller.sizes()).collect()
     }
 
-    /// Feeds the controller what is due to it, and carries out its actions, until nothing is left.
+    /// Passes pending events to the controller and carries out its actions, until no event is pending.
     fn run_pending_events(&mut self, effects: &mut Vec<Effect>) {
         while let Some(event) = self.pending_events.pop_front() {
-            let traced = tracing::enabled!(tracing::Level::TRACE).then(|| event.clone());
+            let traced_event = tracing::enabled!(tracing::Level::TRACE).then(|| event.clone());
             let mut actions = std::mem::take(&mut self.actions);
             self.controller.handle(self.now, event, &mut actions);
-            traced.iter().for_each(|event| self.trace_attempts(event, &actions));
+            traced_event.iter().for_each(|event| self.trace_attempts(event, &actions));
             for action in actions.drain(..) {
                 self.carry_out(action, effects);
             }
@@ -294,6 +301,7 @@
         }
     }
 
+    /// Carries out an action of the controller.
     fn carry_out(&mut self, action: Action, effects: &mut Vec<Effect>) {
         match action {
             Action::ForwardSetup { call, server, timeout_ns } => {
@@ -302,8 +310,8 @@
             Action::CancelAttempt { call, attempt } => self.cancel_attempt(call, attempt, effects),
             Action::Reject { call, retry_after_ns } => self.reject_call(call, retry_after_ns, effects),
             Action::Fail { call } => self.fail_call(call, effects),
-            Action::SetTimer(at) => self.timers.set_no_later(Timer::Controller, at),
-            // The coordinator is followed in any case.
+            Action::SetTimer(due) => self.timers.set_no_later(Timer::Controller, due),
+            // The coordinator is polled in any case.
             Action::Subscribe => {}
         }
     }
--- a/crates/lilacpitch-node/src/core/path.rs
+++ b/crates/lilacpitch-node/src/core/path.rs
@@ -1,30 +1,31 @@
-//! The `P-Path` field of a set-up: first choice of server, circuits, retries, and where an established call is.
+//! The `P-Path` field of a set-up: the first choice of server, circuits, retries, and the server of a call
+//! that is already established.
 
 use super::callers::Rejection;
 
-/// A caller's `P-Path`.
+/// The values of a `P-Path` field.
 #[derive(Debug)]
 pub(super) struct Path {
-    /// Number of the server that is the first choice; `u32::MAX` for none, which no server has.
+    /// Number of the server that is the call's first choice; `u32::MAX`, which no server has, for none.
     pub first_choice: u32,
-    /// Circuits that the call takes.
+    /// Number of circuits that the call takes.
     pub circuits: f64,
-    /// Whether the call may be retried after an attempt that may have reached a server.
+    /// Whether the call may be retried after an attempt that was cut and may have reached a server.
     pub may_retry_after_cut: bool,
-    /// The server at which the call is established already.
+    /// Uid of the server at which the call is already established.
     pub established_at: Option<String>,
 }
 
-/// The response to a `P-Path` that can't be read.
+/// The response to an invalid `P-Path`.
 const BAD_PATH: Rejection = (400, "Bad P-Path");
-/// Calls take fewer circuits than this.
+/// Exclusive upper bound of the circuits of a call.
 const MAX_CIRCUITS: f64 = 1e6;
 
 impl Path {
-    /// Parses `name:value` parts joined by `;`.
+    /// Parses `name:value` parts separated by `;`.
     ///
     /// # Errors
-    /// Where a part has no value, or a value is out of its range.
+    /// Returns a rejection if a part has no value, or a value is out of range.
     pub(super) fn parse(text: &str) -> Result<Path, Rejection> {
         let mut path =
             Path { first_choice: u32::MAX, circuits: 1.0, may_retry_after_cut: false, established_at: None };
@@ -35,14 +36,15 @@
         Ok(path)
     }
 
+    /// Sets one value by its name on the wire.
     fn set(&mut self, name: &str, value: &str) -> Result<(), Rejection> {
         match name {
-            // -1: no first choice.
+            // -1 stands for no first choice.
             "dest" if value == "-1" => {}
             "dest" => self.first_choice = value.parse().map_err(|_| BAD_PATH)?,
             "width" => {
-                let circuits =
-                    value.parse::<f64>().ok().filter(|w| w.is_finite() && *w > 0.0 && *w < MAX_CIRCUITS);
+                let is_valid = |count: &f64| count.is_finite() && *count > 0.0 && *count < MAX_CIRCUITS;
+                let circuits = value.parse().ok().filter(is_valid);
                 self.circuits = circuits.ok_or(BAD_PATH)?;
             }
             "again" => {
@@ -53,7 +55,7 @@
                 }
             }
             "at" => self.established_at = Some(value.to_string()),
-            // Further values are not used, but must be numbers.
+            // Other values are ignored, but must be numbers.
             _ => drop(value.parse::<f64>().map_err(|_| BAD_PATH)?),
         }
         Ok(())
--- a/crates/lilacpitch-node/src/core/records.rs
+++ b/crates/lilacpitch-node/src/core/records.rs
@@ -1,4 +1,4 @@
-//! The records of the core's tables: callers, calls, attempts, servers and the connections to them.
+//! The records in the core's tables: callers, calls, attempts, servers and upstream connections.
 
 use super::{CallerId, UpstreamId};
 use lilacpitch::interface::{CallId, Endpoint, Nanos, ServerId};
@@ -8,20 +8,20 @@
 /// A caller's connection.
 #[derive(Debug)]
 pub(super) struct Caller {
-    /// Its calls that have no final response.
+    /// Its calls without a final response.
     pub open_calls: BTreeSet<CallId>,
-    /// When it last sent a message, or connected.
+    /// When it last sent a message, or else connected.
     pub last_active_ns: Nanos,
-    /// Whether it has sent a set-up that was accepted.
+    /// Whether it has sent a set-up that was admitted, or reported an established call.
     pub is_verified: bool,
-    /// Whether its connection is to be closed unless something arrives on it.
+    /// Whether its eviction was requested and not declined.
     pub is_evicting: bool,
-    /// Whether it has closed its end: set-ups that still arrive are nobody's.
+    /// Whether it has closed its connection. Set-ups that still arrive from it are discarded.
     pub is_disconnected: bool,
 }
 
 impl Caller {
-    /// A caller that has just connected.
+    /// Creates the record of a caller that has just connected.
     pub(super) fn new(now: Nanos) -> Self {
         Caller {
             open_calls: BTreeSet::new(),
@@ -33,20 +33,25 @@
     }
 }
 
-/// A call that was accepted and has not ended.
+/// A call that was admitted or adopted and has not ended.
 #[derive(Debug)]
 pub(super) struct Call {
+    /// The caller that has set it up.
     pub caller: CallerId,
     /// Its id on the wire.
     pub wire_id: u64,
+    /// Index of its class in the settings.
     pub class: usize,
-    /// Until it is established.
+    /// Its set-up; `None` once it is established.
     pub setup: Option<Setup>,
+    /// Its attempt that is in progress, or that has established it.
     pub attempt: Option<Attempt>,
-    /// Attempts that the controller has asked for.
+    /// Number of attempts that the controller has requested.
     pub attempt_count: u32,
-    /// Connections that earlier attempts used: a late answer there is not the current attempt's.
+    /// Connections that its attempts have used. The next attempt prefers another one, so that a late answer
+    /// to an earlier attempt is not taken for its own.
     pub used_upstreams: Vec<UpstreamId>,
+    /// When it was established; 0 before.
     pub established_ns: Nanos,
 }
 
@@ -56,7 +61,7 @@
     }
 }
 
-/// What is kept of a set-up until its final response.
+/// The part of a set-up that is needed until its final response.
 #[derive(Debug)]
 pub(super) struct Setup {
     /// The dialled number.
@@ -64,72 +69,80 @@
     /// Session description.
     pub body: String,
     /// Header lines that a response copies from the request.
-    pub echo: String,
+    pub copied_fields: String,
 }
 
-/// The attempt of a call that has not been completed.
+/// An attempt of a call that is not completed.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Attempt {
+    /// The server to which the set-up is sent.
     pub server: ServerId,
     /// Its number among the call's attempts, from 0.
     pub number: u32,
+    /// Its progress.
     pub state: AttemptState,
+    /// When it times out.
     pub deadline_ns: Nanos,
-    /// When it was given to its connection.
+    /// When the set-up was given to its connection; 0 before.
     pub sent_ns: Nanos,
 }
 
-/// Where an attempt is.
+/// The progress of an attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum AttemptState {
-    /// Waits for this connection to be made.
+    /// The set-up waits for this connection to be established.
     Queued(UpstreamId),
-    /// Given to this connection as its message of this number; no answer yet.
+    /// The set-up was given to this connection as the message of this number, and is not answered.
     InFlight(UpstreamId, u64),
-    /// The call is established, by this connection, which it may outlive.
+    /// The call was established on this connection, which it may outlive.
     Established(UpstreamId),
 }
 
 /// A server of the endpoint list.
 #[derive(Debug)]
 pub(super) struct Server {
+    /// Its id in the endpoint list.
     pub uid: String,
+    /// Its address in the endpoint list.
     pub address: SocketAddr,
-    /// As the controller knows it.
+    /// Its description for the controller.
     pub endpoint: Endpoint,
-    /// When it started, in Unix milliseconds, as listed.
+    /// When it started, in Unix milliseconds; 0 if unknown.
     pub boot_ms: u64,
+    /// The connections to it, oldest first.
     pub upstreams: Vec<UpstreamId>,
     /// Calls established there.
     pub active_calls: BTreeSet<CallId>,
-    /// When a message or a new connection last showed that it is there.
+    /// When a message or a new connection last showed that it was running.
     pub last_seen_ns: Nanos,
-    /// Since when no connection could be made.
+    /// Since when connections to it have failed; `None` if it was seen afterwards.
     pub unreachable_since_ns: Option<Nanos>,
 }
 
 /// A connection to a server.
 #[derive(Debug)]
 pub(super) struct UpstreamConnection {
+    /// The server.
     pub server: ServerId,
-    /// Whether it is up; else it is being made.
+    /// Whether it is established; else it is being established.
     pub is_up: bool,
-    /// Whether a set-up had no answer and nothing was answered here since: it may be cut off without a sign.
+    /// Whether a set-up got no answer here, and nothing was answered since. The connection may have been lost
+    /// without a reset.
     pub is_unresponsive: bool,
-    /// When it last brought an answer or an end.
+    /// When an answer, a rejection or the end of a call last arrived on it.
     pub last_answer_ns: Nanos,
     /// Number of the next message given to it.
     pub next_message: u64,
-    /// Calls whose set-up is queued or in flight here.
+    /// Calls whose set-up is queued or in flight on it.
     pub setups: BTreeSet<CallId>,
-    /// Wire ids of set-ups that were cancelled here, and until when that is remembered.
+    /// Wire ids of set-ups that were cancelled on it, each with the time until which it is kept.
     pub cancelled: BTreeMap<u64, Nanos>,
-    /// Releases that wait for this connection to be made.
+    /// Releases that wait for it to be established.
     pub releases: Vec<PendingRelease>,
 }
 
 impl UpstreamConnection {
-    /// A connection that is being made.
+    /// Creates the record of a connection that is being established.
     pub(super) fn new(server: ServerId) -> Self {
         UpstreamConnection {
             server,
@@ -144,10 +157,11 @@
     }
 }
 
-/// A release to a server that waits for a connection.
+/// A release to a server that waits for a connection to be established.
 #[derive(Debug)]
 pub(super) struct PendingRelease {
-    /// Until when another connection is tried.
+    /// Until when it is moved to another connection if this one fails.
     pub until_ns: Nanos,
+    /// The encoded message.
     pub bytes: Vec<u8>,
 }
--- a/crates/lilacpitch-node/src/core/timers.rs
+++ b/crates/lilacpitch-node/src/core/timers.rs
@@ -1,40 +1,42 @@
-//! The core's timers, and the times of a stop.
+//! The core's timers, and the schedule of a stop.
 //!
-//! After SIGTERM late set-ups are admitted for a while; the node stops once no call is open, and answers what is left
-//! shortly before the platform kills it.
+//! After SIGTERM set-ups are still admitted for a while. Then the node stops as soon as no call is open.
+//! Calls that are still open shortly before the platform kills the process get a final response.
 
 use super::{Effect, NodeCore};
 use lilacpitch::interface::{CallId, Nanos, Outcome};
 use lilacpitch::Event;
 
-/// After SIGTERM, callers' connections and set-ups are accepted for so long: new connections come for 0.4 s, requests
-/// on open ones for 0.2 s more, by the platform's page on its figures.
-const LATE_ARRIVALS_NS: Nanos = 750_000_000;
-/// The kill comes no sooner than the longest deadline of a call, counted as this where it is longer ...
+/// For this long after SIGTERM set-ups are admitted. By the platform's page on its figures, new connections
+/// arrive for 0.4 s and requests on open ones for 0.2 s more.
+const ADMISSION_AFTER_STOP_NS: Nanos = 750_000_000;
+/// By the protocol page on planned restarts, the platform kills the process no sooner after SIGTERM than the
+/// longest deadline of a call, limited to this value, plus [`KILL_MARGIN_NS`].
 const MAX_COUNTED_DEADLINE_NS: Nanos = 3_000_000_000;
-/// ... and this much later, by the protocol page on planned restarts.
+/// Time from the longest deadline of a call, counted from SIGTERM, to the kill.
 const KILL_MARGIN_NS: Nanos = 700_000_000;
-/// Calls that are open so long before the kill are answered then.
-const ANSWERED_BEFORE_KILL_NS: Nanos = 250_000_000;
+/// How long before the kill the calls that are still open get a final response.
+const ANSWER_BEFORE_KILL_NS: Nanos = 250_000_000;
 /// How often servers are checked.
 const HEALTH_CHECK_INTERVAL_NS: Nanos = 250_000_000;
 
-/// What a timer is for. Timers that are due at the same time fire in this order.
+/// The purpose of a timer. Timers that are due at the same time fire in the order of the variants.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum Timer {
-    /// The controller asked for it.
+    /// Requested by the controller.
     Controller,
-    /// An attempt has had no answer in its time.
+    /// Times out the attempt of a call.
     AttemptTimeout(CallId),
-    /// Servers are checked: which are gone, and whether those with established calls can be reached.
+    /// Checks whether servers can be reached, and removes those that are no longer listed.
     HealthCheck,
-    /// Late arrivals have had their time.
+    /// Ends the admission of set-ups while the node stops.
     CloseAdmission,
-    /// The kill is near: what is open gets its answer.
+    /// Answers the calls that are open shortly before the process is killed.
     DrainDeadline,
 }
 
 impl NodeCore {
+    /// Handles all timers that are due.
     pub(super) fn fire_due_timers(&mut self, effects: &mut Vec<Effect>) {
         while let Some(timer) = self.timers.pop_due(self.now) {
             match timer {
@@ -51,24 +53,27 @@
         }
     }
 
+    /// Sets the timer of the next health check.
     pub(super) fn schedule_health_check(&mut self) {
         self.timers.set(Timer::HealthCheck, self.now + HEALTH_CHECK_INTERVAL_NS);
     }
 
-    /// How long after it was asked to stop the process may run, in nanoseconds.
+    /// Returns how long the process may run after SIGTERM until the platform kills it, in nanoseconds.
     pub fn kill_delay_ns(&self) -> Nanos {
-        let longest = self.site.settings.classes.iter().map(|class| class.deadline_ns).max().unwrap_or(0);
-        longest.min(MAX_COUNTED_DEADLINE_NS) + KILL_MARGIN_NS
+        let longest_deadline_ns =
+            self.site.settings.classes.iter().map(|class| class.deadline_ns).max().unwrap_or(0);
+        longest_deadline_ns.min(MAX_COUNTED_DEADLINE_NS) + KILL_MARGIN_NS
     }
 
+    /// Starts the stop of the node, once.
     pub(super) fn begin_stopping(&mut self) {
         if self.is_stopping {
             return;
         }
         tracing::info!(calls = self.calls.len(), "drain started");
         self.is_stopping = true;
-        self.timers.set(Timer::CloseAdmission, self.now + LATE_ARRIVALS_NS);
-        let answer_at = self.now + self.kill_delay_ns() - ANSWERED_BEFORE_KILL_NS;
-        self.timers.set(Timer::DrainDeadline, answer_at);
+        self.timers.set(Timer::CloseAdmission, self.now + ADMISSION_AFTER_STOP_NS);
+        let deadline_ns = self.now + self.kill_delay_ns() - ANSWER_BEFORE_KILL_NS;
+        self.timers.set(Timer::DrainDeadline, deadline_ns);
     }
 }
--- a/crates/lilacpitch-node/src/core/upstreams.rs
+++ b/crates/lilacpitch-node/src/core/upstreams.rs
@@ -1,15 +1,17 @@
-//! Connections to servers: selected for a set-up, opened, written to and closed.
+//! Connections to servers: how one is selected for a set-up, opened, written to and closed.
 
 use super::records::{AttemptState, Server, UpstreamConnection};
 use super::{Effect, NodeCore, UpstreamId};
 use lilacpitch::interface::{CallId, LoadReport, Nanos, Outcome, ServerId};
 
-/// Connections to one server, by the protocol page on its messages: what ends one takes few set-ups with it.
+/// Most connections to one server, a limit of the platform's protocol page. With several, the end of one
+/// affects few set-ups.
 pub(super) const MAX_UPSTREAMS_PER_SERVER: usize = 4;
 
 impl NodeCore {
-    /// Selects a connection for one more set-up, not one of `used`: the one with the fewest set-ups, or a new one. An
-    /// unresponsive one only where no other may be opened, and one of `used` only where there is no other at all.
+    /// Selects a connection for one more set-up: the one with the fewest set-ups, or a new one. An
+    /// unresponsive one is selected only if no other may be opened, and one of `used` only if there is no
+    /// other at all.
     pub(super) fn select_upstream(
         &mut self,
         server: ServerId,
@@ -26,9 +28,9 @@
         let may_open = self.has_upstream_capacity(record);
         match best {
             Some((true, ..)) if may_open => self.open_upstream(server, effects),
-            Some((_, is_connecting, setups, id)) => {
-                if may_open && !is_connecting && setups > 0 {
-                    // The next set-up need not share.
+            Some((_, is_connecting, setup_count, id)) => {
+                if may_open && !is_connecting && setup_count > 0 {
+                    // Opened ahead, so that the next set-up has a connection of its own.
                     self.open_upstream(server, effects);
                 }
                 Some(id)
@@ -42,7 +44,7 @@
         }
     }
 
-    /// Whether one more connection to a server may be opened.
+    /// Whether another connection to a server may be opened.
     pub(super) fn has_upstream_capacity(&self, server: &Server) -> bool {
         let limit = if self.upstreams.len() < self.max_upstreams { MAX_UPSTREAMS_PER_SERVER } else { 1 };
         server.upstreams.len() < limit
@@ -74,7 +76,7 @@
         effects.push(Effect::Disconnect(id));
     }
 
-    /// Gives a message to a connection that is up; its number there.
+    /// Sends a message on a connection, and returns its number there; `None` if the connection is not up.
     pub(super) fn transmit(
         &mut self,
         id: UpstreamId,
@@ -94,7 +96,7 @@
         upstream.is_up = true;
         let (server, setups) = (upstream.server, upstream.setups.clone());
         let releases = std::mem::take(&mut upstream.releases);
-        self.note_seen(server);
+        self.record_seen(server);
         releases.into_iter().for_each(|release| _ = self.transmit(id, release.bytes, None, effects));
         setups.into_iter().for_each(|call| self.transmit_setup(call, effects));
     }
@@ -130,8 +132,9 @@
                 .iter()
                 .any(|other| self.upstreams.get(other).is_some_and(|upstream| upstream.is_up));
             if is_refused && !has_other {
-                // Nobody listens there, and no connection is up: the process is gone, and its calls with it.
-                self.release_orphaned_calls(upstream.server, "nobody listens", effects);
+                // No process listens at the address and no connection is up: the process and its calls are
+                // gone.
+                self.release_orphaned_calls(upstream.server, "connection refused", effects);
             }
         }
         for call in upstream.setups {
--- a/crates/lilacpitch-node/src/lib.rs
+++ b/crates/lilacpitch-node/src/lib.rs
@@ -1,11 +1,12 @@
-//! The front node of lilacpitch: callers speak SIP over TCP, signalling servers JSON lines, a coordinator HTTP.
+//! The front node of lilacpitch. It carries calls between callers (SIP over TCP) and signalling servers (JSON
+//! lines over TCP), and polls a coordinator (HTTP) for the endpoint list.
 //!
-//! - [`config`]: the configuration file, and how descriptors are shared out.
+//! - [`config`]: the configuration file, and how file descriptors are divided among the kinds of connections.
 //! - [`signalling`]: the line protocol of signalling servers.
-//! - [`coordinator`]: the coordinator's numbered events, and which of them are new.
-//! - [`core`]: calls, attempts and upstream connections around the decision module, as a value with time as an
-//!   argument. It decides nothing about routes, admission, retries or waits.
-//! - [`net`]: the shell on tokio: sockets, queues, signals and the clock.
+//! - [`coordinator`]: the coordinator's protocol, and which of its numbered events are new.
+//! - [`core`]: callers, calls, attempts and upstream connections, without I/O or a clock. Routing, admission,
+//!   retries and waits are decided by the controller of the `lilacpitch` package.
+//! - [`net`]: the I/O layer on tokio: sockets, queues, signals and the clock.
 #![forbid(unsafe_code)]
 
 pub mod config;
--- a/crates/lilacpitch-node/tests/common/mod.rs
+++ b/crates/lilacpitch-node/tests/common/mod.rs
@@ -29,7 +29,7 @@
             "tick_ns": 5 * MS
         }
     });
-    Config::read("soak", &text.to_string()).unwrap()
+    Config::parse("soak", &text.to_string()).unwrap()
 }
 
 /// A caller's request, decoded; the number it dials is its own, its first choice one of three.
--- a/crates/lilacpitch-node/tests/pinned_wire.rs
+++ b/crates/lilacpitch-node/tests/pinned_wire.rs
@@ -8,7 +8,7 @@
 use lilacpitch_node::config::Config;
 use lilacpitch_node::coordinator::{parse_response, State, Target};
 use lilacpitch_node::signalling::{
-    encode_launch, encode_stop, outcome_of_stop, LineDecoder, ServerMessage, CAUSE_CUT, CAUSE_NORMAL,
+    encode_setup, encode_stop, outcome_of_stop, LineDecoder, ServerMessage, CAUSE_CUT, CAUSE_NORMAL,
 };
 
 const MS: u64 = 1_000_000;
@@ -24,8 +24,8 @@
 #[test]
 fn writes_every_line_to_a_server_as_pinned() {
     let written = [
-        encode_launch(0xa1, "plain", "15550001", 2_990, "c=IN IP4 10.0.0.1\r\n"),
-        encode_launch(u64::MAX, "urgent", "", 1, "b"),
+        encode_setup(0xa1, "plain", "15550001", 2_990, "c=IN IP4 10.0.0.1\r\n"),
+        encode_setup(u64::MAX, "urgent", "", 1, "b"),
         encode_stop(0xa1, CAUSE_NORMAL),
         encode_stop(0xa2, CAUSE_CUT),
     ];
@@ -54,11 +54,11 @@
     expected_wait_ns: Option<u64>,
     expected_load: [Option<&str>; 2],
 ) {
-    let ServerMessage::Stop { uid, cause, note, waited_ns, load } = message else {
+    let ServerMessage::Stop { uid, cause, note, estimated_wait_ns, load } = message else {
         panic!("not a stop: {message:?}");
     };
     assert_eq!((*uid, *cause, note.as_str()), (expected_uid, expected_cause, expected_note));
-    assert_eq!(*waited_ns, expected_wait_ns);
+    assert_eq!(*estimated_wait_ns, expected_wait_ns);
     assert_eq!(["x0", "x1"].map(|name| load.get(name)), expected_load);
 }
 
@@ -111,7 +111,7 @@
 
 #[test]
 fn reads_every_key_of_the_configuration_as_pinned() {
-    let config = Config::read("pinned", include_str!("data/config.json")).unwrap();
+    let config = Config::parse("pinned", include_str!("data/config.json")).unwrap();
     assert_eq!(config.name, "n0");
     assert_eq!(config.listen.to_string(), "127.0.0.1:4060");
     assert_eq!(config.seed, 0x8c1f_30d2_7a5b_e964);
@@ -144,7 +144,7 @@
     for key in ["name", "listen", "seed", "limits", "coordinator", "known", "settings"] {
         let mut part = whole.clone();
         part.as_object_mut().unwrap().remove(key);
-        let error = Config::read("pinned", &part.to_string()).unwrap_err().to_string();
+        let error = Config::parse("pinned", &part.to_string()).unwrap_err().to_string();
         assert!(error.contains(&format!("missing field `{key}`")), "{key}: {error}");
     }
 }
