--- a/crates/lilacpitch-node/src/net/codecs.rs
+++ b/crates/lilacpitch-node/src/net/codecs.rs
@@ -1,4 +1,4 @@
-//! The protocols of a node's connections: SIP from callers, JSON lines from servers.
+//! The codecs of a node's connections: SIP from callers, JSON lines from servers.
 
 use crate::signalling::{LineDecoder, LineError, ServerMessage};
 use lilacpitch_net::Codec;
@@ -29,7 +29,8 @@
         error.final_response().map(|(status, reason, request)| request.encode_response(status, reason))
     }
 
-    /// A set-up whose CANCEL was read with it is removed: nobody has seen it, and nobody waits for it.
+    /// Removes each set-up whose CANCEL was read in the same batch: it was not handled, and its caller no
+    /// longer waits for it. The CANCEL stays and is answered.
     fn remove_cancelled(batch: &mut Vec<Message>) {
         let call_id_of = |message: &Message, method: &str| match message {
             Message::Request(request) if request.method == method => request.call_id.clone(),
--- a/crates/lilacpitch-node/src/net/connections.rs
+++ b/crates/lilacpitch-node/src/net/connections.rs
@@ -1,7 +1,7 @@
-//! The tasks of connections: one each for a caller and for a connection to a server.
+//! The tasks of connections: one for each caller and for each connection to a server.
 //!
-//! A task turns what happens on its socket into [`DriverEvent`]s; the driver holds a [`ConnectionHandle`] to queue
-//! messages and to close it.
+//! A task reports what happens on its socket as [`DriverEvent`]s. The driver holds a [`ConnectionHandle`] to
+//! queue messages and to close the connection.
 
 use super::codecs::{LineCodec, SipCodec};
 use super::driver_event::{DriverEvent, MalformedMessage};
@@ -15,28 +15,29 @@
 use tokio::sync::mpsc;
 use tokio::task::AbortHandle;
 
-/// How long a caller may take over its first message, and over each that it has begun: one that sends nothing is to be
-/// closed within 3 s, by the platform's page on bad clients.
+/// How long a caller may take to complete its first message, and each later one that it has begun. The
+/// platform's page on bad clients requires that a silent caller is closed within 3 s.
 const READ_TIMEOUT: Duration = Duration::from_millis(2000);
-/// Send buffer of a connection to a server: what the kernel holds can't be cancelled.
+/// Send buffer of a connection to a server. It is small because messages in the kernel's buffer can't be
+/// cancelled.
 const UPSTREAM_SEND_BUFFER_BYTES: u32 = 32 * 1024;
 
 /// The driver's end of a connection.
 pub(super) struct ConnectionHandle {
-    /// Messages to write, and how to close.
+    /// The messages to write, and how to close the connection.
     pub outbox: Outbox,
     /// The connection's task.
     pub task: AbortHandle,
 }
 
-/// What every connection's task needs.
+/// What the task of every connection needs.
 #[derive(Clone)]
 pub(super) struct ConnectionContext {
-    /// Where events go.
+    /// Sends events to the driver.
     pub events: mpsc::Sender<DriverEvent>,
-    /// Callers that have closed, ahead of what they sent before.
+    /// Reports callers that have closed their connection, ahead of the messages that they sent before.
     pub disconnects: mpsc::UnboundedSender<CallerId>,
-    /// Bounds the closed connections that still flush.
+    /// Limits the number of closed connections that are draining.
     pub drain_quota: Rc<DrainQuota>,
     /// The node's clock.
     pub clock: Clock,
@@ -66,6 +67,7 @@
         ConnectionHandle { outbox, task: task.abort_handle() }
     }
 
+    /// Runs a caller's connection to its end.
     async fn run_caller(self, caller: CallerId, connection: Connection<SipCodec>) {
         let on_event = async |event| match event {
             ConnectionEvent::Message(message) => self.send(Input::CallerMessage(caller, message)).await,
@@ -80,10 +82,11 @@
         closing.drain(&self.drain_quota).await;
     }
 
+    /// Connects to a server, and runs the connection to its end.
     async fn run_upstream(self, upstream: UpstreamId, address: SocketAddr, outbox: Outbox) {
         let connected = tokio::select! {
             connected = tokio::time::timeout(self.connect_timeout, connect(address)) => connected,
-            // Nothing is queued on a connection before it is up: this is its close.
+            // Nothing is queued before the connection is up, so this is a request to close it.
             () = outbox.changed() => return,
         };
         let (mut written, mut is_refused, mut closing) = (0, false, None);
@@ -92,8 +95,8 @@
                 if !self.send(Input::UpstreamConnected(upstream)).await {
                     return;
                 }
-                let (count, rest) = self.run_connected(upstream, address, stream, outbox).await;
-                (written, closing) = (count, Some(rest));
+                let (count, remainder) = self.run_connected(upstream, address, stream, outbox).await;
+                (written, closing) = (count, Some(remainder));
             }
             Ok(Err(error)) => {
                 is_refused = error.kind() == io::ErrorKind::ConnectionRefused;
@@ -107,7 +110,8 @@
         }
     }
 
-    /// Runs a connection to a server to its end; how many of its messages may have left.
+    /// Runs an established connection to a server to its end. Returns how many of its messages may have
+    /// reached the server.
     async fn run_connected(
         &self,
         upstream: UpstreamId,
@@ -133,7 +137,7 @@
         (end.written, closing)
     }
 
-    /// Sends an input to the driver; `false` once the driver takes no more.
+    /// Sends an input to the driver. Returns `false` once the driver accepts no more.
     async fn send(&self, input: Input) -> bool {
         self.events.send(DriverEvent::Input(input)).await.is_ok()
     }
@@ -142,7 +146,7 @@
 /// Connects to a server, with a small send buffer.
 async fn connect(address: SocketAddr) -> io::Result<TcpStream> {
     let socket = if address.is_ipv4() { TcpSocket::new_v4()? } else { TcpSocket::new_v6()? };
-    // Where the machine doesn't allow it, more can wait in the kernel: nothing else is different.
+    // If this fails, more messages can wait in the kernel, which is harmless.
     let _ = socket.set_send_buffer_size(UPSTREAM_SEND_BUFFER_BYTES);
     socket.connect(address).await
 }
--- a/crates/lilacpitch-node/src/net/coordinator_client.rs
+++ b/crates/lilacpitch-node/src/net/coordinator_client.rs
@@ -1,6 +1,7 @@
-//! Follows the coordinator: polls it, one request after the other, and feeds new events to the driver.
+//! The coordinator's client: polls the coordinator continuously, and sends new events to the driver.
 //!
-//! Each poll ends in bounded time. After a failure, or a response at once without news, the next poll backs off.
+//! Each poll ends in bounded time. After a failure, or an immediate response without new events, the client
+//! backs off.
 
 use super::coordinator_poll::{poll, PollError};
 use super::driver_event::{DriverEvent, MalformedMessage};
@@ -11,18 +12,20 @@
 use tokio::sync::{mpsc, watch};
 use tokio::time::Instant;
 
-/// First pause while no connection can be made.
+/// First backoff while no connection can be established.
 const UNREACHABLE_BACKOFF: Duration = Duration::from_millis(50);
-/// Longest pause while no connection can be made.
+/// Longest backoff while no connection can be established.
 const MAX_UNREACHABLE_BACKOFF: Duration = Duration::from_millis(500);
-/// First pause while connections are made and bring nothing. Short: events count as told 2 s after a poll that broke
-/// off, by the platform's page on bad peers.
+/// First backoff while connections are established, but polls fail or return no events. It is short because,
+/// by the platform's page on bad peers, events count as delivered 2 s after a poll whose connection was lost.
 const EMPTY_BACKOFF: Duration = Duration::from_millis(10);
-/// Longest pause while connections are made and bring nothing. A response that took longer was held back.
+/// Longest backoff while connections are established, but polls fail or return no events. A response that
+/// took longer than this was held back by the coordinator, so that no backoff is needed.
 const MAX_EMPTY_BACKOFF: Duration = Duration::from_millis(200);
 
-/// Follows the coordinator until the driver takes no more events. `address` is where it is, which may change.
-pub(super) async fn follow(
+/// Polls the coordinator until the driver accepts no more events. `known` holds the events that are known
+/// from the start; `address` is the coordinator's address, which may change.
+pub(super) async fn poll_continuously(
     known: PollResponse,
     mut address: watch::Receiver<SocketAddr>,
     events: mpsc::Sender<DriverEvent>,
@@ -55,7 +58,7 @@
                 if count > 0 || started_at.elapsed() > MAX_EMPTY_BACKOFF {
                     empty_backoff.reset();
                 } else {
-                    // It responds at once, without news.
+                    // The coordinator responded at once, without new events.
                     empty_backoff.wait(&mut address).await;
                 }
             }
@@ -75,7 +78,7 @@
     }
 }
 
-/// A pause that doubles each time, up to a limit.
+/// An exponential backoff with a limit.
 struct Backoff {
     next: Duration,
     first: Duration,
@@ -87,21 +90,22 @@
         Backoff { next: first, first, max }
     }
 
+    /// Starts again from the first pause.
     fn reset(&mut self) {
         self.next = self.first;
     }
 
-    /// Waits, or until the coordinator's address has changed.
+    /// Pauses, or until the coordinator's address has changed.
     async fn wait(&mut self, address: &mut watch::Receiver<SocketAddr>) {
         tokio::select! {
             () = tokio::time::sleep(self.next) => self.next = (self.next * 2).min(self.max),
-            // The next poll looks the address up again.
+            // Marked as unseen, so that the next poll notices the change.
             () = address_changed(address) => address.mark_changed(),
         }
     }
 }
 
-/// Waits until the address has changed; forever where its sender is gone, which the next poll notices.
+/// Waits until the address has changed; forever if its sender is gone, which the next poll notices.
 async fn address_changed(address: &mut watch::Receiver<SocketAddr>) {
     match address.has_changed() {
         Ok(_) => drop(address.changed().await),
@@ -109,7 +113,8 @@
     }
 }
 
-/// Forwards the new events of a response; their count, or `None` once the driver takes no more.
+/// Sends the new events of a response to the driver. Returns their count, or `None` once the driver accepts
+/// no more.
 async fn forward_events(
     follower: &mut EventFollower,
     response: PollResponse,
@@ -123,6 +128,7 @@
     Some(count)
 }
 
+/// Reports a failed exchange with the coordinator to the driver.
 async fn report_malformed(error: PollError, events: &mpsc::Sender<DriverEvent>) {
     let _ = events.send(DriverEvent::Malformed(MalformedMessage::Coordinator(error))).await;
 }
--- a/crates/lilacpitch-node/src/net/coordinator_poll.rs
+++ b/crates/lilacpitch-node/src/net/coordinator_poll.rs
@@ -1,6 +1,6 @@
-//! One poll of the coordinator over HTTP/1.1: request, response, and whether the connection can be reused.
+//! One poll of the coordinator over HTTP/1.1. Sizes and times are bounded.
 //!
-//! Sizes and times are bounded; the response's events are parsed by [`crate::coordinator`].
+//! The events in the body of a response are parsed by [`crate::coordinator`].
 
 use crate::coordinator::{parse_response, PollResponse, PollResponseError};
 use lilacpitch_protocol::http::{self, HeadError};
@@ -16,72 +16,73 @@
 
 /// How long connecting may take.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
-/// How long the coordinator is asked to hold its response back while it has no news. Short: events that a silent
-/// coordinator withholds count as told from the end of this wait on.
+/// How long the coordinator may hold its response back while it has no new events. It is short because events
+/// that a coordinator withholds count as delivered from the end of this time.
 const HOLD: Duration = Duration::from_millis(1500);
-/// How much longer than that a response is waited for.
+/// How long after [`HOLD`] a response is awaited.
 const RESPONSE_SLACK: Duration = Duration::from_millis(400);
-/// Longest body of a response.
+/// Longest body of a response, in bytes.
 const MAX_BODY_BYTES: usize = 8 << 20;
-/// Longest line that holds the size of a chunk.
+/// Longest line with the size of a chunk, in bytes.
 const MAX_CHUNK_LINE_BYTES: usize = 64;
 
 /// Why a poll failed.
 #[derive(Debug, Error)]
 pub(super) enum PollError {
-    /// No connection: check that the coordinator runs, and its address in the configuration.
-    #[error("{0}")]
+    /// The connection could not be established: check that the coordinator runs, and its address in the
+    /// configuration.
+    #[error("connecting: {0}")]
     Connect(#[source] io::Error),
-    /// No connection within 0.5 s.
-    #[error("no connection in time")]
+    /// The connection was not established in time.
+    #[error("connection timed out")]
     ConnectTimeout,
-    /// No complete response in time.
-    #[error("silent")]
+    /// The response was not complete in time.
+    #[error("response timed out")]
     ResponseTimeout,
     /// The request could not be written.
-    #[error("{0}")]
+    #[error("writing: {0}")]
     Write(#[source] io::Error),
     /// The response could not be read.
     #[error("reading: {0}")]
     Read(#[source] io::Error),
-    /// The connection was closed within the response.
-    #[error("broke off")]
+    /// The connection was closed before the response was complete.
+    #[error("connection closed before the response was complete")]
     ClosedEarly,
-    /// The response's head is malformed.
+    /// The head of the response is malformed.
     #[error("{0}")]
     Head(#[from] HeadError),
-    /// A status other than 200.
+    /// The status is not 200.
     #[error("status {0}")]
     Status(u16),
-    /// The length is not a number, or over the limit.
-    #[error("Content-Length can't be used")]
+    /// `Content-Length` is not a number, or over the limit.
+    #[error("invalid Content-Length")]
     ContentLength,
-    /// The body is longer than 8 MiB.
-    #[error("answer too long")]
+    /// The body is longer than [`MAX_BODY_BYTES`].
+    #[error("response body longer than {MAX_BODY_BYTES} bytes")]
     BodyTooLong,
-    /// A chunk does not begin with a line that holds its size.
-    #[error("chunk without a size")]
+    /// A chunk does not begin with a line with its size.
+    #[error("chunk without size")]
     ChunkSizeMissing,
     /// The size of a chunk is not a hexadecimal number.
     #[error("chunk size: {0}")]
     ChunkSize(#[source] ParseIntError),
-    /// The body is not text.
+    /// The body is not UTF-8.
     #[error("{0}")]
     NotText(#[from] FromUtf8Error),
-    /// The body is not JSON of the agreed form.
+    /// The body is not JSON, or lacks a field.
     #[error("{0}")]
     Events(#[from] PollResponseError),
 }
 
 impl PollError {
-    /// Whether there was a connection, so that the coordinator itself is at fault.
+    /// Whether the connection was established, so that the coordinator or the connection to it has failed.
     pub(super) fn is_connected(&self) -> bool {
         !matches!(self, PollError::Connect(_) | PollError::ConnectTimeout)
     }
 }
 
-/// Polls once for the events after `index`, on the connection at hand or on a new one; where the connection can be
-/// reused, it is put back.
+/// Polls once for the events after `index`, on the given connection or a new one. Puts the connection back if
+/// it can be reused.
 pub(super) async fn poll(
     connection: &mut Option<TcpStream>,
     address: SocketAddr,
@@ -103,12 +104,13 @@
     connected.map_err(|_| PollError::ConnectTimeout)?.map_err(PollError::Connect)
 }
 
-/// The body of a response, and whether its connection can be used again.
+/// The body of a response, and whether its connection can be reused.
 struct Body {
     bytes: Vec<u8>,
     is_reusable: bool,
 }
 
+/// Sends the request and reads its response.
 async fn exchange(stream: &mut TcpStream, address: SocketAddr, index: u64) -> Result<Body, PollError> {
     let target = format!("/v2/stream?follow={index}&wait_ms={}", HOLD.as_millis());
     let request = format!("GET {target} HTTP/1.1\r\nHost: {address}\r\nAccept: application/json\r\n\r\n");
@@ -120,8 +122,8 @@
 async fn read_response(stream: &mut TcpStream) -> Result<Body, PollError> {
     let mut bytes = Vec::new();
     let head = loop {
-        if let Some((head, length)) = http::response(&bytes)? {
-            bytes.drain(..length);
+        if let Some((head, head_length)) = http::response(&bytes)? {
+            bytes.drain(..head_length);
             break head;
         }
         read_more(stream, &mut bytes).await?;
@@ -146,7 +148,7 @@
     }
 }
 
-/// Reads a body that the connection's close ends.
+/// Reads a body that ends with the close of the connection.
 async fn read_to_close(stream: &mut TcpStream, mut bytes: Vec<u8>) -> Result<Vec<u8>, PollError> {
     loop {
         match stream.read_buf(&mut bytes).await {
@@ -185,13 +187,14 @@
     }
 }
 
-/// The size on a chunk's first line, without extensions.
+/// Parses the size on the first line of a chunk, without extensions.
 fn chunk_size(line: &[u8]) -> Result<usize, PollError> {
     let text = std::str::from_utf8(line).unwrap_or("");
     let digits = text.split(';').next().unwrap_or("").trim();
     usize::from_str_radix(digits, 16).map_err(PollError::ChunkSize)
 }
 
+/// Reads more bytes of an incomplete response.
 async fn read_more(stream: &mut TcpStream, bytes: &mut Vec<u8>) -> Result<(), PollError> {
     match stream.read_buf(bytes).await {
         Ok(0) => Err(PollError::ClosedEarly),
--- a/crates/lilacpitch-node/src/net/counters.rs
+++ b/crates/lilacpitch-node/src/net/counters.rs
@@ -1,9 +1,10 @@
-//! The periodic log line of counters, which operators' tools read by its keys.
+//! The periodic log line of counters. Operators' tools read it by its keys.
 
 use crate::core::NodeCore;
 use std::collections::BTreeMap;
 
-/// Logs what the core has counted, and malformed messages by kind. The keys are fixed: the operators' page lists them.
+/// Logs the counters of the core, and of malformed messages by kind. The keys must not change: the operators'
+/// page documents them.
 pub(super) fn log_counters(core: &NodeCore, malformed: &BTreeMap<&'static str, u64>) {
     let calls = core.call_counts();
     let connections = core.connection_counts();
--- a/crates/lilacpitch-node/src/net/driver.rs
+++ b/crates/lilacpitch-node/src/net/driver.rs
@@ -1,4 +1,4 @@
-//! The driver: the one task that owns the core, feeds it inputs and carries out its effects.
+//! The driver: the task that owns the core, feeds it inputs and carries out its effects.
 
 use super::connections::{ConnectionContext, ConnectionHandle};
 use super::counters::log_counters;
@@ -17,17 +17,17 @@
 use tokio::sync::{mpsc, watch};
 use tokio::time::Instant;
 
-/// Events handled in one round.
+/// Most events handled before timers, signals and new connections are checked again.
 const EVENTS_PER_ROUND: usize = 32;
-/// Messages that may wait for one connection.
+/// Most messages that wait to be written on one connection.
 const MAX_QUEUED_MESSAGES: usize = 512;
-/// Bytes that may wait for a caller that does not read.
+/// Most bytes that wait for a caller that does not read.
 const MAX_QUEUED_BYTES: usize = 32 * 1024;
-/// One slot for callers in so many is kept free, so that newcomers don't wait for an eviction.
+/// One in this many slots for callers is kept free, so that new callers don't wait for an eviction.
 const SPARE_SLOT_FRACTION: usize = 16;
 /// How often the counters are logged.
 const COUNTERS_INTERVAL: Duration = Duration::from_secs(5);
-/// Pause after a failed accept, most likely for want of descriptors.
+/// Pause after a failed accept, which is most likely due to a lack of file descriptors.
 pub(super) const ACCEPT_RETRY_PAUSE: Duration = Duration::from_millis(5);
 
 /// Owns the core and the driver's ends of all connections.
@@ -35,22 +35,24 @@
     pub(super) core: NodeCore,
     pub(super) callers: BTreeMap<CallerId, ConnectionHandle>,
     pub(super) upstreams: BTreeMap<UpstreamId, ConnectionHandle>,
+    /// When the first request to stop arrived.
     pub(super) stop_requested_at: Option<Instant>,
-    /// What the tasks of connections are given.
+    /// Passed to the tasks of connections.
     context: ConnectionContext,
+    /// Callers that have closed their connection, ahead of the messages that they sent before.
     disconnects: mpsc::UnboundedReceiver<CallerId>,
-    /// Callers that are evicted unless something arrives from them.
+    /// Callers whose eviction is in progress, which a message from them cancels.
     evicting: BTreeSet<CallerId>,
     max_callers: usize,
     next_caller: CallerId,
-    /// Reused by each input.
+    /// Buffer for the effects of one input.
     effects: Vec<Effect>,
-    /// Malformed messages by kind.
+    /// Number of malformed messages by kind.
     malformed: BTreeMap<&'static str, u64>,
     is_stopped: bool,
 }
 
-/// Reads the configuration again on SIGHUP; of it, the coordinator's address takes effect.
+/// Reloads the configuration on SIGHUP. Of its settings, only the coordinator's address takes effect.
 pub(super) struct Reloader<'a> {
     /// Path of the configuration file.
     pub path: &'a str,
@@ -59,6 +61,7 @@
 }
 
 impl Reloader<'_> {
+    /// Reloads the file; keeps the current configuration if it is invalid.
     fn reload(&self) {
         match Config::load(self.path) {
             Ok(config) => {
@@ -71,7 +74,7 @@
 }
 
 impl Driver {
-    /// A driver whose core knows its settings and nothing else.
+    /// Creates a driver without connections.
     pub(super) fn new(site: Site, seed: u64, budget: Budget, events: mpsc::Sender<DriverEvent>) -> Driver {
         let (disconnect_sender, disconnects) = mpsc::unbounded_channel();
         let clock = Clock::start();
@@ -98,7 +101,7 @@
         }
     }
 
-    /// The event loop, until the core has stopped and all connections are closed.
+    /// Runs the event loop until the core has stopped and all connections are closed.
     pub(super) async fn run(
         mut self,
         listener: TcpListener,
@@ -106,16 +109,16 @@
         mut signals: Signals,
         reloader: Reloader<'_>,
     ) {
-        let mut round = Vec::new();
+        let mut batch = Vec::new();
         let mut counters = tokio::time::interval(COUNTERS_INTERVAL);
         while !self.is_stopped {
             self.feed_disconnects();
             self.keep_spare_slots();
             let due = self.core.next_timeout().map(|at| self.context.clock.instant(at));
             tokio::select! {
-                count = inbox.recv_many(&mut round, EVENTS_PER_ROUND) => {
-                    debug_assert!(count > 0, "the driver holds a sender itself");
-                    round.drain(..).for_each(|event| self.handle_event(event));
+                count = inbox.recv_many(&mut batch, EVENTS_PER_ROUND) => {
+                    debug_assert!(count > 0, "channel closed, though the driver holds a sender");
+                    batch.drain(..).for_each(|event| self.handle_event(event));
                 }
                 Some(caller) = self.disconnects.recv() => self.feed(Input::CallerDisconnected(caller)),
                 accepted = accept(Some(&listener)), if self.has_caller_capacity() => match accepted {
@@ -139,22 +142,22 @@
         self.close(listener, inbox).await;
     }
 
-    /// Whether one more caller may connect.
+    /// Whether another caller may connect.
     pub(super) fn has_caller_capacity(&self) -> bool {
         self.callers.len() < self.max_callers
     }
 
-    /// Evicts idle callers where too few slots are free. Where each has an open set-up, accepting pauses until one
-    /// has not.
+    /// Evicts idle callers if too few slots are free. If every caller has an open set-up, accepting pauses
+    /// until one of them has none.
     fn keep_spare_slots(&mut self) {
         let spare = self.max_callers / SPARE_SLOT_FRACTION;
-        let wanted = (self.callers.len() + 1 + spare).saturating_sub(self.max_callers);
-        (self.evicting.len()..wanted).for_each(|_| self.feed(Input::EvictIdleCaller));
+        let needed = (self.callers.len() + 1 + spare).saturating_sub(self.max_callers);
+        (self.evicting.len()..needed).for_each(|_| self.feed(Input::EvictIdleCaller));
     }
 
     /// Handles one event of a connection's task or of the coordinator's client.
     pub(super) fn handle_event(&mut self, event: DriverEvent) {
-        // A disconnect found meanwhile comes first: what waits here may be that caller's.
+        // Disconnects go first, since this event may be from a caller that has closed its connection.
         self.feed_disconnects();
         let input = match event {
             DriverEvent::Input(input) => input,
@@ -181,16 +184,21 @@
         undelivered.into_iter().for_each(|bytes| self.feed(Input::CallerMessageUndelivered(bytes)));
     }
 
-    /// Counts a malformed message, and logs the first of its kind.
+    /// Counts a malformed message, and logs the first one of its kind.
     fn count_malformed(&mut self, message: &MalformedMessage) {
         let kind = message.kind();
         let count = self.malformed.entry(kind).or_default();
         *count += 1;
         if *count == 1 {
-            tracing::warn!(kind, error = %message, "malformed message, connection closed; more are only counted");
+            tracing::warn!(
+                kind,
+                error = %message,
+                "malformed message, connection closed; more of this kind are only counted"
+            );
         }
     }
 
+    /// Feeds the core the disconnects that have been reported.
     fn feed_disconnects(&mut self) {
         while let Ok(caller) = self.disconnects.try_recv() {
             self.feed(Input::CallerDisconnected(caller));
@@ -207,7 +215,8 @@
         self.effects = effects;
     }
 
-    /// Feeds an input that an effect causes: by a task of its own, since the core is in use.
+    /// Queues an input that results from an effect, from a separate task, since the core is handling an
+    /// input.
     fn feed_later(&self, input: Input) {
         let events = self.context.events.clone();
         tokio::task::spawn_local(async move {
@@ -215,6 +224,7 @@
         });
     }
 
+    /// Starts the stop of the node.
     fn stop(&mut self) {
         self.stop_requested_at.get_or_insert_with(Instant::now);
         self.feed(Input::Stop);
@@ -249,7 +259,7 @@
         outbox.push(OutgoingMessage { number: 0, bytes, not_after_ns: None });
         let queued = outbox.queued();
         if queued.messages > MAX_QUEUED_MESSAGES || queued.bytes > MAX_QUEUED_BYTES {
-            // It does not read: it is cut off, so that others are not slowed down.
+            // The caller does not read, so it is disconnected to free the memory of its queue.
             if outbox.close_mode() != Some(CloseMode::Immediately) {
                 tracing::info!(caller, "caller disconnected, not reading");
             }
@@ -257,6 +267,7 @@
         }
     }
 
+    /// Evicts a caller, unless it has unprocessed or queued messages.
     fn evict_caller(&mut self, caller: CallerId) {
         let Some(connection) = self.callers.get(&caller) else { return };
         if connection.outbox.unprocessed() == 0 && connection.outbox.queued().messages == 0 {
@@ -276,7 +287,8 @@
         }
     }
 
-    /// Cancels a set-up: in the queue, else by the connection's end or by a message that follows it.
+    /// Cancels a set-up: removes it from the queue, closes the connection if it is partly written, or else
+    /// sends `stop` after it.
     fn cancel_setup(&self, upstream: UpstreamId, message: u64, stop: OutgoingMessage) {
         let Some(connection) = self.upstreams.get(&upstream) else { return };
         match connection.outbox.cancel(message) {
@@ -296,7 +308,7 @@
     }
 }
 
-/// Accepts a connection; never returns without a listener.
+/// Accepts a connection. Without a listener, never returns.
 pub(super) async fn accept(listener: Option<&TcpListener>) -> io::Result<TcpStream> {
     match listener {
         Some(listener) => listener.accept().await.map(|(stream, _)| stream),
--- a/crates/lilacpitch-node/src/net/driver_event.rs
+++ b/crates/lilacpitch-node/src/net/driver_event.rs
@@ -1,4 +1,4 @@
-//! What the tasks of connections and of the coordinator's client send to the driver.
+//! The events that the tasks of connections and of the coordinator's client send to the driver.
 
 use super::coordinator_poll::PollError;
 use crate::core::Input;
@@ -10,34 +10,34 @@
 /// An event for the driver.
 #[derive(Debug)]
 pub(super) enum DriverEvent {
-    /// An input of the core.
+    /// An input for the core.
     Input(Input),
-    /// A peer sent something malformed; its connection is closed.
+    /// A peer has sent something malformed, and its connection is closed.
     Malformed(MalformedMessage),
 }
 
-/// What was malformed.
+/// A malformed message, by the kind of its sender.
 #[derive(Debug, Error)]
 pub(super) enum MalformedMessage {
-    /// A caller's message.
+    /// A message of a caller.
     #[error("{0}")]
     Caller(#[source] SipError),
-    /// A server's line.
+    /// A line of a server.
     #[error("{address}: {error}")]
     Server {
         /// The server's address.
         address: SocketAddr,
-        /// What is wrong.
+        /// What is wrong with the line.
         #[source]
         error: LineError,
     },
-    /// The coordinator's response.
+    /// A response of the coordinator.
     #[error("{0}")]
     Coordinator(#[source] PollError),
 }
 
 impl MalformedMessage {
-    /// The kind under which it is counted and, the first time, logged.
+    /// Returns the kind under which the message is counted and, the first time, logged.
     pub(super) fn kind(&self) -> &'static str {
         match self {
             MalformedMessage::Caller(SipError::Head(_)) => "caller's head",
--- a/crates/lilacpitch-node/src/net/mod.rs
+++ b/crates/lilacpitch-node/src/net/mod.rs
@@ -1,8 +1,9 @@
-//! The shell around [`NodeCore`](crate::core::NodeCore): sockets, queues, signals and the clock, on tokio. It decides
-//! nothing.
+//! The I/O layer around [`NodeCore`](crate::core::NodeCore), on tokio: sockets, queues, signals and the
+//! clock.
 //!
-//! Everything runs on one thread as tasks of a `LocalSet`: the [`driver`] owns the core, one task owns each
-//! connection, and bounded queues join them. A connection that can't keep up is closed, and never waited for.
+//! Everything runs on one thread as tasks of a `LocalSet`. The [`driver`] owns the core, each connection has
+//! a task that owns its socket, and bounded queues connect them. A connection that can't keep up is closed
+//! rather than waited for.
 
 mod codecs;
 mod connections;
--- a/crates/lilacpitch-node/src/net/shutdown.rs
+++ b/crates/lilacpitch-node/src/net/shutdown.rs
@@ -1,4 +1,5 @@
-//! The end of a node: all that has arrived by then is answered, and every connection is closed in order.
+//! The shutdown of a node: everything that has arrived is answered, and every connection is closed
+//! gracefully.
 
 use super::connections::ConnectionHandle;
 use super::driver::{accept, Driver, ACCEPT_RETRY_PAUSE};
@@ -10,28 +11,28 @@
 use tokio::task::AbortHandle;
 use tokio::time::Instant;
 
-/// All connections are closed this long before the platform's kill.
+/// How long before the platform kills the process all connections are closed.
 const CLOSED_BEFORE_KILL: Duration = Duration::from_millis(120);
-/// With no event for this long, nothing is on its way within this machine.
+/// If there is no event for this long, no input is pending within this machine.
 const QUIET_PERIOD: Duration = Duration::from_millis(10);
-/// How often the tasks of closed connections are checked for their end.
+/// How often it is checked whether the tasks of closed connections have ended.
 const TASK_CHECK_INTERVAL: Duration = Duration::from_millis(5);
 
 impl Driver {
-    /// Closes all connections: what has arrived by now is answered, and what was queued is written if it is read
-    /// before the kill.
+    /// Closes all connections. Everything that has arrived is answered, and queued messages are written if
+    /// their peers read them before the kill.
     pub(super) async fn close(mut self, listener: TcpListener, mut inbox: mpsc::Receiver<DriverEvent>) {
         let stop_requested_at = self.stop_requested_at.unwrap_or_else(Instant::now);
         let deadline =
             stop_requested_at + Duration::from_nanos(self.core.kill_delay_ns()) - CLOSED_BEFORE_KILL;
-        // A caller that does not read until then is cut off, but given a moment in any case.
+        // A caller that does not read until the deadline is disconnected, but has at least this time.
         let deadline = deadline.max(Instant::now() + CLOSED_BEFORE_KILL);
         let mut tasks = self.answer_arrived(listener, &mut inbox, deadline).await;
         for connection in self.upstreams.values() {
             connection.outbox.close(CloseMode::AfterFlush);
             tasks.push(connection.task.clone());
         }
-        // The events that end them are not read any more.
+        // Events are no longer handled, and tasks must not wait for the queue.
         inbox.close();
         let deadline = deadline.max(stop_requested_at + QUIET_PERIOD);
         while tasks.iter().any(|task| !task.is_finished()) && Instant::now() < deadline {
@@ -39,8 +40,8 @@
         }
     }
 
-    /// Accepts and answers until nothing more arrives and every caller is closed, or the deadline has passed; the
-    /// tasks of the callers' connections.
+    /// Accepts callers and answers them until nothing more arrives and every caller's connection is closed,
+    /// or the deadline has passed. Returns the tasks of the callers' connections.
     async fn answer_arrived(
         &mut self,
         listener: TcpListener,
@@ -50,7 +51,7 @@
         let mut tasks = Vec::new();
         let mut listener = Some(listener);
         loop {
-            finish_callers(self.callers.values(), &mut tasks);
+            close_after_answers(self.callers.values(), &mut tasks);
             let accepting = listener.as_ref().filter(|_| self.has_caller_capacity());
             let quiet = tokio::time::sleep(QUIET_PERIOD);
             tokio::select! {
@@ -62,7 +63,7 @@
                 },
                 () = tokio::time::sleep_until(deadline) => return tasks,
                 () = quiet => {
-                    // Nobody has connected, and nothing more was read.
+                    // No caller has connected, and no input has arrived.
                     if self.has_caller_capacity() {
                         listener = None;
                     }
@@ -75,8 +76,11 @@
     }
 }
 
-/// Asks callers' connections to finish, and keeps the tasks of those that were not asked before.
-fn finish_callers<'a>(callers: impl Iterator<Item = &'a ConnectionHandle>, tasks: &mut Vec<AbortHandle>) {
+/// Closes callers' connections after their answers, and collects the tasks of those that were still open.
+fn close_after_answers<'a>(
+    callers: impl Iterator<Item = &'a ConnectionHandle>,
+    tasks: &mut Vec<AbortHandle>,
+) {
     for caller in callers.filter(|caller| caller.outbox.close_mode() != Some(CloseMode::AfterAnswers)) {
         caller.outbox.close(CloseMode::AfterAnswers);
         tasks.push(caller.task.clone());
--- a/crates/lilacpitch-node/src/net/signals.rs
+++ b/crates/lilacpitch-node/src/net/signals.rs
@@ -1,18 +1,18 @@
-//! The process's signals: a request to stop, or to read the configuration again.
+//! The signals of the process: a request to stop, or to reload the configuration.
 
 use std::io;
 use tokio::signal::unix::{signal, Signal, SignalKind};
 
-/// What an operator asks for by a signal.
+/// A request that an operator sends by a signal.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Command {
-    /// SIGTERM or SIGINT: answer what is open, then exit.
+    /// SIGTERM or SIGINT: complete the open calls, then exit.
     Stop,
-    /// SIGHUP: read the configuration file again.
+    /// SIGHUP: reload the configuration file.
     Reload,
 }
 
-/// The signals that a node handles.
+/// The handlers of the signals.
 pub(super) struct Signals {
     terminate: Signal,
     interrupt: Signal,
@@ -23,7 +23,7 @@
     /// Installs the handlers.
     ///
     /// # Errors
-    /// Where the machine refuses one.
+    /// Returns an error if one can't be installed.
     pub(super) fn install() -> io::Result<Signals> {
         Ok(Signals {
             terminate: signal(SignalKind::terminate())?,
