--- a/crates/lilacpitch-node/tests/common/mod.rs
+++ b/crates/lilacpitch-node/tests/common/mod.rs
@@ -1,5 +1,5 @@
-//! What the tests of the core share: settings, requests, servers' lines, and a core in virtual time.
-// Each test file uses its own part.
+//! Helpers shared by the tests of the core: settings, requests, lines of servers, and a core in virtual time.
+// Each test file uses some of them.
 #![allow(dead_code)]
 
 use lilacpitch_node::config::Config;
@@ -9,12 +9,12 @@
 use lilacpitch_sip::{Decoder, Message};
 use serde_json::{json, Value};
 
-/// A millisecond in nanoseconds.
+/// One millisecond in nanoseconds.
 pub(crate) const MS: u64 = 1_000_000;
-/// When virtual time starts.
+/// Start of virtual time, in nanoseconds.
 pub(crate) const START_NS: u64 = 1_000_000 * MS;
 
-/// A configuration of one class, without servers.
+/// A configuration with one class and without servers.
 pub(crate) fn config() -> Config {
     let text = json!({
         "name": "n0", "listen": "127.0.0.1:1", "seed": "1", "limits": {"sockets": 256},
@@ -29,10 +29,10 @@
             "tick_ns": 5 * MS
         }
     });
-    Config::parse("soak", &text.to_string()).unwrap()
+    Config::parse("test", &text.to_string()).unwrap()
 }
 
-/// A caller's request, decoded; the number it dials is its own, its first choice one of three.
+/// A caller's request, decoded. Each call dials another number, and its first choice is one of three servers.
 pub(crate) fn request(method: &str, call: u64) -> Message {
     let body = "c=IN IP4 10.0.0.1\r\n";
     let text = format!(
@@ -46,18 +46,18 @@
     decoder.next_message().unwrap().unwrap()
 }
 
-/// A call id as it crosses the wire.
+/// A call id as it is written on the wire.
 pub(crate) fn wire_id(call: u64) -> String {
     format!("{call:016x}")
 }
 
-/// A server as the coordinator lists it.
+/// A server as the coordinator lists it, with one of three server numbers.
 pub(crate) fn target(number: u64, port: u64, state: &str, boot_ms: u64) -> Value {
     json!({"uid": format!("s-{number}"), "endpoint": format!("127.0.0.1:{port}"), "az": "a",
         "pod_group": number % 3, "state": state, "boot_ms": boot_ms})
 }
 
-/// The coordinator's event of this number, as the node reads it.
+/// The coordinator's event with this number, parsed.
 pub(crate) fn endpoints(index: u64, all: bool, targets: Vec<Value>) -> Vec<Endpoints> {
     let event = json!({"index": index, "endpoints": {"rev": index, "all": all, "targets": targets}});
     let response = parse_response(&json!({"index": index, "updates": [event]}).to_string()).unwrap();
@@ -74,9 +74,9 @@
     json!({"kind": "stop", "uid": call, "meta": meta, "reason": cause})
 }
 
-/// A core in virtual time, whose effects are handled as they come.
+/// A core in virtual time, whose effects are handled at once.
 pub(crate) trait Simulation {
-    /// The core, and the time.
+    /// Returns the core and the current time.
     fn core(&mut self) -> (&mut NodeCore, &mut u64);
 
     /// Handles one effect.
@@ -90,18 +90,18 @@
         effects.into_iter().for_each(|effect| self.handle_effect(effect));
     }
 
-    /// Lets time pass, in nanoseconds, with all timers that are due.
+    /// Advances the time, and fires each timer when it is due.
     fn advance(&mut self, duration_ns: u64) {
-        let until = *self.core().1 + duration_ns;
-        while let Some(due) = self.core().0.next_timeout().filter(|due| *due <= until) {
+        let end = *self.core().1 + duration_ns;
+        while let Some(due) = self.core().0.next_timeout().filter(|due| *due <= end) {
             let now = self.core().1;
             *now = due.max(*now);
             self.feed(Input::Timeout);
         }
-        *self.core().1 = until;
+        *self.core().1 = end;
     }
 
-    /// Feeds a line of a server.
+    /// Feeds a line that a server has sent.
     fn feed_line(&mut self, upstream: UpstreamId, line: &Value) {
         let message = ServerMessage::decode(line.to_string().as_bytes()).unwrap();
         self.feed(Input::UpstreamMessage(upstream, message));
--- a/crates/lilacpitch-node/tests/ends.rs
+++ b/crates/lilacpitch-node/tests/ends.rs
@@ -1,5 +1,4 @@
-//! What the core still owes when a connection ends: releases reach another connection, and only idle callers are
-//! evicted.
+//! The end of connections: releases are sent on another connection, and only idle callers are evicted.
 
 mod common;
 
@@ -46,43 +45,43 @@
         self.feed(Input::UpstreamMessage(upstream, message))
     }
 
-    /// Establishes a call; its connection to the server.
+    /// Establishes a call, and returns the connection of its set-up.
     fn establish(&mut self, caller: u64, call: u64) -> UpstreamId {
-        let mut used = None;
+        let mut setup_upstream = None;
         for effect in self.request(caller, "INVITE", call) {
             if let Effect::Connect(upstream, _) = effect {
                 let effects = self.feed(Input::UpstreamConnected(upstream));
-                used = used.or(effects.iter().find_map(launch_upstream));
+                setup_upstream = setup_upstream.or(effects.iter().find_map(upstream_of_setup));
             }
-            used = used.or(launch_upstream(&effect));
+            setup_upstream = setup_upstream.or(upstream_of_setup(&effect));
         }
-        let upstream = used.expect("sent at once");
+        let upstream = setup_upstream.expect("no set-up sent");
         self.feed_line(upstream, &answer_line(&wire_id(call), "x"));
-        assert_eq!(self.core.call_counts().open, 0, "it is established");
+        assert_eq!(self.core.call_counts().open, 0, "not established");
         upstream
     }
 
-    /// The server ends a call.
+    /// Ends a call by its server.
     fn end_call(&mut self, upstream: UpstreamId, call: u64) -> Vec<Effect> {
         self.feed_line(upstream, &stop_line(&wire_id(call), 16, json!({})))
     }
 }
 
-/// The connection that a set-up is sent on.
-fn launch_upstream(effect: &Effect) -> Option<UpstreamId> {
+/// Returns the connection of a set-up.
+fn upstream_of_setup(effect: &Effect) -> Option<UpstreamId> {
     match effect {
         Effect::ToServer { upstream, bytes, .. } if bytes.starts_with(b"{\"body\"") => Some(*upstream),
         _ => None,
     }
 }
 
-/// Connections that the node opens.
-fn opened(effects: &[Effect]) -> Vec<UpstreamId> {
+/// Returns the connections that the node opens.
+fn opened_upstreams(effects: &[Effect]) -> Vec<UpstreamId> {
     let upstream = |effect: &Effect| if let Effect::Connect(id, _) = effect { Some(*id) } else { None };
     effects.iter().filter_map(upstream).collect()
 }
 
-/// Releases to callers, with the caller.
+/// Returns the releases to callers, each with its caller.
 fn releases(effects: &[Effect]) -> Vec<(u64, Vec<u8>)> {
     let release = |effect: &Effect| match effect {
         Effect::ToCaller(caller, bytes) if bytes.starts_with(b"BYE ") => Some((*caller, bytes.clone())),
@@ -91,7 +90,7 @@
     effects.iter().filter_map(release).collect()
 }
 
-/// Kinds of the lines that go to a server.
+/// Returns the kinds of the lines that are sent to servers.
 fn line_kinds(effects: &[Effect]) -> Vec<String> {
     let line = |effect: &Effect| match effect {
         Effect::ToServer { bytes, .. } => {
@@ -110,19 +109,23 @@
     let upstream = node.establish(1, 1);
     node.establish(2, 2);
     let (caller, release) = releases(&node.end_call(upstream, 1)).remove(0);
-    assert_eq!(caller, 1, "by the connection of its set-up");
-    // That connection closes with the release unwritten.
+    assert_eq!(caller, 1, "not sent on the connection of the set-up");
+    // The connection ends before the release is written.
     node.feed(Input::CallerClosed(1));
     assert_eq!(
         releases(&node.feed(Input::CallerMessageUndelivered(release.clone()))),
         [(2, release.clone())]
     );
     node.feed(Input::CallerClosed(2));
-    assert_eq!(releases(&node.feed(Input::CallerMessageUndelivered(release.clone()))), [], "nobody is there");
+    assert_eq!(
+        releases(&node.feed(Input::CallerMessageUndelivered(release.clone()))),
+        [],
+        "no caller is connected"
+    );
     node.connect_caller(3);
     let effects = node.request(3, "INVITE", 3);
     assert_eq!(releases(&effects), [(3, release)]);
-    // Other messages are not sent again.
+    // Messages other than releases are not sent again.
     assert_eq!(node.feed(Input::CallerMessageUndelivered(b"SIP/2.0 200 OK\r\n\r\n".to_vec())), []);
 }
 
@@ -138,26 +141,26 @@
 }
 
 #[test]
-fn requeues_release_whose_connection_never_came_up_and_keeps_its_id_in_use() {
+fn requeues_release_of_a_failed_connection_and_keeps_its_id_in_use() {
     let mut node = OneServerNode::new();
     node.connect_caller(1);
     let upstream = node.establish(1, 1);
-    // All connections are lost; new ones do not come up for a while.
+    // All connections are lost, and new ones are not established for a while.
     let mut connecting = Vec::new();
     for lost in 1..=upstream.max(2) {
-        connecting.extend(opened(&node.close_upstream(lost, 9)));
+        connecting.extend(opened_upstreams(&node.close_upstream(lost, 9)));
     }
     let effects = node.request(1, "BYE", 1);
-    connecting.extend(opened(&effects));
+    connecting.extend(opened_upstreams(&effects));
     assert_eq!(line_kinds(&effects), [] as [String; 0], "no connection is up");
     node.now += 500 * MS;
-    // In use, though longer than the release time has passed: the server has not heard of its end.
+    // The id is still in use after the release time, since the server has not received the release.
     let effects = node.request(1, "INVITE", 1);
     assert!(matches!(&effects[..], [Effect::ToCaller(1, bytes)] if bytes.starts_with(b"SIP/2.0 482 ")));
     for _ in 0..2 {
-        let first = connecting.remove(0);
-        connecting.extend(opened(&node.close_upstream(first, 0)));
-        assert!(!connecting.is_empty(), "tried again");
+        let failed = connecting.remove(0);
+        connecting.extend(opened_upstreams(&node.close_upstream(failed, 0)));
+        assert!(!connecting.is_empty(), "no new connection is opened");
     }
     let effects: Vec<_> =
         connecting.into_iter().flat_map(|upstream| node.feed(Input::UpstreamConnected(upstream))).collect();
@@ -169,7 +172,8 @@
     let mut node = OneServerNode::new();
     node.connect_caller(1);
     let upstream = node.establish(1, 1);
-    // One more is cancelled there; then the server vanishes without a sign, and no connection comes up.
+    // Another call is cancelled there. Then the server is lost without a reset, and no new connection is
+    // established.
     node.request(1, "INVITE", 2);
     node.request(1, "CANCEL", 2);
     let (start, mut released_after) = (node.now, None);
@@ -177,24 +181,25 @@
     while released_after.is_none() && node.now < start + 20_000 * MS {
         node.now += 50 * MS;
         let mut effects = node.feed(Input::Timeout);
-        let is_due = |(at, _): &(u64, UpstreamId)| *at <= node.now;
-        let (failed, waiting): (Vec<_>, Vec<_>) = connecting.into_iter().partition(is_due);
+        let has_failed = |(failure_ns, _): &(u64, UpstreamId)| *failure_ns <= node.now;
+        let (failed, waiting): (Vec<_>, Vec<_>) = connecting.into_iter().partition(has_failed);
         connecting = waiting;
         for (_, upstream) in failed {
             effects.extend(node.close_upstream(upstream, 0));
         }
         if node.now == start + 4_000 * MS {
-            // The answer to it was on its way for that long, on any of the connections there were.
+            // The late answer to the cancelled call may arrive on any connection.
             for id in 1..=upstream + 4 {
                 effects.extend(node.feed_line(id, &answer_line(&wire_id(2), "late")));
             }
         }
-        connecting.extend(opened(&effects).into_iter().map(|id| (node.now + 500 * MS, id)));
+        connecting.extend(opened_upstreams(&effects).into_iter().map(|id| (node.now + 500 * MS, id)));
         let has_release = !releases(&effects).is_empty();
         released_after = released_after.or(has_release.then_some(node.now - start));
     }
     let released_ms = released_after.expect("never released") / MS;
-    assert!(released_ms < 7_500, "owed within 8 s of its end: {released_ms} ms");
+    // The protocol page requires a release within 8 s.
+    assert!(released_ms < 7_500, "released after {released_ms} ms");
 }
 
 #[test]
@@ -208,7 +213,7 @@
         _ => None,
     };
     assert_eq!((evict(&mut node), evict(&mut node), evict(&mut node)), (Some(2), Some(3), None));
-    // Something arrived from one of them: it stays, and can be evicted again only when it is idle.
+    // A caller with an open call is not evicted; one whose eviction was declined can be evicted again.
     node.request(2, "INVITE", 2);
     node.feed(Input::EvictionDeclined(3));
     assert_eq!((evict(&mut node), evict(&mut node)), (Some(3), None));
--- a/crates/lilacpitch-node/tests/limits.rs
+++ b/crates/lilacpitch-node/tests/limits.rs
@@ -1,4 +1,4 @@
-//! How descriptors and memory are shared out.
+//! Division of file descriptors and memory among the kinds of connections.
 
 use lilacpitch_node::config::Limits;
 use proptest::prelude::*;
@@ -9,7 +9,7 @@
     #[test]
     fn descriptor_shares_never_exceed_the_limit(sockets in 0usize.., memory_mb in 0u64..) {
         let budget = Limits { sockets, memory_mb: Some(memory_mb) }.budget();
-        // The rest is reserved for the listener, the coordinator and the runtime.
+        // The remaining descriptors are for the listener, the coordinator and the runtime.
         let used = budget.callers as u128 + budget.draining as u128 + budget.upstreams as u128;
         prop_assert!(used <= sockets as u128);
         prop_assert!(sockets < 64 || used + 32 <= sockets as u128);
@@ -18,7 +18,8 @@
 
 #[test]
 fn callers_get_a_third_of_the_descriptors_at_the_platforms_limits() {
-    // Callers use at most a third of the descriptor limit, by the protocol page; memory by its deployment page.
+    // By the platform's protocol page, callers use at most a third of the descriptor limit. The memory limits
+    // are those of its deployment page.
     for (sockets, memory_mb) in [(256, 32), (512, 48), (576, 56), (1024, 32), (1024, 192)] {
         let budget = Limits { sockets, memory_mb: Some(memory_mb) }.budget();
         assert!(budget.callers >= sockets / 3, "{sockets} {memory_mb}: {budget:?}");
--- a/crates/lilacpitch-node/tests/orders.rs
+++ b/crates/lilacpitch-node/tests/orders.rs
@@ -1,6 +1,6 @@
-//! Random orders of all that can happen to a node: each call has one final response, two attempts of a call are never
-//! in flight, nothing is sent for a call that is over, and at the end nothing is retained, the controller's counts
-//! included.
+//! Invariants of the core under random sequences of events: each call gets one final response, a call never
+//! has two attempts in flight, nothing is sent for a call that is over, and in the end neither the core nor
+//! the controller retains anything.
 
 mod common;
 
@@ -11,11 +11,11 @@
 use serde_json::{json, Value};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A set-up as a caller sent it.
+/// A set-up that a caller has sent, and what the node has sent for it.
 #[derive(Debug, Default, Clone)]
 struct SentSetup {
     caller: CallerId,
-    /// Nobody waits for it any more: it was answered or cancelled, or its caller has closed.
+    /// Whether its caller no longer waits: it was answered or cancelled, or its caller has disconnected.
     is_over: bool,
     final_responses: usize,
     is_established: bool,
@@ -27,8 +27,8 @@
 struct GivenMessage {
     number: u64,
     is_written: bool,
-    /// The call, where it is a set-up.
-    setup_of: Option<u64>,
+    /// The call, if the message is a set-up.
+    setup_call: Option<u64>,
 }
 
 /// A connection to a server.
@@ -38,22 +38,23 @@
     messages: Vec<GivenMessage>,
 }
 
-/// A server of the list.
+/// A server of the endpoint list.
 struct ListedServer {
     number: u64,
     state: &'static str,
-    /// How often it has moved to another address.
+    /// Number of times that its address has changed.
     moves: u64,
 }
 
-/// A random step: what happens, and two numbers that say to whom and how.
+/// A random step: its kind, and two numbers that select the object of the step and its variant.
 #[derive(Debug, Clone, Copy)]
 struct Step {
     kind: u8,
-    pick: u16,
+    selector: u16,
     variant: u16,
 }
 
+/// A core with simulated callers, servers and coordinator.
 struct World {
     core: NodeCore,
     now: u64,
@@ -65,7 +66,7 @@
     disconnected: BTreeSet<CallerId>,
     calls: BTreeMap<u64, SentSetup>,
     upstreams: BTreeMap<UpstreamId, Upstream>,
-    /// The connection that a call's attempt is in flight on.
+    /// Connections of the attempts in flight, by call.
     in_flight: BTreeMap<u64, UpstreamId>,
     servers: Vec<ListedServer>,
     evicting: Vec<CallerId>,
@@ -96,32 +97,36 @@
     }
 }
 
-// ---- Checks of what the node does ----
+// ---- Checks of the node's effects ----
 
 impl World {
     fn check_server_message(&mut self, upstream: UpstreamId, number: u64, line: &Value) {
         let call = u64::from_str_radix(line["uid"].as_str().unwrap(), 16).unwrap();
         let is_setup = line["kind"] == "launch";
-        let connection = self.upstreams.get_mut(&upstream).expect("a connection that exists");
-        assert!(connection.is_up, "given to a connection that is not up");
-        let setup_of = is_setup.then_some(call);
-        connection.messages.push(GivenMessage { number, is_written: false, setup_of });
+        let connection =
+            self.upstreams.get_mut(&upstream).expect("message for a connection that does not exist");
+        assert!(connection.is_up, "message for a connection that is not up");
+        let setup_call = is_setup.then_some(call);
+        connection.messages.push(GivenMessage { number, is_written: false, setup_call });
         if is_setup {
             let setup = &self.calls[&call];
-            assert!(!setup.is_over, "sent for a call that is over: {call} {setup:?}");
-            let before = self.in_flight.insert(call, upstream);
-            assert_eq!(before, None, "two attempts of {call} are in flight");
+            assert!(!setup.is_over, "set-up sent for a call that is over: {call} {setup:?}");
+            let previous = self.in_flight.insert(call, upstream);
+            assert_eq!(previous, None, "two attempts of call {call} are in flight");
         }
     }
 
     fn cancel_setup(&mut self, upstream: UpstreamId, number: u64, stop_number: u64) {
         let Some(connection) = self.upstreams.get_mut(&upstream) else { return };
         let messages = &mut connection.messages;
-        let index = messages.iter().position(|message| message.number == number).expect("was given");
-        let GivenMessage { is_written, setup_of, .. } = messages[index];
-        self.in_flight.remove(&setup_of.expect("a set-up"));
+        let index = messages
+            .iter()
+            .position(|message| message.number == number)
+            .expect("cancelled message was never sent");
+        let GivenMessage { is_written, setup_call, .. } = messages[index];
+        self.in_flight.remove(&setup_call.expect("cancelled message is not a set-up"));
         if is_written {
-            messages.push(GivenMessage { number: stop_number, is_written: false, setup_of: None });
+            messages.push(GivenMessage { number: stop_number, is_written: false, setup_call: None });
         } else {
             messages.remove(index);
         }
@@ -140,20 +145,24 @@
     fn check_release(&mut self, call: u64) {
         let Some(setup) = self.calls.get_mut(&call) else { return };
         setup.releases += 1;
-        assert!(setup.releases <= 1 && setup.is_established, "released {} times: {call}", setup.releases);
+        assert!(
+            setup.releases <= 1 && setup.is_established,
+            "call {call}: release number {}, {setup:?}",
+            setup.releases
+        );
     }
 
     fn check_final_response(&mut self, caller: CallerId, call: u64, text: &str) {
         assert!(
             self.callers.contains(&caller),
-            "sent to {caller}, which is not connected: {text} {:?}",
+            "response to caller {caller}, which is not connected: {text} {:?}",
             self.calls.get(&call)
         );
         let setup = self.calls.get_mut(&call).unwrap();
         setup.final_responses += 1;
         assert!(
             setup.final_responses == 1 && !setup.is_over,
-            "a second response to {call}, or one that nobody waits for"
+            "second response to call {call}, or its caller no longer waits"
         );
         assert_eq!(setup.caller, caller);
         setup.is_over = true;
@@ -161,12 +170,12 @@
         if setup.is_established {
             self.in_flight.remove(&call);
         } else {
-            assert_eq!(self.in_flight.get(&call), None, "answered while an attempt is in flight");
+            assert_eq!(self.in_flight.get(&call), None, "final response while an attempt is in flight");
         }
     }
 }
 
-// ---- What callers, servers and the coordinator do ----
+// ---- Actions of callers, servers and the coordinator ----
 
 impl World {
     fn new() -> World {
@@ -222,41 +231,41 @@
     fn invite(&mut self, caller: CallerId) {
         let call = self.next_call;
         self.next_call += 1;
-        // A set-up of a caller that has closed is nobody's.
+        // A caller that has disconnected does not wait for a response.
         let is_over = self.disconnected.contains(&caller);
         self.calls.insert(call, SentSetup { caller, is_over, ..SentSetup::default() });
         self.feed(Input::CallerMessage(caller, request("INVITE", call)));
     }
 
     fn cancel(&mut self, caller: CallerId, variant: u16) {
-        let open = self.calls.iter().filter(|(_, setup)| setup.caller == caller && !setup.is_over);
-        let Some(call) = pick(open.map(|(id, _)| *id), variant) else { return };
+        let waiting = self.calls.iter().filter(|(_, setup)| setup.caller == caller && !setup.is_over);
+        let Some(call) = pick(waiting.map(|(id, _)| *id), variant) else { return };
         self.calls.get_mut(&call).unwrap().is_over = true;
         self.feed(Input::CallerMessage(caller, request("CANCEL", call)));
-        assert_eq!(self.in_flight.get(&call), None, "cancelled, and an attempt is in flight");
+        assert_eq!(self.in_flight.get(&call), None, "an attempt of a cancelled call is in flight");
     }
 
-    /// Nobody waits for the calls of this caller any more.
-    fn note_disconnected(&mut self, caller: CallerId) {
+    /// Records that a caller no longer waits for its calls.
+    fn record_disconnected(&mut self, caller: CallerId) {
         self.disconnected.insert(caller);
         let own = self.calls.values_mut().filter(|setup| setup.caller == caller);
         own.for_each(|setup| setup.is_over = true);
     }
 
     fn disconnect_caller(&mut self, caller: CallerId) {
-        self.note_disconnected(caller);
+        self.record_disconnected(caller);
         self.feed(Input::CallerDisconnected(caller));
     }
 
     fn close_caller(&mut self, caller: CallerId) {
-        self.note_disconnected(caller);
+        self.record_disconnected(caller);
         self.callers.remove(&caller);
         self.feed(Input::CallerClosed(caller));
     }
 
-    fn connect_upstream(&mut self, number: u16) {
+    fn connect_upstream(&mut self, selector: u16) {
         let connecting = self.upstreams.iter().filter(|(_, upstream)| !upstream.is_up);
-        let Some(upstream) = pick(connecting.map(|(id, _)| *id), number) else { return };
+        let Some(upstream) = pick(connecting.map(|(id, _)| *id), selector) else { return };
         self.upstreams.get_mut(&upstream).unwrap().is_up = true;
         self.feed(Input::UpstreamConnected(upstream));
     }
@@ -274,21 +283,21 @@
         messages.for_each(|message| message.is_written = true);
     }
 
-    /// A line of a server, if its connection is up.
-    fn say(&mut self, upstream: UpstreamId, line: &Value) {
+    /// Feeds a line of a server, if its connection is up.
+    fn send_line(&mut self, upstream: UpstreamId, line: &Value) {
         if self.upstreams.get(&upstream).is_some_and(|connection| connection.is_up) {
             self.feed_line(upstream, line);
         }
     }
 
-    /// An answer, some with the call's end or a second answer behind it.
+    /// Answers a set-up; some variants send the call's end or a second answer after it.
     fn answer(&mut self, call: u64, upstream: UpstreamId, variant: u16) {
-        self.say(upstream, &answer_line(&wire_id(call), "x"));
+        self.send_line(upstream, &answer_line(&wire_id(call), "x"));
         if variant.is_multiple_of(3) {
-            self.say(upstream, &stop_line(&wire_id(call), 16, json!({})));
+            self.send_line(upstream, &stop_line(&wire_id(call), 16, json!({})));
         }
         if variant.is_multiple_of(4) {
-            self.say(upstream, &answer_line(&wire_id(call), "y"));
+            self.send_line(upstream, &answer_line(&wire_id(call), "y"));
         }
     }
 
@@ -297,33 +306,33 @@
         let note = ["ovl", "nc", "busy", ""][usize::from(variant / 7) % 4];
         self.in_flight.remove(&call);
         let meta = json!({"note": note, "waited": 20});
-        self.say(upstream, &stop_line(&wire_id(call), cause, meta));
+        self.send_line(upstream, &stop_line(&wire_id(call), cause, meta));
     }
 
-    /// An end or an answer for any call, on any connection but that of its attempt.
-    fn say_unmatched(&mut self, call: u64, variant: u16) {
+    /// Sends an end or an answer for any call, on any connection but that of its attempt.
+    fn send_unmatched_line(&mut self, call: u64, variant: u16) {
         let Some(upstream) = pick(self.upstreams.keys().copied(), variant) else { return };
         if self.in_flight.get(&call) == Some(&upstream) {
             return;
         }
         let stop = stop_line(&wire_id(call), 16, json!({}));
         let answer = answer_line(&wire_id(call), "z");
-        self.say(upstream, if variant.is_multiple_of(2) { &stop } else { &answer });
+        self.send_line(upstream, if variant.is_multiple_of(2) { &stop } else { &answer });
     }
 
-    /// The first set-up that waits on this connection is too old to be written.
+    /// Drops the first unwritten set-up of a connection, as if its deadline had passed.
     fn drop_message(&mut self, upstream: UpstreamId) {
         let messages = &mut self.upstreams.get_mut(&upstream).unwrap().messages;
-        let is_waiting = |message: &GivenMessage| !message.is_written && message.setup_of.is_some();
+        let is_waiting = |message: &GivenMessage| !message.is_written && message.setup_call.is_some();
         let Some(index) = messages.iter().position(is_waiting) else { return };
-        let GivenMessage { number, setup_of, .. } = messages.remove(index);
-        setup_of.iter().for_each(|call| _ = self.in_flight.remove(call));
+        let GivenMessage { number, setup_call, .. } = messages.remove(index);
+        setup_call.iter().for_each(|call| _ = self.in_flight.remove(call));
         self.feed(Input::MessageDropped { upstream, message: number });
     }
 
-    /// A server drains, is removed, moves or is added; the event is a complete list or changes.
-    fn change_servers(&mut self, number: u16, variant: u16) {
-        let index = usize::from(number) % self.servers.len();
+    /// Drains, removes, moves or adds a server, and lists the servers completely or as changes.
+    fn change_servers(&mut self, selector: u16, variant: u16) {
+        let index = usize::from(selector) % self.servers.len();
         match variant % 4 {
             0 => self.servers[index].state = "terminating",
             1 => self.servers[index].state = "terminated",
@@ -338,7 +347,7 @@
         }
     }
 
-    /// Descriptors are short; the caller that is to be evicted goes, or stays for something that has arrived.
+    /// Requests an eviction. It is declined, or the caller's connection is closed unless it has an open call.
     fn evict(&mut self, variant: u16) {
         self.feed(Input::EvictIdleCaller);
         for caller in std::mem::take(&mut self.evicting) {
@@ -351,10 +360,10 @@
     }
 }
 
-/// One of a set, by a random number.
-fn pick<T: Copy>(of: impl IntoIterator<Item = T>, number: u16) -> Option<T> {
-    let all: Vec<_> = of.into_iter().collect();
-    (!all.is_empty()).then(|| all[usize::from(number) % all.len()])
+/// Selects one of the items by a random number.
+fn pick<T: Copy>(items: impl IntoIterator<Item = T>, selector: u16) -> Option<T> {
+    let items: Vec<_> = items.into_iter().collect();
+    (!items.is_empty()).then(|| items[usize::from(selector) % items.len()])
 }
 
 // ---- Steps ----
@@ -365,24 +374,24 @@
         self.advance(u64::from(step.variant % 64) * MS);
     }
 
-    fn run_step(&mut self, Step { kind, pick: number, variant }: Step) {
+    fn run_step(&mut self, Step { kind, selector, variant }: Step) {
         match kind % 22 {
             0 => self.connect_caller(),
-            1..=9 => self.run_caller_step(kind % 22, number, variant),
-            10..=12 => self.connect_upstream(number),
-            13..=19 => self.run_server_step(kind % 22, number, variant),
-            20 => self.change_servers(number, variant),
+            1..=9 => self.run_caller_step(kind % 22, selector, variant),
+            10..=12 => self.connect_upstream(selector),
+            13..=19 => self.run_server_step(kind % 22, selector, variant),
+            20 => self.change_servers(selector, variant),
             _ => self.evict(variant),
         }
     }
 
-    fn run_caller_step(&mut self, kind: u8, number: u16, variant: u16) {
-        let Some(caller) = pick(self.callers.iter().copied(), number) else { return };
+    fn run_caller_step(&mut self, kind: u8, selector: u16, variant: u16) {
+        let Some(caller) = pick(self.callers.iter().copied(), selector) else { return };
         match kind {
             1..=5 => self.invite(caller),
             6 => self.cancel(caller, variant),
             7 => {
-                if let Some(call) = pick(self.calls.keys().copied(), number) {
+                if let Some(call) = pick(self.calls.keys().copied(), selector) {
                     self.feed(Input::CallerMessage(caller, request("BYE", call)));
                 }
             }
@@ -391,22 +400,22 @@
         }
     }
 
-    fn run_server_step(&mut self, kind: u8, number: u16, variant: u16) {
-        let upstream = pick(self.upstreams.keys().copied(), number);
-        let call = pick(self.calls.keys().copied(), number);
-        let attempt = pick(self.in_flight.iter().map(|(call, upstream)| (*call, *upstream)), number);
+    fn run_server_step(&mut self, kind: u8, selector: u16, variant: u16) {
+        let upstream = pick(self.upstreams.keys().copied(), selector);
+        let call = pick(self.calls.keys().copied(), selector);
+        let attempt = pick(self.in_flight.iter().map(|(call, upstream)| (*call, *upstream)), selector);
         match (kind, upstream, call, attempt) {
             (13, Some(upstream), ..) => self.close_upstream(upstream, variant.is_multiple_of(2)),
             (14, ..) => self.write_all_messages(),
             (15 | 16, .., Some((call, upstream))) => self.answer(call, upstream, variant),
             (17, .., Some((call, upstream))) => self.reject(call, upstream, variant),
-            (18, _, Some(call), _) => self.say_unmatched(call, variant),
+            (18, _, Some(call), _) => self.send_unmatched_line(call, variant),
             (19, Some(upstream), ..) => self.drop_message(upstream),
             _ => {}
         }
     }
 
-    /// All that is open ends by itself, and nothing is retained.
+    /// Disconnects all callers and removes all servers, and checks that nothing is retained.
     fn finish(&mut self) {
         if self.event_index.is_multiple_of(2) {
             self.stop();
@@ -414,7 +423,7 @@
         while let Some(caller) = self.callers.first().copied() {
             self.close_caller(caller);
         }
-        assert!(self.in_flight.is_empty(), "in flight for callers that have closed: {:?}", self.in_flight);
+        assert!(self.in_flight.is_empty(), "in flight for disconnected callers: {:?}", self.in_flight);
         self.servers.iter_mut().for_each(|server| server.state = "terminated");
         self.list_servers(true);
         for upstream in self.upstreams.keys().copied().collect::<Vec<_>>() {
@@ -425,11 +434,11 @@
         self.check_nothing_retained();
     }
 
-    /// The node's own stop: what is open has its response by the time of the kill.
+    /// Stops the node, and checks that each open call gets its final response before the platform's kill.
     fn stop(&mut self) {
         self.feed(Input::Stop);
         self.advance(self.core.kill_delay_ns());
-        assert!(self.is_stopped, "it has not stopped");
+        assert!(self.is_stopped, "not stopped before the kill");
         let unanswered: Vec<_> = self.calls.iter().filter(|(_, setup)| !setup.is_over).collect();
         assert!(unanswered.is_empty(), "{unanswered:?}");
     }
@@ -440,7 +449,7 @@
         assert_eq!(
             counters.attempts + counters.adopted,
             completed,
-            "each attempt completes once: {counters:?}"
+            "an attempt was not completed exactly once: {counters:?}"
         );
         let expected = ["module's servers", "timers", "unsent releases"];
         let sizes = self.core.sizes();
@@ -460,18 +469,18 @@
 }
 
 proptest! {
-    // The same orders each time; PROPTEST_RNG_SEED and PROPTEST_CASES draw others.
+    // The same sequences in each run; PROPTEST_RNG_SEED and PROPTEST_CASES select others.
     #![proptest_config(ProptestConfig {
         cases: cases(), failure_persistence: None, rng_seed: seed(), ..ProptestConfig::default()
     })]
 
     #[test]
-    fn each_call_ends_once_and_nothing_is_retained_in_any_order_of_events(
+    fn each_call_ends_once_and_nothing_is_retained_for_random_event_sequences(
         steps in proptest::collection::vec((any::<u8>(), any::<u16>(), any::<u16>()), 40..400)
     ) {
         let mut world = World::new();
-        (0..3).for_each(|pick| world.run(Step { kind: 0, pick, variant: 0 }));
-        steps.into_iter().for_each(|(kind, pick, variant)| world.run(Step { kind, pick, variant }));
+        (0..3).for_each(|selector| world.run(Step { kind: 0, selector, variant: 0 }));
+        steps.into_iter().for_each(|(kind, selector, variant)| world.run(Step { kind, selector, variant }));
         world.finish();
     }
 }
--- a/crates/lilacpitch-node/tests/pinned_wire.rs
+++ b/crates/lilacpitch-node/tests/pinned_wire.rs
@@ -1,8 +1,8 @@
-//! Pins what a front node exchanges with programs of others: the JSON lines to and from signalling servers, the
-//! coordinator's answers and the keys of its configuration.
+//! Compatibility of a front node with third-party programs: the JSON lines to and from signalling servers,
+//! the coordinator's responses and the keys of the configuration.
 //!
-//! None of those programs is built from this workspace, so each key and value must stay as it is, whatever the
-//! Rust fields are called.
+//! None of these programs is built from this workspace, so keys and values must not change when Rust fields
+//! are renamed.
 
 use lilacpitch::interface::Outcome;
 use lilacpitch_node::config::Config;
@@ -13,7 +13,7 @@
 
 const MS: u64 = 1_000_000;
 
-fn lines_from_server() -> Vec<ServerMessage> {
+fn messages_from_server() -> Vec<ServerMessage> {
     let mut lines = LineDecoder::default();
     lines.feed(include_bytes!("data/from_server.jsonl"));
     std::iter::from_fn(|| lines.next_line().unwrap())
@@ -22,28 +22,28 @@
 }
 
 #[test]
-fn writes_every_line_to_a_server_as_pinned() {
-    let written = [
+fn encodes_every_line_to_a_server_as_pinned() {
+    let encoded = [
         encode_setup(0xa1, "plain", "15550001", 2_990, "c=IN IP4 10.0.0.1\r\n"),
         encode_setup(u64::MAX, "urgent", "", 1, "b"),
         encode_stop(0xa1, CAUSE_NORMAL),
         encode_stop(0xa2, CAUSE_CUT),
     ];
-    let written = String::from_utf8(written.concat()).unwrap();
-    assert_eq!(written, include_str!("data/to_server.jsonl"));
+    let encoded = String::from_utf8(encoded.concat()).unwrap();
+    assert_eq!(encoded, include_str!("data/to_server.jsonl"));
 }
 
 #[test]
-fn reads_every_line_of_a_server_as_pinned() {
-    let read = lines_from_server();
-    assert_eq!(read.len(), 7);
-    assert_eq!(read[0], ServerMessage::Running { uid: 0xa1, body: "c=IN IP4 10.0.0.9\r\n".into() });
-    assert_stop(&read[1], 0xa2, 16, "", None, [None, None]);
-    assert_stop(&read[2], 0xa3, 34, "ovl", Some(2_500_000), [Some("12"), Some("40")]);
-    assert_stop(&read[3], 0xa4, 17, "busy", Some(7 * MS), [None, None]);
-    assert_usage(&read[4], Some("3"));
-    assert_usage(&read[5], None);
-    assert_eq!(read[6], ServerMessage::Other);
+fn decodes_every_line_of_a_server_as_pinned() {
+    let messages = messages_from_server();
+    assert_eq!(messages.len(), 7);
+    assert_eq!(messages[0], ServerMessage::Running { uid: 0xa1, body: "c=IN IP4 10.0.0.9\r\n".into() });
+    assert_stop(&messages[1], 0xa2, 16, "", None, [None, None]);
+    assert_stop(&messages[2], 0xa3, 34, "ovl", Some(2_500_000), [Some("12"), Some("40")]);
+    assert_stop(&messages[3], 0xa4, 17, "busy", Some(7 * MS), [None, None]);
+    assert_usage(&messages[4], Some("3"));
+    assert_usage(&messages[5], None);
+    assert_eq!(messages[6], ServerMessage::Other);
 }
 
 fn assert_stop(
@@ -68,7 +68,7 @@
 }
 
 #[test]
-fn maps_causes_of_a_stop_to_outcomes_as_pinned() {
+fn maps_the_cause_of_a_stop_to_an_outcome_as_pinned() {
     let pinned = [
         (34, "ovl", Outcome::Overloaded(Some(MS))),
         (34, "", Outcome::NoCircuit),
@@ -85,12 +85,13 @@
 }
 
 #[test]
-fn reads_a_coordinators_answer_as_pinned() {
-    let answer = parse_response(include_str!("data/coordinator_answer.json")).unwrap();
-    assert_eq!(answer.index, 8);
-    let events: Vec<_> = answer.updates.iter().map(|u| (u.index, u.endpoints.all)).collect();
+fn parses_a_coordinator_response_as_pinned() {
+    let response = parse_response(include_str!("data/coordinator_answer.json")).unwrap();
+    assert_eq!(response.index, 8);
+    let events: Vec<_> = response.updates.iter().map(|update| (update.index, update.endpoints.all)).collect();
     assert_eq!(events, [(7, true), (8, false)]);
-    let targets: Vec<Target> = answer.updates.into_iter().flat_map(|u| u.endpoints.targets).collect();
+    let targets: Vec<Target> =
+        response.updates.into_iter().flat_map(|update| update.endpoints.targets).collect();
     let target = |uid: &str, endpoint: &str, az: &str, pod_group, state, boot_ms| Target {
         uid: uid.into(),
         endpoint: endpoint.parse().unwrap(),
@@ -110,7 +111,7 @@
 }
 
 #[test]
-fn reads_every_key_of_the_configuration_as_pinned() {
+fn parses_every_key_of_the_configuration_as_pinned() {
     let config = Config::parse("pinned", include_str!("data/config.json")).unwrap();
     assert_eq!(config.name, "n0");
     assert_eq!(config.listen.to_string(), "127.0.0.1:4060");
@@ -137,14 +138,14 @@
     assert_eq!(settings.tick_ns, 5 * MS);
 }
 
-/// Each key is looked for under its name: without it the configuration is refused, and the error names it.
+/// A configuration without one of its keys is rejected, and the error names the key.
 #[test]
-fn names_the_missing_key_of_a_configuration_as_pinned() {
-    let whole: serde_json::Value = serde_json::from_str(include_str!("data/config.json")).unwrap();
+fn error_names_the_missing_key_of_a_configuration_as_pinned() {
+    let complete: serde_json::Value = serde_json::from_str(include_str!("data/config.json")).unwrap();
     for key in ["name", "listen", "seed", "limits", "coordinator", "known", "settings"] {
-        let mut part = whole.clone();
-        part.as_object_mut().unwrap().remove(key);
-        let error = Config::parse("pinned", &part.to_string()).unwrap_err().to_string();
+        let mut incomplete = complete.clone();
+        incomplete.as_object_mut().unwrap().remove(key);
+        let error = Config::parse("pinned", &incomplete.to_string()).unwrap_err().to_string();
         assert!(error.contains(&format!("missing field `{key}`")), "{key}: {error}");
     }
 }
--- a/crates/lilacpitch-node/tests/soak.rs
+++ b/crates/lilacpitch-node/tests/soak.rs
@@ -1,4 +1,5 @@
-//! Thousands of replaced servers and ever new ids: every container returns to its size, the controller's too.
+//! No container of the core or the controller grows while thousands of servers are replaced and calls use new
+//! ids.
 
 mod common;
 
@@ -6,12 +7,12 @@
 use lilacpitch_node::core::{Effect, Input, NodeCore, UpstreamId};
 use serde_json::{json, Value};
 
-/// A node in virtual time whose connections come up at once, with counts of what it sent.
+/// A node in virtual time whose connections are established at once. Counts the messages to callers.
 struct Soak {
     core: NodeCore,
     now: u64,
     upstreams: Vec<UpstreamId>,
-    /// Set-ups in flight: connection and call id.
+    /// Set-ups in flight, as connection and call id.
     in_flight: Vec<(UpstreamId, String)>,
     responses: usize,
     established: usize,
@@ -30,7 +31,7 @@
                 self.feed(Input::UpstreamConnected(upstream));
             }
             Effect::Disconnect(upstream) => self.upstreams.retain(|other| *other != upstream),
-            // A cancelled set-up had left: its server is told.
+            // A cancelled set-up counts as written, so its server gets the stop.
             Effect::ToServer { upstream, bytes, .. } | Effect::CancelSetup { upstream, bytes, .. } => {
                 let line: Value = serde_json::from_slice(&bytes).unwrap();
                 let call = line["uid"].as_str().unwrap().to_string();
@@ -70,8 +71,8 @@
         self.feed_endpoints(index, all, targets.collect());
     }
 
-    /// Ends the set-ups in flight: some are answered and end, some are rejected, some are lost with their connection,
-    /// some get no answer.
+    /// Ends the set-ups in flight: some are answered and then ended by the server, some are rejected, some
+    /// are lost with their connection, and some get no answer.
     fn complete_in_flight(&mut self, round: u64) {
         for (index, (upstream, call)) in std::mem::take(&mut self.in_flight).into_iter().enumerate() {
             match (index as u64 + round) % 5 {
@@ -90,7 +91,8 @@
         }
     }
 
-    /// One server of three is replaced by another with its number, some at a used address, under six calls.
+    /// Replaces one of three servers by another with the same number, while six calls are set up. Some new
+    /// servers have the address of a former one.
     fn replace_server(&mut self, round: u64, next_call: &mut u64) {
         let (old, new) = (round, round + 3);
         self.list_servers(2 + 2 * round, false, &[(old, "terminating"), (new, "in_service")]);
@@ -110,14 +112,14 @@
 }
 
 #[test]
-fn replaced_servers_and_new_ids_leave_nothing_behind() {
+fn replaced_servers_and_new_call_ids_do_not_grow_containers() {
     let mut soak = Soak::new();
     soak.list_servers(1, true, &[(0, "in_service"), (1, "in_service"), (2, "in_service")]);
     let (mut next_call, mut sizes) = (0, Vec::new());
     for round in 0..2_000u64 {
         soak.replace_server(round, &mut next_call);
         if round % 500 == 499 {
-            // Long enough for all that is remembered for a while.
+            // Long enough for all temporary entries to expire.
             soak.advance(40_000 * MS);
             sizes.push(soak.core.sizes());
         }
@@ -131,15 +133,15 @@
 }
 
 #[test]
-fn answer_read_after_a_stall_does_not_undo_what_was_due_before() {
+fn answer_read_after_a_stall_does_not_establish_a_timed_out_call() {
     let mut soak = Soak::new();
     soak.list_servers(1, true, &[(0, "in_service"), (1, "in_service"), (2, "in_service")]);
     soak.feed(Input::CallerOpened(1));
     soak.feed(Input::CallerMessage(1, request("INVITE", 3)));
-    let (upstream, call) = soak.in_flight.pop().expect("sent at once");
-    // Nothing is read and no timer fires for longer than the caller waits; then the answer is read first.
+    let (upstream, call) = soak.in_flight.pop().expect("no set-up sent");
+    // The process stalls for longer than the caller waits, and then reads the answer before any timer fires.
     soak.now += 5_000 * MS;
     soak.feed_line(upstream, &answer_line(&call, "late"));
     soak.advance(1_000 * MS);
-    assert_eq!((soak.responses, soak.established), (1, 0), "one final response, and it is not established");
+    assert_eq!((soak.responses, soak.established), (1, 0), "expected one final response, other than 200");
 }
