--- a/crates/lilacpitch-node/src/signalling.rs
+++ b/crates/lilacpitch-node/src/signalling.rs
@@ -17,6 +17,17 @@
 pub const CAUSE_NORMAL: u16 = 16;
 /// Q.850 cause of the release of a call whose server was lost: temporary failure.
 pub const CAUSE_CUT: u16 = 41;
+/// Q.850 cause of a rejection: user busy.
+const CAUSE_USER_BUSY: u16 = 17;
+/// Q.850 cause of a rejection: no circuit or channel available.
+const CAUSE_NO_CIRCUIT: u16 = 34;
+/// Q.850 cause of a rejection: resource unavailable, unspecified.
+const CAUSE_RESOURCE_UNAVAILABLE: u16 = 47;
+/// Q.850 cause of a rejection: recovery on timer expiry.
+const CAUSE_TIMER_EXPIRED: u16 = 102;
+
+/// An empty buffer of more capacity, in bytes, is freed: most connections are idle most of the time.
+const IDLE_CAPACITY_BYTES: usize = 4096;
 
 /// Why a line of a signalling server can't be decoded. The connection is to be closed, because what follows
 /// the line can't be trusted.
@@ -63,7 +74,7 @@
         let mut line: Vec<u8> = self.buffer.drain(..=end).collect();
         line.pop();
         self.scanned = 0;
-        if self.buffer.is_empty() && self.buffer.capacity() > 4096 {
+        if self.buffer.is_empty() && self.buffer.capacity() > IDLE_CAPACITY_BYTES {
             self.buffer = Vec::new();
         }
         Ok(Some(line))
@@ -178,11 +189,11 @@
 /// Maps the cause and note of a `stop` that rejects a set-up to the outcome of the attempt.
 pub fn outcome_of_stop(cause: u16, note: &str, estimated_wait_ns: Option<Nanos>) -> Outcome {
     match (cause, note) {
-        (34, "ovl") => Outcome::Overloaded(estimated_wait_ns.filter(|wait| *wait > 0)),
-        (34, _) => Outcome::NoCircuit,
-        (17 | 47, "busy") => Outcome::LinesBusy,
-        (17 | 47, _) => Outcome::Fault,
-        (102, _) => Outcome::NotSent,
+        (CAUSE_NO_CIRCUIT, "ovl") => Outcome::Overloaded(estimated_wait_ns.filter(|wait| *wait > 0)),
+        (CAUSE_NO_CIRCUIT, _) => Outcome::NoCircuit,
+        (CAUSE_USER_BUSY | CAUSE_RESOURCE_UNAVAILABLE, "busy") => Outcome::LinesBusy,
+        (CAUSE_USER_BUSY | CAUSE_RESOURCE_UNAVAILABLE, _) => Outcome::Fault,
+        (CAUSE_TIMER_EXPIRED, _) => Outcome::NotSent,
         _ => Outcome::Cut,
     }
 }
