--- a/crates/lilacpitch-edge/src/cli.rs
+++ b/crates/lilacpitch-edge/src/cli.rs
@@ -21,42 +21,43 @@
 
 #[derive(Debug, Subcommand)]
 enum Command {
-    /// Run a front until SIGTERM or SIGINT. Prints one line once it listens:
+    /// Run a front until SIGTERM or SIGINT. Once it listens, it prints one line with its addresses:
     /// {"callers":"ADDRESS","metrics":"ADDRESS"}.
     Run {
         /// The settings file.
         #[arg(long, value_name = "FILE")]
         config: PathBuf,
     },
-    /// Run a front node: callers speak SIP over TCP, signalling servers JSON lines. Until SIGTERM; SIGHUP reads the
-    /// configuration again. BALANCER_CONFIG names the file where --config does not.
+    /// Run a front node for callers with SIP over TCP and signalling servers with JSON lines, until SIGTERM
+    /// or SIGINT. SIGHUP reloads the configuration. Without --config, the environment variable
+    /// BALANCER_CONFIG names the file.
     Node {
-        /// The configuration, as JSON.
+        /// The configuration file, in JSON.
         #[arg(long, value_name = "FILE")]
         config: Option<PathBuf>,
     },
-    /// Read the settings and the pool list as a start would, and say what is wrong.
+    /// Check the settings and the pool list without starting a front, and report errors.
     Check {
         /// The settings file.
         #[arg(long, value_name = "FILE")]
         config: PathBuf,
     },
-    /// Show which other fronts a running front sees, and what it refused of them.
+    /// Show the other fronts that a running front knows, and what it rejected from them.
     Peers {
         /// The front's metrics address.
         #[arg(long, value_name = "ADDRESS")]
         metrics: std::net::SocketAddr,
     },
-    /// Print the schema of settings and pool lists, with comments and defaults.
+    /// Print the schema of the settings and the pool list, with comments and defaults.
     Schema,
 }
 
-/// Runs the program. Exit codes: 0 done, 1 could not run, 2 wrong arguments or settings.
+/// Runs the program. Exit codes: 0 for success, 1 if it could not run, 2 for invalid arguments or settings.
 pub fn main(args: impl IntoIterator<Item = OsString>) -> ExitCode {
     main_with(args, lilacpitch_fleet::Safeguards::default())
 }
 
-/// With safeguards of the fleet switched off: for the testbed.
+/// Runs the program with the given safeguards of the fleet, some of which the testbed switches off.
 #[doc(hidden)]
 pub fn main_with(
     args: impl IntoIterator<Item = OsString>,
@@ -66,7 +67,7 @@
         Ok(args) => args,
         Err(error) => {
             let code = if error.use_stderr() { 2 } else { 0 };
-            // There is nowhere to report that printing failed.
+            // If printing fails, there is no way to report it.
             let _ = error.print();
             return ExitCode::from(code);
         }
@@ -90,12 +91,14 @@
     }
 }
 
+/// Prints a line to standard output and flushes it.
 fn print_line(line: &str) {
-    // The reader may have closed its end: no reason to fail.
-    let mut out = std::io::stdout().lock();
-    let _ = writeln!(out, "{line}").and_then(|()| out.flush());
+    // Not an error: the reader may have closed its end of the pipe.
+    let mut stdout = std::io::stdout().lock();
+    let _ = writeln!(stdout, "{line}").and_then(|()| stdout.flush());
 }
 
+/// Runs `peers`: prints the page of a running front.
 fn peers(metrics: std::net::SocketAddr) -> ExitCode {
     match net::fetch(metrics, "GET", "/peers") {
         Ok((200, page)) => {
@@ -113,7 +116,7 @@
     }
 }
 
-/// Prints what is wrong: with its source for a person at a terminal, else one line for each mistake.
+/// Prints a configuration error: with the source lines on a terminal, else one line for each problem.
 fn print_config_error(error: &ConfigError) {
     use std::io::IsTerminal;
     if std::io::stderr().is_terminal() {
@@ -123,13 +126,14 @@
     }
 }
 
+/// Runs `check`: returns a summary line.
 fn check(config: &Path) -> Result<String, ConfigError> {
     let edge = Edge::load(config)?.value;
     let pools = Pools::load(Path::new(&edge.pool_list))?;
     for (index, class) in edge.classes.iter().enumerate() {
         for (position, pool) in class.pools.iter().enumerate() {
-            if !pools.value.servers.iter().any(|s| s.pool == *pool) {
-                // Not wrong yet, a pool may be listed later: but hardly meant.
+            if !pools.value.servers.iter().any(|server| server.pool == *pool) {
+                // Only a warning, since servers of the pool may be listed later.
                 eprintln!(
                     "{}: classes[{index}].pools[{position}]: no server of pool {pool:?} is listed",
                     config.display()
@@ -138,9 +142,10 @@
         }
     }
     let (classes, servers) = (edge.classes.len(), pools.value.servers.len());
-    Ok(format!("{}: {classes} classes, {servers} servers, no mistakes", config.display()))
+    Ok(format!("{}: {classes} classes, {servers} servers, no errors", config.display()))
 }
 
+/// Runs `run`: a front with the given settings.
 fn run(config: &Path, safeguards: lilacpitch_fleet::Safeguards) -> ExitCode {
     let settings = match Edge::load(config) {
         Ok(loaded) => loaded.value,
@@ -159,16 +164,16 @@
         eprintln!("lilacpitch-edge: logging: {error}");
     }
     let ready = |ready: net::Ready| {
-        let metrics = ready.metrics.map(|m| format!(",\"metrics\":\"{m}\"")).unwrap_or_default();
+        let metrics = ready.metrics.map(|address| format!(",\"metrics\":\"{address}\"")).unwrap_or_default();
         print_line(&format!("{{\"callers\":\"{}\"{metrics}}}", ready.callers));
     };
-    let result = block_on_one_thread(async {
-        let mut term = signal(SignalKind::terminate()).map_err(net::RunError::Signals)?;
-        let mut int = signal(SignalKind::interrupt()).map_err(net::RunError::Signals)?;
+    let result = block_on_current_thread(async {
+        let mut terminate = signal(SignalKind::terminate()).map_err(net::RunError::Signals)?;
+        let mut interrupt = signal(SignalKind::interrupt()).map_err(net::RunError::Signals)?;
         let stop = async {
             tokio::select! {
-                _ = term.recv() => {}
-                _ = int.recv() => {}
+                _ = terminate.recv() => {}
+                _ = interrupt.recv() => {}
             }
         };
         net::run_with(settings, Safeguards::default(), safeguards, ready, stop).await
@@ -187,20 +192,21 @@
     }
 }
 
-/// Runs a future on this thread alone; `None`, with a message, if the machine refuses a runtime.
-fn block_on_one_thread<T>(what: impl std::future::Future<Output = T>) -> Option<T> {
+/// Runs a future on the current thread. Prints an error and returns `None` if no runtime can be started.
+fn block_on_current_thread<T>(future: impl std::future::Future<Output = T>) -> Option<T> {
     match tokio::runtime::Builder::new_current_thread().enable_all().build() {
-        Ok(runtime) => Some(tokio::task::LocalSet::new().block_on(&runtime, what)),
+        Ok(runtime) => Some(tokio::task::LocalSet::new().block_on(&runtime, future)),
         Err(error) => {
-            eprintln!("lilacpitch-edge: no runtime: {error}");
+            eprintln!("lilacpitch-edge: starting the runtime: {error}");
             None
         }
     }
 }
 
+/// Runs `node`: a front node with the given configuration file, else that of `BALANCER_CONFIG`.
 fn node(config: Option<PathBuf>) -> ExitCode {
-    let Some(config) = config.or_else(|| std::env::var_os("BALANCER_CONFIG").map(PathBuf::from)) else {
-        eprintln!("lilacpitch-edge: BALANCER_CONFIG: not set, and no --config");
+    let Some(path) = config.or_else(|| std::env::var_os("BALANCER_CONFIG").map(PathBuf::from)) else {
+        eprintln!("lilacpitch-edge: no configuration file: neither --config nor BALANCER_CONFIG is set");
         return ExitCode::from(2);
     };
     let filter = EnvFilter::try_from_env("LILACPITCH_LOG").unwrap_or_else(|_| EnvFilter::new("info"));
@@ -208,7 +214,7 @@
     if let Err(error) = log.try_init() {
         eprintln!("lilacpitch-edge: logging: {error}");
     }
-    match block_on_one_thread(lilacpitch_node::net::run(&config.to_string_lossy())) {
+    match block_on_current_thread(lilacpitch_node::net::run(&path.to_string_lossy())) {
         Some(Ok(())) => ExitCode::SUCCESS,
         Some(Err(error)) => {
             eprintln!("lilacpitch-edge: {error}");
