--- a/crates/lilacpitch-edge/tests/node/active_calls.rs
+++ b/crates/lilacpitch-edge/tests/node/active_calls.rs
@@ -1,10 +1,11 @@
-//! Calls that stand outlive both connections; those that stand elsewhere are adopted.
+//! Established calls outlive the connections of their set-up, and calls that another front has established
+//! are adopted.
 
 use crate::process::Node;
 use crate::standin::*;
 use serde_json::json;
 
-/// A call that stands: the node, its caller, and the server's connection.
+/// Establishes a call of a new caller. Returns the caller, and the server's connection.
 fn establish(server: &Server, node: &Node, call: u64) -> (Caller, usize) {
     let mut caller = node.caller();
     let launch = server.establish(&mut caller, call);
@@ -20,21 +21,25 @@
     let (mut third, _) = establish(&server, &node, 3);
     drop(first.stream.shutdown(std::net::Shutdown::Both));
     server.reset(connection);
-    // The server's word, on a new connection, reaches the caller by another.
-    assert_eq!(server.next_within("stop", ms(300)).map(|l| l.uid()), None, "the calls go on");
+    assert_eq!(server.next_within("stop", ms(300)).map(|line| line.uid()), None, "a call was released");
+    // The server's release arrives on a new connection, and is sent on another caller's connection.
     third.invite(&id(4), 0, 3_000);
     let launch = server.next("launch");
     server.answer(&launch, "there");
     server.stop(launch.connection, &id(1), 16, json!({}));
     let received = [third.all_within(ms(500)), second.all_within(ms(100))].concat();
-    assert_eq!(received.iter().filter(|s| s.is_bye() && s.call() == id(1)).count(), 1, "{received:?}");
-    // The caller's word, from another's connection.
+    assert_eq!(
+        received.iter().filter(|message| message.is_bye() && message.call() == id(1)).count(),
+        1,
+        "{received:?}"
+    );
+    // A caller's release arrives on another caller's connection.
     third.request("BYE", &id(2));
     assert_eq!(third.next().unwrap().status(), Some(200));
     let stop = server.next("stop");
     assert_eq!((stop.uid(), stop.value.unwrap()["reason"].clone()), (id(2), json!(16)));
     third.request("BYE", &id(2));
-    assert_eq!(third.next().unwrap().status(), Some(481), "it is over");
+    assert_eq!(third.next().unwrap().status(), Some(481), "released twice");
 }
 
 #[test]
@@ -58,26 +63,26 @@
     for _ in 0..2 {
         caller.send(&invite(&id(9), "dest:0;width:1;via:-1;at:s0", 3_000, BODY));
     }
-    assert_eq!(caller.next_within(ms(300)), None, "no answer is owed");
-    // The node opens a connection, so that the server can tell of its end.
+    assert_eq!(caller.next_within(ms(300)), None, "an adopted call got a response");
+    // The node has a connection to the server, which reports the end of the adopted call.
     caller.invite(&id(10), 0, 3_000);
     let launch = server.next("launch");
-    assert_eq!(launch.uid(), id(10), "what stands is not set up");
+    assert_eq!(launch.uid(), id(10), "an adopted call was set up");
     server.stop(launch.connection, &id(9), 16, json!({}));
     let message = caller.next().unwrap();
     assert!(message.is_bye() && message.call() == id(9), "{message:?}");
-    // A call in hand, named as one that stands: nothing changes.
+    // Adopting an open call has no effect.
     caller.send(&invite(&id(10), "at:s0", 3_000, BODY));
     server.answer(&launch, "there");
     assert_eq!(caller.next().unwrap().body, "there");
-    // Released by its caller, it is released at the server that was named.
+    // An adopted call that its caller releases is released at the server that the caller has named.
     caller.send(&invite(&id(11), "at:s0", 3_000, BODY));
     caller.request("BYE", &id(11));
     assert_eq!(server.next("stop").uid(), id(11));
-    // One at a server that nobody knows is over.
+    // A call at an unknown server is over.
     caller.send(&invite(&id(12), "at:s-unknown", 3_000, BODY));
-    let over = caller.all_within(ms(500));
-    assert!(over.iter().any(|message| message.is_bye() && message.call() == id(12)), "{over:?}");
+    let received = caller.all_within(ms(500));
+    assert!(received.iter().any(|message| message.is_bye() && message.call() == id(12)), "{received:?}");
 }
 
 #[test]
--- a/crates/lilacpitch-edge/tests/node/callers.rs
+++ b/crates/lilacpitch-edge/tests/node/callers.rs
@@ -1,37 +1,38 @@
-//! Callers' mischief: a refusal that fits where the request can be named, else a close, and never a call.
+//! Invalid input of callers: it is rejected with a status if the request is known, else the connection is
+//! closed. It never results in a call.
 
 use crate::process::Node;
 use crate::standin::*;
 use std::time::Instant;
 
-/// An INVITE whose line of this name is replaced.
-fn with(line: &str, by: &str) -> Vec<u8> {
+/// Encodes an INVITE in which one line is replaced, given by its first characters.
+fn invite_with(line: &str, replacement: &str) -> Vec<u8> {
     let text = String::from_utf8(invite(&id(5), "dest:0;width:1;via:-1", 3_000, BODY)).unwrap();
     let start = text.find(line).unwrap();
     let end = start + text[start..].find("\r\n").unwrap() + 2;
-    format!("{}{by}{}", &text[..start], &text[end..]).into_bytes()
+    format!("{}{replacement}{}", &text[..start], &text[end..]).into_bytes()
 }
 
 #[test]
 fn rejects_invalid_fields_and_keeps_the_connection() {
     let (server, _node, mut caller) = Node::with_one_server();
-    let bad = [
-        (with("Call-ID", "Call-ID: xyz\r\n"), 400),
-        (with("Call-ID", "Call-ID: 00000000000000FF\r\n"), 400),
-        (with("Call-ID", ""), 400),
-        (with("P-Kind", "P-Kind: no-such-class\r\n"), 400),
-        (with("P-Kind", ""), 400),
-        (with("P-Time-Left", "P-Time-Left: -5\r\n"), 400),
-        (with("P-Time-Left", "P-Time-Left: 1e99\r\n"), 400),
-        (with("P-Time-Left", ""), 400),
-        (with("P-Path", "P-Path: dest:soon\r\n"), 400),
-        (with("P-Path", "P-Path: dest:99999999999999\r\n"), 400),
-        (with("P-Path", "P-Path: dest:0;width:NaN\r\n"), 400),
-        (with("P-Path", "P-Path: ;;;no figure\r\n"), 400),
-        (with("INVITE", "INVITE sip:@net SIP/2.0\r\n"), 404),
-        (with("INVITE", "SUBSCRIBE sip:x@net SIP/2.0\r\n"), 405),
+    let invalid = [
+        (invite_with("Call-ID", "Call-ID: xyz\r\n"), 400),
+        (invite_with("Call-ID", "Call-ID: 00000000000000FF\r\n"), 400),
+        (invite_with("Call-ID", ""), 400),
+        (invite_with("P-Kind", "P-Kind: no-such-class\r\n"), 400),
+        (invite_with("P-Kind", ""), 400),
+        (invite_with("P-Time-Left", "P-Time-Left: -5\r\n"), 400),
+        (invite_with("P-Time-Left", "P-Time-Left: 1e99\r\n"), 400),
+        (invite_with("P-Time-Left", ""), 400),
+        (invite_with("P-Path", "P-Path: dest:soon\r\n"), 400),
+        (invite_with("P-Path", "P-Path: dest:99999999999999\r\n"), 400),
+        (invite_with("P-Path", "P-Path: dest:0;width:NaN\r\n"), 400),
+        (invite_with("P-Path", "P-Path: ;;;no figure\r\n"), 400),
+        (invite_with("INVITE", "INVITE sip:@net SIP/2.0\r\n"), 404),
+        (invite_with("INVITE", "SUBSCRIBE sip:x@net SIP/2.0\r\n"), 405),
     ];
-    for (bytes, status) in bad {
+    for (bytes, status) in invalid {
         caller.send(&bytes);
         let message = caller.next();
         let text = String::from_utf8_lossy(&bytes);
@@ -39,7 +40,7 @@
     }
     caller.request("BYE", &id(99));
     assert_eq!(caller.next().unwrap().status(), Some(481));
-    assert_eq!(server.all_within(ms(100)).len(), 0, "none was a call");
+    assert_eq!(server.all_within(ms(100)).len(), 0, "an invalid request reached the server");
     caller.invite(&id(6), 0, 3_000);
     server.answer(&server.next("launch"), "there");
     assert_eq!(caller.next().unwrap().body, "there");
@@ -61,30 +62,30 @@
     ];
     for (line, status) in cases {
         let mut caller = node.caller();
-        let from = Instant::now();
-        caller.send(&with("Content-Length", line));
+        let start = Instant::now();
+        caller.send(&invite_with("Content-Length", line));
         if status.is_some() {
             assert_eq!(caller.next().and_then(|message| message.status()), status, "{line:?}");
         }
-        caller.end();
-        assert!(from.elapsed() < ms(3_000), "{line:?}: {:?}", from.elapsed());
+        caller.wait_for_end();
+        assert!(start.elapsed() < ms(3_000), "{line:?}: {:?}", start.elapsed());
     }
-    assert_eq!(server.all_within(ms(100)).len(), 0, "none was a call");
+    assert_eq!(server.all_within(ms(100)).len(), 0, "an invalid request reached the server");
 }
 
 #[test]
-fn closes_noise_partial_messages_and_silence_within_3_s() {
+fn closes_connections_with_noise_partial_messages_or_no_input_within_3_s() {
     let server = Server::start();
     let node = Node::start(&[&server]);
     let noise: Vec<u8> = (0..4000u32).map(|n| ((n * 7919) >> 3) as u8).collect();
-    let endless = [b"INVITE sip:x@net SIP/2.0\r\n".to_vec(), vec![b'a'; 30_000]].concat();
-    let half = invite(&id(3), "dest:0", 3_000, BODY)[..120].to_vec();
-    let half_body = {
-        let all = invite(&id(4), "dest:0", 3_000, BODY);
-        all[..all.len() - 5].to_vec()
+    let endless_head = [b"INVITE sip:x@net SIP/2.0\r\n".to_vec(), vec![b'a'; 30_000]].concat();
+    let partial_head = invite(&id(3), "dest:0", 3_000, BODY)[..120].to_vec();
+    let partial_body = {
+        let complete = invite(&id(4), "dest:0", 3_000, BODY);
+        complete[..complete.len() - 5].to_vec()
     };
-    let from = Instant::now();
-    let callers: Vec<_> = [noise, endless, half, half_body, Vec::new()]
+    let start = Instant::now();
+    let callers: Vec<_> = [noise, endless_head, partial_head, partial_body, Vec::new()]
         .into_iter()
         .map(|bytes| {
             let mut caller = node.caller();
@@ -92,13 +93,13 @@
             caller
         })
         .collect();
-    callers.iter().for_each(|caller| _ = caller.end());
-    assert!(from.elapsed() < ms(3_000), "{:?}", from.elapsed());
-    assert_eq!(server.all_within(ms(100)).len(), 0, "none was a call");
+    callers.iter().for_each(|caller| _ = caller.wait_for_end());
+    assert!(start.elapsed() < ms(3_000), "{:?}", start.elapsed());
+    assert_eq!(server.all_within(ms(100)).len(), 0, "an invalid request reached the server");
 }
 
 #[test]
-fn verified_caller_may_stay_silent() {
+fn keeps_the_connection_of_an_idle_verified_caller() {
     let (server, _node, mut caller) = Node::with_one_server();
     caller.invite(&id(1), 0, 3_000);
     server.answer(&server.next("launch"), "there");
@@ -113,31 +114,31 @@
 fn accepts_setup_that_arrived_during_a_stall() {
     let (server, node, mut caller) = Node::with_one_server();
     server.establish(&mut caller, 1);
-    // They have said nothing yet, and have 2 s to.
-    let mut new: Vec<_> = (0..8).map(|_| node.caller()).collect();
+    // These callers have 2 s to send their first request.
+    let mut new_callers: Vec<_> = (0..8).map(|_| node.caller()).collect();
     std::thread::sleep(ms(50));
-    node.while_stopped(|| {
-        new.iter_mut().zip(10..).for_each(|(caller, call)| caller.invite(&id(call), 0, 8_000));
+    node.while_suspended(|| {
+        new_callers.iter_mut().zip(10..).for_each(|(caller, call)| caller.invite(&id(call), 0, 8_000));
         std::thread::sleep(ms(2_200));
     });
-    for caller in &new {
-        // Refused or not, by the time that it has left.
+    for caller in &new_callers {
+        // Some may be rejected, since little of their waiting time is left.
         if let Some(launch) = server.next_within("launch", ms(200)) {
             server.answer(&launch, "there");
         }
-        assert!(caller.next().is_some_and(|message| message.status().is_some()), "closed without an answer");
+        assert!(caller.next().is_some_and(|message| message.status().is_some()), "closed without a response");
     }
 }
 
 #[test]
 fn rejects_an_oversized_body_from_its_head() {
     let (_server, node, mut caller) = Node::with_one_server();
-    caller.send(&with("Content-Length", "Content-Length: 60000000\r\n"));
-    assert_eq!(caller.next().and_then(|message| message.status()), Some(413), "before the body has come");
-    let part = vec![b'x'; 1 << 20];
+    caller.send(&invite_with("Content-Length", "Content-Length: 60000000\r\n"));
+    assert_eq!(caller.next().and_then(|message| message.status()), Some(413), "not rejected before its body");
+    let chunk = vec![b'x'; 1 << 20];
     let mut writer = caller.stream.try_clone().unwrap();
-    std::thread::spawn(move || (0..60).all(|_| std::io::Write::write_all(&mut writer, &part).is_ok()));
-    caller.end();
+    std::thread::spawn(move || (0..60).all(|_| std::io::Write::write_all(&mut writer, &chunk).is_ok()));
+    caller.wait_for_end();
     assert!(node.memory_mb() < 32, "{} MB", node.memory_mb());
 }
 
@@ -145,7 +146,7 @@
 fn serves_others_during_a_flood_of_cancelled_setups() {
     let server = Server::start();
     let node = Node::start(&[&server]);
-    let (mut rude, mut regular) = (node.caller(), node.caller());
+    let (mut flooding, mut regular) = (node.caller(), node.caller());
     let mut flood = Vec::new();
     for call in 1000..1400 {
         flood.extend(invite(&id(call), "dest:0", 3_000, BODY));
@@ -155,32 +156,32 @@
         );
         flood.extend(cancel.as_bytes());
     }
-    rude.send(&flood);
+    flooding.send(&flood);
     regular.invite(&id(1), 0, 3_000);
-    let launched = loop {
+    let launch = loop {
         let line = server.next("launch");
         if line.uid() == id(1) {
             break line;
         }
     };
-    server.answer(&launched, "there");
+    server.answer(&launch, "there");
     assert_eq!(regular.next().unwrap().body, "there");
-    // What was withdrawn has no final answer of the node's but what said that no call was there.
-    let answers = rude.all_within(ms(300));
-    assert!(answers.iter().all(|message| message.status() != Some(200)), "{answers:?}");
+    // A cancelled set-up gets no final response; its CANCEL may be answered with 481.
+    let responses = flooding.all_within(ms(300));
+    assert!(responses.iter().all(|message| message.status() != Some(200)), "{responses:?}");
 }
 
 #[test]
 fn disconnects_a_caller_that_does_not_read() {
     let server = Server::start();
     let node = Node::start(&[&server]);
-    // Its answers are never read: no reader thread here.
-    let mut unresponsive = std::net::TcpStream::connect(node.address).unwrap();
-    unresponsive.set_write_timeout(Some(TIMEOUT)).unwrap();
+    // A plain stream without a reader thread, so that responses are never read.
+    let mut unread = std::net::TcpStream::connect(node.address).unwrap();
+    unread.set_write_timeout(Some(TIMEOUT)).unwrap();
     let mut flood = Vec::new();
     (0..400).for_each(|call| flood.extend(invite(&id(call), "dest:x", 3_000, BODY)));
-    let cut = (0..400).any(|_| std::io::Write::write_all(&mut unresponsive, &flood).is_err());
-    assert!(cut, "it is not read on for ever");
+    let is_disconnected = (0..400).any(|_| std::io::Write::write_all(&mut unread, &flood).is_err());
+    assert!(is_disconnected, "not disconnected");
     let mut regular = node.caller();
     regular.invite(&id(1), 0, 3_000);
     server.answer(&server.next("launch"), "there");
--- a/crates/lilacpitch-edge/tests/node/coordinator_faults.rs
+++ b/crates/lilacpitch-edge/tests/node/coordinator_faults.rs
@@ -1,39 +1,42 @@
-//! A watch of the coordinator that dies, in each of its parts: what it would have told is heard in time, and it is
-//! never asked in a spin.
+//! Polls of the coordinator that fail in each of their phases: events still arrive in time, and the
+//! coordinator is not polled in a busy loop.
 
 use crate::coordinator::check_drain;
 use crate::process::Node;
 use crate::standin::*;
 use nix::sys::signal::Signal;
 
-/// Asked with a wait of 1.5 s and given up 0.4 s after it; then the grace, and room.
-const HEARD: u64 = 4_000;
+/// Longest time from an event to its effect, in milliseconds: a poll is held back for 1.5 s and abandoned 0.4
+/// s later; then comes the grace period of a drain, and some margin.
+const MAX_DRAIN_DELAY_MS: u64 = 4_000;
 
 #[test]
-fn abandons_poll_silent_in_head_or_body() {
-    check_drain(Behaviour::StopsAt(10), ms(HEARD));
-    check_drain(Behaviour::StopsAt(60), ms(HEARD));
+fn abandons_poll_that_stalls_in_head_or_body() {
+    check_drain(Behaviour::StallsAfter(10), ms(MAX_DRAIN_DELAY_MS));
+    check_drain(Behaviour::StallsAfter(60), ms(MAX_DRAIN_DELAY_MS));
 }
 
 #[test]
-fn abandons_poll_silent_in_a_chunk() {
-    check_drain(Behaviour::StopsInChunk, ms(HEARD));
+fn abandons_poll_that_stalls_in_a_chunk() {
+    check_drain(Behaviour::StallsInChunk, ms(MAX_DRAIN_DELAY_MS));
 }
 
 #[test]
 fn abandons_poll_that_trickles() {
-    check_drain(Behaviour::Trickles, ms(HEARD));
+    check_drain(Behaviour::Trickles, ms(MAX_DRAIN_DELAY_MS));
 }
 
 #[test]
 fn polls_for_the_full_list_after_a_gap_or_a_lower_index() {
-    check_drain(Behaviour::SkipsEvent, ms(HEARD));
-    check_drain(Behaviour::LowersIndex, ms(HEARD));
+    check_drain(Behaviour::SkipsEvent, ms(MAX_DRAIN_DELAY_MS));
+    check_drain(Behaviour::LowersIndex, ms(MAX_DRAIN_DELAY_MS));
 }
 
 #[test]
-fn backs_off_when_the_coordinator_answers_at_once_without_events() {
-    for behaviour in [Behaviour::Empty, Behaviour::LowersIndex, Behaviour::StopsAt(0), Behaviour::BreaksOff] {
+fn backs_off_when_polls_fail_or_return_no_events_at_once() {
+    for behaviour in
+        [Behaviour::Empty, Behaviour::LowersIndex, Behaviour::StallsAfter(0), Behaviour::ClosesEarly]
+    {
         let server = Server::start();
         let node = Node::start(&[&server]);
         node.coordinator.set_behaviour(behaviour);
@@ -42,8 +45,8 @@
         let before = node.coordinator.poll_count();
         std::thread::sleep(ms(2_000));
         let polled = node.coordinator.poll_count() - before;
-        assert!(polled <= 80, "{behaviour:?}: asked {polled} times in 2 s");
-        // And it is heard at once when it is well again.
+        assert!(polled <= 80, "{behaviour:?}: polled {polled} times in 2 s");
+        // Calls work when the coordinator has recovered.
         node.coordinator.set_behaviour(Behaviour::Normal);
         let mut caller = node.caller();
         server.establish(&mut caller, 1);
@@ -51,11 +54,11 @@
 }
 
 #[test]
-fn hup_within_a_partial_response_changes_the_coordinator() {
+fn sighup_during_a_partial_response_changes_the_coordinator() {
     let (first, second) = (Server::start(), Server::start());
     let node = Node::start(&[&first, &second]);
     let events = node.coordinator.known()["updates"].as_array().unwrap().clone();
-    node.coordinator.set_behaviour(Behaviour::StopsAt(60));
+    node.coordinator.set_behaviour(Behaviour::StallsAfter(60));
     node.coordinator.publish(vec![target("s1", second.address, 1, "terminating", 0)]);
     std::thread::sleep(ms(100));
     let moved = Coordinator::start(events);
@@ -65,6 +68,6 @@
     std::thread::sleep(ms(1_000));
     let mut caller = node.caller();
     caller.invite(&id(1), 0, 3_000);
-    second.answer(&second.next("launch"), "by the new one's word");
-    assert_eq!(caller.next().unwrap().body, "by the new one's word");
+    second.answer(&second.next("launch"), "drained by the new coordinator");
+    assert_eq!(caller.next().unwrap().body, "drained by the new coordinator");
 }
--- a/crates/lilacpitch-edge/tests/node/disconnects.rs
+++ b/crates/lilacpitch-edge/tests/node/disconnects.rs
@@ -1,4 +1,5 @@
-//! A caller that closes or cancels has gone: nothing begins for it any more, whatever waits before its departure.
+//! Callers that close their connection or cancel: nothing more is started for them, even for requests that
+//! arrived before.
 
 use crate::process::Node;
 use crate::standin::*;
@@ -13,33 +14,33 @@
     let (server, node, mut caller) = Node::with_one_server();
     server.establish(&mut caller, 1);
     let mut leaving = node.caller();
-    node.while_stopped(|| {
+    node.while_suspended(|| {
         leaving.invite(&id(2), 0, 3_000);
         leaving.close();
     });
-    // The next one shows that the former was read.
+    // This call shows that the set-up before was read.
     server.establish(&mut caller, 3);
-    assert!(server.all_within(ms(300)).iter().all(|line| line.uid() != id(2)), "nothing was sent for it");
+    assert!(server.all_within(ms(300)).iter().all(|line| line.uid() != id(2)), "the set-up was sent");
 }
 
 #[test]
 fn release_read_with_its_callers_close_ends_the_call() {
     let (server, node, mut caller) = Node::with_one_server();
-    let establish = server.establish(&mut caller, 1);
+    let established = server.establish(&mut caller, 1);
     let mut other = node.caller();
-    node.while_stopped(|| {
+    node.while_suspended(|| {
         other.request("BYE", &id(1));
         other.close();
     });
     let released = server.next("stop");
-    assert_eq!((released.uid(), establish.uid()), (id(1), id(1)));
+    assert_eq!((released.uid(), established.uid()), (id(1), id(1)));
 }
 
 #[test]
 fn setup_read_with_its_cancel_is_not_sent() {
     let (server, node, mut caller) = Node::with_one_server();
     server.establish(&mut caller, 1);
-    node.while_stopped(|| {
+    node.while_suspended(|| {
         caller.invite(&id(2), 0, 3_000);
         caller.invite(&id(3), 0, 3_000);
         caller.request("CANCEL", &id(2));
@@ -48,35 +49,37 @@
     assert_eq!(launch.uid(), id(3));
     server.answer(&launch, "there");
     let received = caller.all_within(ms(300));
-    let of = |call| {
+    let statuses = |call| {
         received
             .iter()
             .filter(|message| message.call() == id(call))
-            .filter_map(|s| s.status())
+            .filter_map(|message| message.status())
             .collect::<Vec<_>>()
     };
-    assert_eq!((of(2), of(3)), (vec![481], vec![200]), "the cancel finds no call");
+    // The set-up was removed with its CANCEL, which therefore matches no call.
+    assert_eq!((statuses(2), statuses(3)), (vec![481], vec![200]));
     assert!(server.all_within(ms(100)).iter().all(|line| line.uid() != id(2)));
 }
 
 #[test]
 fn calls_of_a_closed_connection_do_not_replace_each_other() {
-    // One takes all that its server has room for, the others wait for it.
+    // One call uses all the capacity of its server, and the others wait for it.
     let (server, node, mut regular) = Node::with_one_server();
     let mut caller = node.caller();
     caller.invite(&id(1), 0, 3_000);
-    let out = server.next("launch");
+    let first = server.next("launch");
     (2..40).for_each(|call| caller.invite(&id(call), 0, 3_000));
-    let mut begun: Vec<_> = server.all_within(ms(200)).iter().map(ServerLine::uid).collect();
-    begun.push(out.uid());
+    let mut sent: Vec<_> = server.all_within(ms(200)).iter().map(ServerLine::uid).collect();
+    sent.push(first.uid());
     caller.close();
     for line in server.all_within(ms(700)) {
         assert!(
-            line.kind() != "launch" || begun.contains(&line.uid()),
-            "begun after its caller left: {line:?}"
+            line.kind() != "launch" || sent.contains(&line.uid()),
+            "set-up sent after its caller disconnected: {line:?}"
         );
     }
-    // The module's count of that server has come back: one call after the other is served there.
+    // The controller counts no attempts at the server any more, so calls are served there one after the
+    // other.
     (100..110).for_each(|call| _ = server.establish(&mut regular, call));
     assert!(node.log().is_empty(), "{}", node.log());
 }
@@ -96,13 +99,13 @@
                     let reader = stream.try_clone().unwrap();
                     std::thread::spawn(move || std::io::copy(&mut &reader, &mut std::io::sink()));
                     for _ in 0..50 {
-                        let mut many = Vec::new();
+                        let mut requests = Vec::new();
                         for _ in 0..40 {
                             call += 1;
-                            // Nothing that a server may get: it is the front that is flooded.
-                            many.extend(invite(&id(call), "dest:soon", 3_000, BODY));
+                            // Invalid set-ups, which load the front but not the server.
+                            requests.extend(invite(&id(call), "dest:soon", 3_000, BODY));
                         }
-                        if stop.load(Ordering::Relaxed) || stream.write_all(&many).is_err() {
+                        if stop.load(Ordering::Relaxed) || stream.write_all(&requests).is_err() {
                             break;
                         }
                     }
@@ -111,12 +114,12 @@
             })
         })
         .collect();
-    let mut took: Vec<_> = (0..15u64)
+    let mut delays: Vec<_> = (0..15u64)
         .map(|round| {
             let mut leaving = node.caller();
             leaving.invite(&id(100 + round), 0, 3_000);
             let launch = server.next("launch");
-            let left = Instant::now();
+            let left_at = Instant::now();
             if round % 2 == 0 {
                 leaving.close();
             } else {
@@ -124,11 +127,11 @@
             }
             let cancelled = server.next("stop");
             assert_eq!(cancelled.uid(), launch.uid());
-            cancelled.at.saturating_duration_since(left)
+            cancelled.at.saturating_duration_since(left_at)
         })
         .collect();
     stop.store(true, Ordering::Relaxed);
     floods.into_iter().for_each(|flood| flood.join().unwrap());
-    took.sort();
-    assert!(took[7] < ms(100), "half of the departures took longer: {took:?}");
+    delays.sort();
+    assert!(delays[7] < ms(100), "median over 100 ms: {delays:?}");
 }
--- a/crates/lilacpitch-edge/tests/node/evictions.rs
+++ b/crates/lilacpitch-edge/tests/node/evictions.rs
@@ -1,4 +1,4 @@
-//! A connection is closed to make room in the instant in which a set-up comes on it.
+//! Evictions of idle callers while requests arrive from them.
 
 use crate::process::Node;
 use crate::standin::*;
@@ -6,9 +6,9 @@
 #[test]
 fn answers_setup_that_crosses_an_eviction() {
     let server = Server::start();
-    let node = Node::with(&[&server], 64);
-    // All that there is room for; each has asked, and is idle.
-    let mut kept: std::collections::VecDeque<_> = (0..21u64)
+    let node = Node::start_with_sockets(&[&server], 64);
+    // With 64 descriptors there is room for no more callers. Each has set up a call, and is idle.
+    let mut idle: std::collections::VecDeque<_> = (0..21u64)
         .map(|n| {
             let mut caller = node.caller();
             server.establish(&mut caller, 1 + n);
@@ -16,33 +16,33 @@
         })
         .collect();
     let mut crossed = 0;
-    // The one that is idle for longest of those that are still there, each time.
-    while let Some(mut oldest) = kept.pop_front() {
+    // Each time, the next one to be evicted is the connected caller that has been idle for the longest time.
+    while let Some(mut oldest) = idle.pop_front() {
         if oldest.is_closed() {
             continue;
         }
         crossed += 1;
-        let more: Vec<_> = node.while_stopped(|| {
-            let more = (0..3).map(|_| node.caller()).collect();
+        let new_callers: Vec<_> = node.while_suspended(|| {
+            let new_callers = (0..3).map(|_| node.caller()).collect();
             oldest.invite(&id(100 + crossed), 0, 3_000);
-            more
+            new_callers
         });
         server.answer(&server.next("launch"), "there");
-        assert_eq!(oldest.next().map(|message| message.body), Some("there".into()), "the {crossed}th");
-        drop(more);
+        assert_eq!(oldest.next().map(|message| message.body), Some("there".into()), "eviction {crossed}");
+        drop(new_callers);
     }
-    assert!(crossed >= 3, "{crossed} were crossed");
+    assert!(crossed >= 3, "only {crossed} evictions");
     assert!(node.descriptors() <= 64, "{}", node.descriptors());
 }
 
 #[test]
 fn still_evicts_after_many_crossed_evictions() {
     let server = Server::start();
-    let node = Node::with(&[&server], 64);
-    // Each asks again all the time, so that each that is to go may say something in that moment.
+    let node = Node::start_with_sockets(&[&server], 64);
+    // Each sends a request in every round, so that a request arrives from every caller that is being evicted.
     let mut busy: Vec<_> = (0..21).map(|_| node.caller()).collect();
     for round in 0..60u64 {
-        node.while_stopped(|| {
+        node.while_suspended(|| {
             busy.iter_mut().for_each(|caller| caller.request("OPTIONS", &id(1_000 + round)));
             busy.push(node.caller());
         });
@@ -51,7 +51,7 @@
         assert_eq!(
             late.next().and_then(|message| message.status()),
             Some(200),
-            "round {round}: nobody goes any more"
+            "round {round}: no caller is evicted"
         );
         busy.retain(|caller| caller.all_within(ms(1)).len() < 100 && !caller.is_closed());
     }
@@ -59,13 +59,13 @@
 }
 
 #[test]
-fn closes_evicted_connections_in_order_and_serves_the_next() {
+fn closes_evicted_connections_gracefully_and_serves_new_callers() {
     let server = Server::start();
-    let node = Node::with(&[&server], 64);
+    let node = Node::start_with_sockets(&[&server], 64);
     for call in 1..=60u64 {
         let mut caller = node.caller();
         server.establish(&mut caller, call);
-        // Its answer is read; bytes that are no message yet are written when it may have been closed.
+        // A partial message, sent when the connection may already be closed.
         caller.send(b"INV");
         std::mem::forget(caller);
     }
--- a/crates/lilacpitch-edge/tests/node/ids.rs
+++ b/crates/lilacpitch-edge/tests/node/ids.rs
@@ -1,4 +1,4 @@
-//! Attempts and answers belong together by server, connection and id.
+//! Answers are matched to attempts by server, connection and call id.
 
 use crate::process::Node;
 use crate::standin::*;
@@ -15,8 +15,8 @@
         (&value["meta"]["class"], &value["meta"]["key"]),
         (&json!("plain"), &json!("7f3a9c21e0b4d655"))
     );
-    let left: u64 = value["meta"]["left"].as_str().unwrap().parse().unwrap();
-    assert!((1_000..=3_000).contains(&left), "{left}");
+    let left_ms: u64 = value["meta"]["left"].as_str().unwrap().parse().unwrap();
+    assert!((1_000..=3_000).contains(&left_ms), "{left_ms}");
     server.answer(&launch, "v=0\r\n\u{e4} \"\\ end");
     let message = caller.next().unwrap();
     assert_eq!(
@@ -38,20 +38,21 @@
     let (server, _node, mut caller) = Node::with_one_server();
     caller.invite(&id(1), 0, 3_000);
     let launch = server.next("launch");
-    // Full for longer than the call may be held here.
+    // The server is full for longer than the call may wait at the node.
     server.stop(launch.connection, &id(1), 34, json!({"note": "ovl", "waited": 5000}));
     let message = caller.next().unwrap();
     assert_eq!(message.status(), Some(503));
-    let gap: u64 = message.fields["p-gap-ms"].parse().unwrap();
-    assert!((1..=2_000).contains(&gap), "{gap}");
-    assert!(launch.at.elapsed() < ms(2_500), "not sat on: {:?}", launch.at.elapsed());
-    assert_eq!(caller.all_within(ms(300)), vec![], "one final answer");
+    let gap_ms: u64 = message.fields["p-gap-ms"].parse().unwrap();
+    assert!((1..=2_000).contains(&gap_ms), "{gap_ms}");
+    assert!(launch.at.elapsed() < ms(2_500), "rejected late: {:?}", launch.at.elapsed());
+    assert_eq!(caller.all_within(ms(300)), vec![], "second message");
 }
 
 #[test]
 fn releases_late_answer_to_a_cancelled_attempt() {
     let (server, _node, mut caller) = Node::with_one_server();
-    // A server that answers at once is not silent for one set-up that it loses: that one is tried there again.
+    // A server that answers other set-ups is not considered unresponsive when one times out, so that one is
+    // retried there.
     for call in 10..20 {
         caller.invite(&id(call), 0, 3_000);
         server.answer(&server.next("launch"), "there");
@@ -62,17 +63,25 @@
     caller.invite(&id(2), 0, 3_000);
     server.answer(&server.next("launch"), "overtakes");
     assert_eq!(caller.next().unwrap().body, "overtakes");
-    // Given up, and tried again after the release time on another connection.
+    // The first set-up times out, and is retried on another connection after the release time.
     let cancelled = server.next("stop");
     assert_eq!((cancelled.uid(), cancelled.connection), (id(1), first.connection));
     let second = server.next("launch");
-    assert!(second.at - cancelled.at >= ms(290), "the release is awaited: {:?}", second.at - cancelled.at);
-    assert_ne!(second.connection, first.connection, "or its answer could not be told from the first one's");
+    assert!(
+        second.at - cancelled.at >= ms(290),
+        "retried before the release time: {:?}",
+        second.at - cancelled.at
+    );
+    // Otherwise a late answer to the first attempt could not be distinguished from the answer to the second.
+    assert_ne!(second.connection, first.connection);
     server.answer(&first, "late");
-    assert_eq!(caller.next_within(ms(300)), None, "the late answer is not this attempt's");
+    assert_eq!(caller.next_within(ms(300)), None, "the late answer was taken for the second attempt's");
     server.answer(&second, "right");
     assert_eq!(caller.next().unwrap().body, "right");
-    assert!(!server.all_within(ms(300)).iter().any(|l| l.kind() == "stop"), "what stands is not released");
+    assert!(
+        !server.all_within(ms(300)).iter().any(|line| line.kind() == "stop"),
+        "the established call was released"
+    );
 }
 
 #[test]
@@ -93,12 +102,13 @@
     let (server, _node, mut caller) = Node::with_one_server();
     caller.invite(&id(1), 0, 3_000);
     let launch = server.next("launch");
-    server.say(launch.connection, json!({"kind": "running", "uid": id(77), "meta": {}, "body": "ahead"}));
+    server
+        .send_line(launch.connection, json!({"kind": "running", "uid": id(77), "meta": {}, "body": "early"}));
     server.answer(&launch, "one");
     server.answer(&launch, "two");
     let answers = caller.all_within(ms(400));
     assert_eq!(answers.iter().map(|message| &message.body[..]).collect::<Vec<_>>(), ["one"]);
-    assert_eq!(server.all_within(ms(200)).len(), 0, "neither is released");
+    assert_eq!(server.all_within(ms(200)).len(), 0, "an ignored answer was released");
     server.stop(launch.connection, &id(1), 16, json!({}));
     server.stop(launch.connection, &id(1), 16, json!({}));
     assert_eq!(caller.all_within(ms(400)).iter().filter(|message| message.is_bye()).count(), 1);
@@ -114,7 +124,7 @@
     other.send(&invite(&id(1), "dest:0", 3_000, "another description"));
     assert_eq!(other.next().unwrap().status(), Some(482));
     other.request("CANCEL", &id(1));
-    assert_eq!(other.next().unwrap().status(), Some(481), "nor may it be given up from there");
+    assert_eq!(other.next().unwrap().status(), Some(481), "cancelled by another caller");
     assert_eq!(server.all_within(ms(200)).len(), 0);
     server.answer(&launch, "first");
     assert_eq!(caller.next().unwrap().body, "first");
--- a/crates/lilacpitch-edge/tests/node/limits.rs
+++ b/crates/lilacpitch-edge/tests/node/limits.rs
@@ -1,4 +1,4 @@
-//! Descriptors near their limit.
+//! Limits of file descriptors.
 
 use crate::process::Node;
 use crate::standin::*;
@@ -6,11 +6,11 @@
 #[test]
 fn serves_regular_callers_beside_hundreds_of_silent_ones() {
     let (server, other) = (Server::start(), Server::start());
-    let node = Node::with(&[&server, &other], 128);
+    let node = Node::start_with_sockets(&[&server, &other], 128);
     let mut regular = node.caller();
     regular.invite(&id(1), 0, 4_000);
     let first = server.next("launch");
-    // More than the limit, and they say nothing.
+    // More callers than the limit, which send nothing.
     let silent: Vec<_> = (0..300).map(|_| node.caller()).collect();
     let mut late = node.caller();
     late.invite(&id(2), 1, 4_000);
@@ -21,40 +21,40 @@
     assert_eq!(
         regular.next().map(|message| message.body),
         Some("there".into()),
-        "an open set-up's is not closed"
+        "a caller with an open set-up was disconnected"
     );
-    silent.iter().for_each(|caller| _ = caller.end());
+    silent.iter().for_each(|caller| _ = caller.wait_for_end());
     assert!(node.descriptors() < 64, "{}", node.descriptors());
 }
 
 #[test]
 fn never_evicts_the_newest_connection() {
     let server = Server::start();
-    let node = Node::with(&[&server], 96);
-    // Kept open after their calls: more than the limit.
-    let mut kept = Vec::new();
+    let node = Node::start_with_sockets(&[&server], 96);
+    // More callers than the limit, which stay connected after their calls.
+    let mut connected = Vec::new();
     for call in 1..=60 {
         let mut caller = node.caller();
         caller.invite(&id(call), 0, 3_000);
         let launch = server.next("launch");
         server.answer(&launch, "there");
         assert_eq!(caller.next().unwrap().body, "there");
-        kept.push(caller);
+        connected.push(caller);
     }
     assert!(node.descriptors() <= 96, "{}", node.descriptors());
 }
 
 #[test]
 fn pauses_accepting_while_every_caller_has_an_open_setup() {
-    let (silent, other) = (Server::start(), Server::start());
-    let node = Node::with(&[&silent, &other], 96);
-    // All that there is room for, each with a set-up that is held or out, and none closes by itself.
-    let mut full: Vec<_> = (0..52).map(|_| node.caller()).collect();
-    full.iter_mut().zip(1..).for_each(|(caller, call)| caller.invite(&id(call), 0, 4_000));
+    let (unresponsive, other) = (Server::start(), Server::start());
+    let node = Node::start_with_sockets(&[&unresponsive, &other], 96);
+    // There is room for no more callers, and each has an open set-up, so that none can be evicted.
+    let mut busy: Vec<_> = (0..52).map(|_| node.caller()).collect();
+    busy.iter_mut().zip(1..).for_each(|(caller, call)| caller.invite(&id(call), 0, 4_000));
     std::thread::sleep(ms(100));
     let mut late = node.caller();
     late.request("OPTIONS", &id(99));
-    assert_eq!(late.next().unwrap().status(), Some(200), "once those have their answers");
+    assert_eq!(late.next().unwrap().status(), Some(200), "not accepted after the others were answered");
     assert!(node.descriptors() <= 96, "{}", node.descriptors());
 }
 
--- a/crates/lilacpitch-edge/tests/node/main.rs
+++ b/crates/lilacpitch-edge/tests/node/main.rs
@@ -1,5 +1,5 @@
-//! The front node's hard cases: a real process on loopback between scripted callers, signalling servers and a
-//! coordinator, judged by what crosses the sockets.
+//! Integration tests of the front node: a real process on loopback between scripted callers, signalling
+//! servers and a coordinator, checked by the messages on their sockets.
 
 mod active_calls;
 mod callers;
--- a/crates/lilacpitch-edge/tests/node/overload.rs
+++ b/crates/lilacpitch-edge/tests/node/overload.rs
@@ -1,4 +1,4 @@
-//! Terms of service at the edge of the limits: idle callers at every descriptor, and a start with a flood at the door.
+//! Service at the limits: idle callers on all descriptors, and a start under a flood of requests.
 
 use crate::process::Node;
 use crate::standin::*;
@@ -9,21 +9,21 @@
 use std::time::Instant;
 
 #[test]
-fn reconnects_to_the_coordinator_with_idle_callers_at_every_descriptor() {
+fn reconnects_to_the_coordinator_with_idle_callers_on_all_descriptors() {
     let (first, second) = (Server::start(), Server::start());
     let listed = Coordinator::listing(&[&first, &second]);
     let known = listed.known();
     let events = known["updates"].as_array().unwrap().clone();
-    // Nobody listens where the coordinator is; the list is known from the start.
-    let at = lilacpitch_net::free_addresses(1).unwrap()[0];
-    let change = |text: String| text.replace(&listed.address.to_string(), &at.to_string());
-    let node = Node::configured(Coordinator::start(events.clone()), 96, |text| {
-        let mut config: serde_json::Value = serde_json::from_str(&change(text)).unwrap();
-        config["coordinator"] = serde_json::json!(at.to_string());
+    // The coordinator is not running, and the endpoint list is known from the configuration.
+    let address = lilacpitch_net::free_addresses(1).unwrap()[0];
+    let replace_address = |text: String| text.replace(&listed.address.to_string(), &address.to_string());
+    let node = Node::spawn_with_config(Coordinator::start(events.clone()), 96, |text| {
+        let mut config: serde_json::Value = serde_json::from_str(&replace_address(text)).unwrap();
+        config["coordinator"] = serde_json::json!(address.to_string());
         config.to_string()
     });
     node.wait_ready();
-    // Some have asked once and stay, the others say nothing.
+    // Half of the callers have sent a request, and the others nothing.
     let mut regular = node.caller();
     first.establish(&mut regular, 999);
     let mut idle = Vec::new();
@@ -34,23 +34,23 @@
         }
         idle.push(caller);
     }
-    // Its idle connection may have been closed for others: it asks on a new one, as the protocol has it.
+    // The idle connection may have been evicted, so the caller uses a new one, as the protocol requires.
     let mut regular = node.caller();
     first.establish(&mut regular, 1_000);
     assert!(node.descriptors() <= 96, "{}", node.descriptors());
-    // It is back, and tells that the first server drains.
-    let back = Coordinator::on(TcpListener::bind(at).unwrap(), events);
-    back.publish(vec![target("s0", first.address, 0, "terminating", 0)]);
+    // The coordinator starts, and reports that the first server drains.
+    let coordinator = Coordinator::on_listener(TcpListener::bind(address).unwrap(), events);
+    coordinator.publish(vec![target("s0", first.address, 0, "terminating", 0)]);
     let until = Instant::now() + TIMEOUT;
-    while back.poll_count() < 2 {
-        assert!(Instant::now() < until, "the coordinator is not reached again");
+    while coordinator.poll_count() < 2 {
+        assert!(Instant::now() < until, "the coordinator was not polled");
         std::thread::sleep(ms(10));
     }
     std::thread::sleep(ms(300));
     let mut late = node.caller();
     late.invite(&id(2_000), 0, 3_000);
-    second.answer(&second.next("launch"), "by its word");
-    assert_eq!(late.next().unwrap().body, "by its word");
+    second.answer(&second.next("launch"), "at the second server");
+    assert_eq!(late.next().unwrap().body, "at the second server");
     assert!(node.descriptors() <= 96, "{}", node.descriptors());
 }
 
@@ -59,7 +59,7 @@
     let server = Server::start();
     let coordinator = Coordinator::listing(&[&server]);
     let stop = Arc::new(AtomicBool::new(false));
-    let from = Instant::now();
+    let start = Instant::now();
     let node = Node::spawn(coordinator, 256);
     let floods: Vec<_> = (0..30u64)
         .map(|flood| {
@@ -73,7 +73,7 @@
                     };
                     for _ in 0..40 {
                         call += 1;
-                        // Calls that stand already, and mischief.
+                        // Adoptions and invalid set-ups in turn.
                         let path = if call.is_multiple_of(2) { "at:s0" } else { "dest:soon" };
                         if stream.write_all(&invite(&id(call), path, 3_000, BODY)).is_err() {
                             break;
@@ -85,7 +85,7 @@
         })
         .collect();
     node.wait_ready();
-    let took = from.elapsed();
+    let startup_time = start.elapsed();
     let mut caller = node.caller();
     caller.invite(&id(1), 0, 8_000);
     let launch = server.next("launch");
@@ -94,6 +94,6 @@
     stop.store(true, Ordering::Relaxed);
     floods.into_iter().for_each(|flood| flood.join().unwrap());
     assert_eq!(message.body, "there");
-    assert!(took < ms(5_000), "ready after {took:?}");
+    assert!(startup_time < ms(5_000), "ready after {startup_time:?}");
     assert!(node.memory_mb() < 48, "{} MB", node.memory_mb());
 }
--- a/crates/lilacpitch-edge/tests/node/settings.rs
+++ b/crates/lilacpitch-edge/tests/node/settings.rs
@@ -1,11 +1,11 @@
-//! Two customers' settings: nothing of one shows at the other.
+//! Two nodes with different settings each follow their own.
 
 use crate::process::Node;
 use crate::standin::*;
 use serde_json::{json, Value};
 use std::time::Instant;
 
-/// A customer: classes, and figures for release, attempts, grace and connecting.
+/// The settings of a customer.
 struct Customer {
     classes: &'static [&'static str],
     release_ms: u64,
@@ -17,6 +17,7 @@
     resend_ms: u64,
 }
 
+/// Settings with several classes and short times.
 const HARBOUR: Customer = Customer {
     classes: &["alongside", "tug", "tide"],
     release_ms: 100,
@@ -27,6 +28,7 @@
     objective_ms: 1_500,
     resend_ms: 400,
 };
+/// Settings with one class and long times.
 const DESK: Customer = Customer {
     classes: &["desk"],
     release_ms: 700,
@@ -39,8 +41,9 @@
 };
 
 impl Customer {
-    fn node(&self, coordinator: Coordinator) -> Node {
-        let change = |text: String| {
+    /// Starts a node with these settings, and waits until it is ready.
+    fn start_node(&self, coordinator: Coordinator) -> Node {
+        let apply_settings = |text: String| {
             let mut config: Value = serde_json::from_str(&text).unwrap();
             let settings = &mut config["settings"];
             let class = |name: &&str| {
@@ -56,26 +59,27 @@
             settings["permissions"]["max_retry_after_ns"] = json!(self.max_retry_after_ms * 1_000_000);
             config.to_string()
         };
-        let node = Node::configured(coordinator, 256, change);
+        let node = Node::spawn_with_config(coordinator, 256, apply_settings);
         node.wait_ready();
         node
     }
 
+    /// Encodes a set-up of this class.
     fn invite(&self, call: u64, class: &str) -> Vec<u8> {
-        let regular = String::from_utf8(invite(&id(call), "dest:0;width:1;via:-1", 7_000, BODY)).unwrap();
-        regular.replace("P-Kind: plain", &format!("P-Kind: {class}")).into_bytes()
+        let plain = String::from_utf8(invite(&id(call), "dest:0;width:1;via:-1", 7_000, BODY)).unwrap();
+        plain.replace("P-Kind: plain", &format!("P-Kind: {class}")).into_bytes()
     }
 
-    /// Plays the same moments at this customer's node, and finds its own figures in each.
-    fn check_own_settings(&self, others: &Customer) {
+    /// Checks that a node of this customer follows its settings, and not those of another customer.
+    fn check_own_settings(&self, other: &Customer) {
         let server = Server::start();
-        let node = self.node(Coordinator::listing(&[&server]));
+        let node = self.start_node(Coordinator::listing(&[&server]));
         let mut caller = node.caller();
         // Classes.
-        let unknown = others.classes.iter().chain(&["plain"]);
+        let unknown = other.classes.iter().chain(&["plain"]);
         for (class, call) in unknown.zip(1..) {
             caller.send(&self.invite(call, class));
-            assert_eq!(caller.next().unwrap().status(), Some(400), "{class} is not this customer's");
+            assert_eq!(caller.next().unwrap().status(), Some(400), "class {class} was accepted");
         }
         for (class, call) in self.classes.iter().zip(10..) {
             caller.send(&self.invite(call, class));
@@ -84,17 +88,17 @@
             server.answer(&launch, "there");
             assert_eq!(caller.next().unwrap().status(), Some(200));
         }
-        // The release time after a cut, and the attempts.
+        // The release time after a cut, and the number of attempts.
         caller.send(&self.invite(20, self.classes[0]));
-        let mut last: Option<Instant> = None;
+        let mut previous_end: Option<Instant> = None;
         for attempt in 0..self.attempts {
             let launch = server.next("launch");
-            if let Some(last) = last {
-                let rest = launch.at.saturating_duration_since(last);
-                assert!(rest >= ms(self.release_ms - 5), "attempt {attempt} after {rest:?}");
-                assert!(rest < ms(self.release_ms + 400), "attempt {attempt} after {rest:?}");
+            if let Some(previous_end) = previous_end {
+                let pause = launch.at.saturating_duration_since(previous_end);
+                assert!(pause >= ms(self.release_ms - 5), "attempt {attempt} after {pause:?}");
+                assert!(pause < ms(self.release_ms + 400), "attempt {attempt} after {pause:?}");
             }
-            last = Some(Instant::now());
+            previous_end = Some(Instant::now());
             server.stop(launch.connection, &id(20), 41, json!({}));
         }
         let rejected = caller.next().unwrap();
@@ -102,13 +106,13 @@
         if let Some(gap) = rejected.fields.get("p-gap-ms") {
             assert!(gap.parse::<u64>().unwrap() <= self.max_retry_after_ms, "{gap}");
         }
-        assert!(server.next_within("launch", ms(self.release_ms + 200)).is_none(), "no further attempt");
-        // Calls that may be open at once.
-        let mut many = node.caller();
-        (0..self.max_open + 2).for_each(|n| many.send(&self.invite(30 + n, self.classes[0])));
-        let received = many.all_within(ms(150));
-        let beyond = |message: &&SipMessage| message.start.contains("Too Many Calls");
-        assert_eq!(received.iter().filter(beyond).count(), 2, "{received:?}");
+        assert!(server.next_within("launch", ms(self.release_ms + 200)).is_none(), "too many attempts");
+        // The number of open calls.
+        let mut caller = node.caller();
+        (0..self.max_open + 2).for_each(|n| caller.send(&self.invite(30 + n, self.classes[0])));
+        let received = caller.all_within(ms(150));
+        let is_over_limit = |message: &&SipMessage| message.start.contains("Too Many Calls");
+        assert_eq!(received.iter().filter(is_over_limit).count(), 2, "{received:?}");
     }
 }
 
@@ -120,20 +124,22 @@
 
 #[test]
 fn abandons_a_connection_after_the_configured_timeout() {
-    let mut took = Vec::new();
+    let mut delays = Vec::new();
     for customer in [HARBOUR, DESK] {
-        let (silent, other) = (silent_server(), Server::start());
-        let targets =
-            vec![target("s0", silent.0, 0, "in_service", 0), target("s1", other.address, 1, "in_service", 0)];
-        let node = customer.node(Coordinator::start(vec![event(1, true, targets)]));
+        let (unreachable, other) = (unreachable_server(), Server::start());
+        let targets = vec![
+            target("s0", unreachable.0, 0, "in_service", 0),
+            target("s1", other.address, 1, "in_service", 0),
+        ];
+        let node = customer.start_node(Coordinator::start(vec![event(1, true, targets)]));
         let mut caller = node.caller();
-        let from = Instant::now();
+        let start = Instant::now();
         caller.send(&customer.invite(1, customer.classes[0]));
         let launch = other.next("launch");
-        took.push(launch.at - from);
+        delays.push(launch.at - start);
         other.answer(&launch, "elsewhere");
         assert_eq!(caller.next().unwrap().body, "elsewhere");
-        assert!(took.last() >= Some(&ms(customer.connect_ms - 20)), "{took:?}");
+        assert!(delays.last() >= Some(&ms(customer.connect_ms - 20)), "{delays:?}");
     }
-    assert!(took[0] < ms(HARBOUR.connect_ms + 500), "{took:?}");
+    assert!(delays[0] < ms(HARBOUR.connect_ms + 500), "{delays:?}");
 }
--- a/crates/lilacpitch-edge/tests/node/standin.rs
+++ b/crates/lilacpitch-edge/tests/node/standin.rs
@@ -1,4 +1,4 @@
-//! Scripted callers, signalling servers and a coordinator on blocking sockets, as stand-ins for a platform.
+//! Simulated callers, signalling servers and a coordinator on blocking sockets.
 #![allow(dead_code)]
 
 use serde_json::{json, Value};
@@ -9,19 +9,21 @@
 use std::sync::{Arc, Condvar, Mutex};
 use std::time::{Duration, Instant};
 
-/// What must happen at once has happened within this time on any machine.
+/// How long a test waits for something that normally happens without delay.
 pub(crate) const TIMEOUT: Duration = Duration::from_secs(8);
+/// A session description.
 pub(crate) const BODY: &str = "c=IN IP4 10.4.7.9\r\nm=audio 31000 RTP/AVP 0\r\n";
 
 pub(crate) fn ms(ms: u64) -> Duration {
     Duration::from_millis(ms)
 }
 
+/// A call id as it is written on the wire.
 pub(crate) fn id(number: u64) -> String {
     format!("{number:016x}")
 }
 
-/// Unix milliseconds now.
+/// The current time in Unix milliseconds.
 pub(crate) fn unix_ms() -> u64 {
     std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).unwrap().as_millis() as u64
 }
@@ -31,22 +33,25 @@
 /// A line that a server received, or the end of a connection.
 #[derive(Debug, Clone)]
 pub(crate) struct ServerLine {
+    /// When it was received.
     pub at: Instant,
+    /// The connection, by its index among those accepted.
     pub connection: usize,
-    /// `None`: the connection has ended.
+    /// The line; `None` for the end of the connection.
     pub value: Option<Value>,
 }
 
 impl ServerLine {
     pub(crate) fn kind(&self) -> &str {
-        self.value.as_ref().and_then(|v| v["kind"].as_str()).unwrap_or("")
+        self.value.as_ref().and_then(|value| value["kind"].as_str()).unwrap_or("")
     }
 
     pub(crate) fn uid(&self) -> String {
-        self.value.as_ref().and_then(|v| v["uid"].as_str()).unwrap_or("").to_string()
+        self.value.as_ref().and_then(|value| value["uid"].as_str()).unwrap_or("").to_string()
     }
 }
 
+/// A signalling server that is controlled by its test.
 pub(crate) struct Server {
     pub address: SocketAddr,
     connections: Arc<Mutex<Vec<Option<TcpStream>>>>,
@@ -56,85 +61,88 @@
 
 impl Server {
     pub(crate) fn start() -> Server {
-        // An address that another server can take over later.
-        Server::on(TcpListener::bind(lilacpitch_net::free_addresses(1).unwrap()[0]).unwrap())
+        // Not an ephemeral port, so that another server can listen on it later.
+        Server::on_listener(TcpListener::bind(lilacpitch_net::free_addresses(1).unwrap()[0]).unwrap())
     }
 
-    pub(crate) fn on(listener: TcpListener) -> Server {
+    pub(crate) fn on_listener(listener: TcpListener) -> Server {
         let address = listener.local_addr().unwrap();
-        let (connections, (say, lines)) = (Arc::new(Mutex::new(Vec::new())), channel());
+        let (connections, (sender, lines)) = (Arc::new(Mutex::new(Vec::new())), channel());
         let is_listening = Arc::new(Mutex::new(true));
-        let (all, on) = (connections.clone(), is_listening.clone());
+        let (accepted, may_accept) = (connections.clone(), is_listening.clone());
         std::thread::spawn(move || {
             for stream in listener.incoming() {
                 let Ok(stream) = stream else { return };
-                if !*on.lock().unwrap() {
+                if !*may_accept.lock().unwrap() {
                     return;
                 }
                 let connection = {
-                    let mut all = all.lock().unwrap();
-                    all.push(Some(stream.try_clone().unwrap()));
-                    all.len() - 1
+                    let mut accepted = accepted.lock().unwrap();
+                    accepted.push(Some(stream.try_clone().unwrap()));
+                    accepted.len() - 1
                 };
-                let say = say.clone();
-                std::thread::spawn(move || read_lines(stream, connection, &say));
+                let sender = sender.clone();
+                std::thread::spawn(move || read_lines(stream, connection, &sender));
             }
         });
         Server { address, connections, lines, is_listening }
     }
 
-    /// The next line of this kind; others and the ends of connections are skipped.
+    /// Waits for the next line of this kind; skips others and the ends of connections.
     pub(crate) fn next(&self, kind: &str) -> ServerLine {
         self.next_within(kind, TIMEOUT).unwrap_or_else(|| panic!("no {kind}"))
     }
 
-    pub(crate) fn next_within(&self, kind: &str, span: Duration) -> Option<ServerLine> {
-        let until = Instant::now() + span;
+    pub(crate) fn next_within(&self, kind: &str, timeout: Duration) -> Option<ServerLine> {
+        let until = Instant::now() + timeout;
         loop {
-            let left = until.checked_duration_since(Instant::now())?;
-            let line = self.lines.recv_timeout(left).ok()?;
+            let remaining = until.checked_duration_since(Instant::now())?;
+            let line = self.lines.recv_timeout(remaining).ok()?;
             if line.kind() == kind {
                 return Some(line);
             }
         }
     }
 
-    /// All lines within a time.
-    pub(crate) fn all_within(&self, span: Duration) -> Vec<ServerLine> {
-        let until = Instant::now() + span;
-        let mut all = Vec::new();
-        while let Some(left) = until.checked_duration_since(Instant::now()) {
-            all.extend(self.lines.recv_timeout(left).ok());
+    /// Returns all lines that are received within a period.
+    pub(crate) fn all_within(&self, period: Duration) -> Vec<ServerLine> {
+        let until = Instant::now() + period;
+        let mut lines = Vec::new();
+        while let Some(remaining) = until.checked_duration_since(Instant::now()) {
+            lines.extend(self.lines.recv_timeout(remaining).ok());
         }
-        all
+        lines
     }
 
     pub(crate) fn write(&self, connection: usize, bytes: &[u8]) {
         if let Some(Some(stream)) = self.connections.lock().unwrap().get_mut(connection) {
-            // The node may have closed it: that is what some tests are about.
+            // Fails if the node has closed the connection, which some tests cause.
             let _ = stream.write_all(bytes);
         }
     }
 
-    pub(crate) fn say(&self, connection: usize, value: Value) {
+    pub(crate) fn send_line(&self, connection: usize, value: Value) {
         self.write(connection, format!("{value}\n").as_bytes());
     }
 
-    pub(crate) fn answer(&self, to: &ServerLine, body: &str) {
-        self.say(to.connection, json!({"kind": "running", "uid": to.uid(), "meta": {}, "body": body}));
+    pub(crate) fn answer(&self, setup: &ServerLine, body: &str) {
+        self.send_line(
+            setup.connection,
+            json!({"kind": "running", "uid": setup.uid(), "meta": {}, "body": body}),
+        );
     }
 
-    /// Establishes a call of this caller; its set-up.
+    /// Establishes a call of this caller, and returns its set-up.
     pub(crate) fn establish(&self, caller: &mut Caller, call: u64) -> ServerLine {
         caller.invite(&id(call), 0, 3_000);
-        let launch = self.next("launch");
-        self.answer(&launch, "there");
-        assert_eq!(caller.next().unwrap().body, "there");
-        launch
+        let setup = self.next("launch");
+        self.answer(&setup, "established");
+        assert_eq!(caller.next().unwrap().body, "established");
+        setup
     }
 
     pub(crate) fn stop(&self, connection: usize, uid: &str, cause: u16, meta: Value) {
-        self.say(connection, json!({"kind": "stop", "uid": uid, "meta": meta, "reason": cause}));
+        self.send_line(connection, json!({"kind": "stop", "uid": uid, "meta": meta, "reason": cause}));
     }
 
     /// Resets a connection.
@@ -144,15 +152,15 @@
         }
     }
 
-    /// Connections that were made so far.
+    /// Returns the number of connections accepted so far.
     pub(crate) fn connection_count(&self) -> usize {
         self.connections.lock().unwrap().len()
     }
 
-    /// The process is killed: nobody listens any more, and all connections are reset.
+    /// Stops listening and resets all connections, like the kill of a server's process.
     pub(crate) fn kill(&self) {
         *self.is_listening.lock().unwrap() = false;
-        // Its own connection ends the accepting thread, and the listener with it.
+        // This connection makes the accepting thread end and close the listener.
         let _ = TcpStream::connect(self.address);
         while TcpStream::connect(self.address).is_ok() {
             std::thread::sleep(ms(5));
@@ -161,8 +169,10 @@
     }
 }
 
+/// Resets a connection.
 fn reset(stream: TcpStream) {
-    // Closing with unread bytes or a linger of 0 resets; std offers neither, so both halves go at once.
+    // A socket that is closed with a linger time of 0 is reset. The reader's clone keeps it open, so it is
+    // shut down.
     let _ = nix::sys::socket::setsockopt(
         &stream,
         nix::sys::socket::sockopt::Linger,
@@ -171,51 +181,55 @@
     let _ = stream.shutdown(std::net::Shutdown::Both);
 }
 
-fn read_lines(stream: TcpStream, connection: usize, say: &Sender<ServerLine>) {
+/// Reads the lines of a connection to its end.
+fn read_lines(stream: TcpStream, connection: usize, sender: &Sender<ServerLine>) {
     let mut lines = BufReader::new(stream);
     loop {
         let mut text = String::new();
         let value = match lines.read_line(&mut text) {
-            Ok(count) if count > 0 => Some(serde_json::from_str(&text).expect("a line of JSON")),
+            Ok(count) if count > 0 => Some(serde_json::from_str(&text).expect("line is not JSON")),
             _ => None,
         };
-        let ended = value.is_none();
-        if say.send(ServerLine { at: Instant::now(), connection, value }).is_err() || ended {
+        let has_ended = value.is_none();
+        if sender.send(ServerLine { at: Instant::now(), connection, value }).is_err() || has_ended {
             return;
         }
     }
 }
 
-/// An address where connections never come up: what listens there does not accept, and its backlog is full.
-pub(crate) fn silent_server() -> (SocketAddr, Vec<TcpStream>, std::os::fd::OwnedFd) {
+/// An address to which connections are never established: its listener does not accept, and its backlog is
+/// full. The connections and the listener are to be kept open.
+pub(crate) fn unreachable_server() -> (SocketAddr, Vec<TcpStream>, std::os::fd::OwnedFd) {
     use nix::sys::socket::*;
     use std::os::fd::AsRawFd;
     let fd = socket(AddressFamily::Inet, SockType::Stream, SockFlag::empty(), None).unwrap();
     bind(fd.as_raw_fd(), &SockaddrIn::new(127, 0, 0, 1, 0)).unwrap();
     listen(&fd, Backlog::new(0).unwrap()).unwrap();
-    let at: SockaddrIn = getsockname(fd.as_raw_fd()).unwrap();
-    let address = SocketAddr::from(([127, 0, 0, 1], at.port()));
-    let mut held = Vec::new();
+    let bound: SockaddrIn = getsockname(fd.as_raw_fd()).unwrap();
+    let address = SocketAddr::from(([127, 0, 0, 1], bound.port()));
+    let mut backlog = Vec::new();
     while let Ok(stream) = TcpStream::connect_timeout(&address, ms(150)) {
-        held.push(stream);
+        backlog.push(stream);
     }
-    (address, held, fd)
+    (address, backlog, fd)
 }
 
 // ---- The coordinator ----
 
+/// How a coordinator responds to polls.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(crate) enum Behaviour {
+    /// Responds as the protocol requires.
     Normal,
-    /// Closes in the middle of each response.
-    BreaksOff,
+    /// Closes the connection in the middle of each response.
+    ClosesEarly,
     /// Accepts each poll and sends nothing.
     Silent,
-    /// Sends so many bytes of each response, and nothing more.
-    StopsAt(usize),
-    /// Sends each response in chunks, and stops in the second.
-    StopsInChunk,
-    /// Sends each response a byte at a time, slower than the node waits.
+    /// Sends this many bytes of each response, and nothing more.
+    StallsAfter(usize),
+    /// Sends each response in chunks, and stalls in the second.
+    StallsInChunk,
+    /// Sends each response one byte at a time, so slowly that the node times out.
     Trickles,
     /// Responds to each poll at once, without events.
     Empty,
@@ -225,12 +239,14 @@
     LowersIndex,
 }
 
+/// The state that is shared by the connections of a coordinator.
 struct Events {
     all: Vec<Value>,
     behaviour: Behaviour,
     polls: usize,
 }
 
+/// A coordinator that is controlled by its test.
 pub(crate) struct Coordinator {
     pub address: SocketAddr,
     state: Arc<(Mutex<Events>, Condvar)>,
@@ -238,10 +254,10 @@
 
 impl Coordinator {
     pub(crate) fn start(events: Vec<Value>) -> Coordinator {
-        Coordinator::on(TcpListener::bind("127.0.0.1:0").unwrap(), events)
+        Coordinator::on_listener(TcpListener::bind("127.0.0.1:0").unwrap(), events)
     }
 
-    pub(crate) fn on(listener: TcpListener, events: Vec<Value>) -> Coordinator {
+    pub(crate) fn on_listener(listener: TcpListener, events: Vec<Value>) -> Coordinator {
         let address = listener.local_addr().unwrap();
         let state = Arc::new((
             Mutex::new(Events { all: events, behaviour: Behaviour::Normal, polls: 0 }),
@@ -258,14 +274,16 @@
         Coordinator { address, state }
     }
 
-    /// One that lists these servers, in service under numbers from 0, by the ids `s0`, `s1` ...
+    /// Starts a coordinator that lists these servers as in service, with the ids `s0`, `s1`, ... and numbers
+    /// from 0.
     pub(crate) fn listing(servers: &[&Server]) -> Coordinator {
         let listed = servers.iter().enumerate();
-        let targets = listed.map(|(n, s)| target(&format!("s{n}"), s.address, n as u32, "in_service", 0));
+        let targets =
+            listed.map(|(n, server)| target(&format!("s{n}"), server.address, n as u32, "in_service", 0));
         Coordinator::start(vec![event(1, true, targets.collect())])
     }
 
-    /// One more event: changes of these servers.
+    /// Adds an event with changes of these servers.
     pub(crate) fn publish(&self, targets: Vec<Value>) {
         let mut events = self.state.0.lock().unwrap();
         let index = events.all.len() as u64 + 1;
@@ -281,13 +299,14 @@
         self.state.0.lock().unwrap().polls
     }
 
+    /// Returns the events so far, in the form of a response.
     pub(crate) fn known(&self) -> Value {
         let events = self.state.0.lock().unwrap();
         json!({"index": events.all.len(), "updates": events.all})
     }
 }
 
-/// Answers polls on one connection, by the coordinator's behaviour.
+/// Responds to the polls of one connection, according to the coordinator's behaviour.
 fn serve_polls(stream: TcpStream, shared: &(Mutex<Events>, Condvar)) {
     let mut lines = BufReader::new(stream.try_clone().unwrap());
     let mut stream = stream;
@@ -297,16 +316,16 @@
             return;
         };
         let head = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", body.len());
-        let whole = format!("{head}{body}");
+        let response = format!("{head}{body}");
         let is_open = match behaviour {
-            Behaviour::StopsAt(bytes) => write_and_stop(&mut stream, &mut lines, &whole[..bytes]),
-            Behaviour::StopsInChunk => write_and_stop(&mut stream, &mut lines, &partial_chunks(&body)),
-            Behaviour::Trickles => trickle(&mut stream, &whole),
-            Behaviour::BreaksOff => {
-                let _ = stream.write_all(&whole.as_bytes()[..head.len() + body.len() / 2]);
+            Behaviour::StallsAfter(bytes) => write_and_stall(&mut stream, &mut lines, &response[..bytes]),
+            Behaviour::StallsInChunk => write_and_stall(&mut stream, &mut lines, &partial_chunks(&body)),
+            Behaviour::Trickles => trickle(&mut stream, &response),
+            Behaviour::ClosesEarly => {
+                let _ = stream.write_all(&response.as_bytes()[..head.len() + body.len() / 2]);
                 false
             }
-            _ => stream.write_all(whole.as_bytes()).is_ok(),
+            _ => stream.write_all(response.as_bytes()).is_ok(),
         };
         if !is_open {
             return;
@@ -314,13 +333,15 @@
     }
 }
 
-/// A poll: the last event in hand, and how long the response may be held back.
+/// The parameters of a poll.
 struct Poll {
+    /// Number of the last event that the node has received.
     after: u64,
+    /// How long the response may be held back.
     hold: Duration,
 }
 
-/// Reads the head of a request; `None` at the connection's end.
+/// Reads the head of a request; `None` at the end of the connection.
 fn read_poll(lines: &mut BufReader<TcpStream>) -> Option<Poll> {
     let (mut request, mut line) = (String::new(), String::new());
     if lines.read_line(&mut request).unwrap_or(0) == 0 {
@@ -336,7 +357,8 @@
     Some(Poll { after: parameter("follow="), hold: ms(parameter("wait_ms=")) })
 }
 
-/// Holds the response back until there are events; its body, or `None` where nothing is to be said.
+/// Holds the response back until there are new events. Returns its body, or `None` if no response is to be
+/// sent.
 fn wait_for_events(poll: &Poll, shared: &(Mutex<Events>, Condvar)) -> Option<(Behaviour, String)> {
     let mut events = shared.0.lock().unwrap();
     events.polls += 1;
@@ -357,7 +379,7 @@
         Behaviour::LowersIndex if after > 0 => u64::MAX,
         _ => after,
     };
-    let updates: Vec<_> = events.all.iter().filter(|e| e["index"].as_u64() > Some(hidden)).collect();
+    let updates: Vec<_> = events.all.iter().filter(|event| event["index"].as_u64() > Some(hidden)).collect();
     let index = match events.behaviour {
         Behaviour::Empty => after as usize,
         Behaviour::LowersIndex if after > 0 => 0,
@@ -366,7 +388,7 @@
     json!({"index": index, "updates": updates}).to_string()
 }
 
-/// A chunked response that stops within its second chunk.
+/// A chunked response that ends within its second chunk.
 fn partial_chunks(body: &str) -> String {
     let (first, second) = body.split_at(body.len() / 2);
     let half = &second[..second.len() / 2];
@@ -374,14 +396,15 @@
     format!("{head}{:x}\r\n{first}\r\n{:x}\r\n{half}", first.len(), second.len())
 }
 
-/// Writes a part of a response and nothing more, until the other end closes; the connection is of no further use.
-fn write_and_stop(stream: &mut TcpStream, lines: &mut BufReader<TcpStream>, part: &str) -> bool {
+/// Writes a part of a response, and waits until the node closes the connection. Returns `false`, since it is
+/// not open.
+fn write_and_stall(stream: &mut TcpStream, lines: &mut BufReader<TcpStream>, part: &str) -> bool {
     let _ = stream.write_all(part.as_bytes());
     let _ = lines.read_to_end(&mut Vec::new());
     false
 }
 
-/// Writes a byte at a time; whether the connection is still open.
+/// Writes one byte at a time. Returns whether the connection is still open.
 fn trickle(stream: &mut TcpStream, text: &str) -> bool {
     for byte in text.bytes() {
         if stream.write_all(&[byte]).is_err() {
@@ -392,6 +415,7 @@
     true
 }
 
+/// An event of the coordinator.
 pub(crate) fn event(index: u64, all: bool, targets: Vec<Value>) -> Value {
     json!({"index": index, "endpoints": {"rev": index, "all": all, "targets": targets}})
 }
@@ -407,15 +431,16 @@
 /// A message that a caller received.
 #[derive(Debug, Clone, PartialEq)]
 pub(crate) struct SipMessage {
-    /// `SIP/2.0 200 OK`, or the first line of a request.
+    /// The start line, such as `SIP/2.0 200 OK`.
     pub start: String,
+    /// Header fields by their names in lower case.
     pub fields: BTreeMap<String, String>,
     pub body: String,
 }
 
 impl SipMessage {
     pub(crate) fn status(&self) -> Option<u16> {
-        self.start.strip_prefix("SIP/2.0 ").and_then(|rest| rest[..3].parse().ok())
+        self.start.strip_prefix("SIP/2.0 ").and_then(|status_line| status_line[..3].parse().ok())
     }
 
     pub(crate) fn call(&self) -> &str {
@@ -427,6 +452,7 @@
     }
 }
 
+/// A caller's connection.
 pub(crate) struct Caller {
     pub stream: TcpStream,
     received: Receiver<Option<SipMessage>>,
@@ -435,16 +461,16 @@
 impl Caller {
     pub(crate) fn connect(address: SocketAddr) -> Caller {
         let stream = TcpStream::connect(address).unwrap();
-        // What is written is there, and does not wait for what was written before to be seen.
+        // Data is sent at once, rather than after earlier data is acknowledged.
         stream.set_nodelay(true).unwrap();
-        let (say, received) = channel();
+        let (sender, received) = channel();
         let reader = stream.try_clone().unwrap();
-        std::thread::spawn(move || read_sip(reader, &say));
+        std::thread::spawn(move || read_messages(reader, &sender));
         Caller { stream, received }
     }
 
     pub(crate) fn send(&mut self, bytes: &[u8]) {
-        // The node may have closed it: that is what some tests are about.
+        // Fails if the node has closed the connection, which some tests cause.
         let _ = self.stream.write_all(bytes);
     }
 
@@ -459,45 +485,46 @@
         self.send(text.as_bytes());
     }
 
-    /// The next message; `None`: the connection has ended.
+    /// Waits for the next message; `None` if the connection has ended.
     pub(crate) fn next(&self) -> Option<SipMessage> {
-        self.received.recv_timeout(TIMEOUT).expect("a message or an end")
+        self.received.recv_timeout(TIMEOUT).expect("neither a message nor an end")
     }
 
-    pub(crate) fn next_within(&self, span: Duration) -> Option<SipMessage> {
-        self.received.recv_timeout(span).ok().flatten()
+    pub(crate) fn next_within(&self, timeout: Duration) -> Option<SipMessage> {
+        self.received.recv_timeout(timeout).ok().flatten()
     }
 
-    /// Whether its connection has ended with no message before.
+    /// Whether the connection has ended and all its messages were returned.
     pub(crate) fn is_closed(&self) -> bool {
         matches!(self.received.recv_timeout(ms(5)), Ok(None))
     }
 
-    /// Waits for the connection's end; how long that took.
-    pub(crate) fn end(&self) -> Duration {
-        let from = Instant::now();
+    /// Waits for the end of the connection, and returns how long that took.
+    pub(crate) fn wait_for_end(&self) -> Duration {
+        let start = Instant::now();
         while self.next().is_some() {}
-        from.elapsed()
+        start.elapsed()
     }
 
     pub(crate) fn close(self) {
         let _ = self.stream.shutdown(std::net::Shutdown::Both);
     }
 
-    /// All messages within a time.
-    pub(crate) fn all_within(&self, span: Duration) -> Vec<SipMessage> {
-        let until = Instant::now() + span;
-        let mut all = Vec::new();
-        while let Some(left) = until.checked_duration_since(Instant::now()) {
-            match self.received.recv_timeout(left) {
-                Ok(Some(message)) => all.push(message),
-                _ => return all,
+    /// Returns all messages that are received within a period, or until the connection ends.
+    pub(crate) fn all_within(&self, period: Duration) -> Vec<SipMessage> {
+        let until = Instant::now() + period;
+        let mut messages = Vec::new();
+        while let Some(remaining) = until.checked_duration_since(Instant::now()) {
+            match self.received.recv_timeout(remaining) {
+                Ok(Some(message)) => messages.push(message),
+                _ => return messages,
             }
         }
-        all
+        messages
     }
 }
 
+/// Encodes a set-up with this `P-Path`.
 pub(crate) fn invite(call: &str, path: &str, left_ms: u64, body: &str) -> Vec<u8> {
     format!(
         "INVITE sip:7f3a9c21e0b4d655@net SIP/2.0\r\nVia: SIP/2.0/TCP peer\r\nCall-ID: {call}\r\nCSeq: 1 INVITE\r\n\
@@ -507,12 +534,13 @@
     .into_bytes()
 }
 
-fn read_sip(stream: TcpStream, say: &Sender<Option<SipMessage>>) {
+/// Reads the messages of a connection to its end.
+fn read_messages(stream: TcpStream, sender: &Sender<Option<SipMessage>>) {
     let mut lines = BufReader::new(stream);
     loop {
         let mut start = String::new();
         if lines.read_line(&mut start).unwrap_or(0) == 0 {
-            let _ = say.send(None);
+            let _ = sender.send(None);
             return;
         }
         let mut fields = BTreeMap::new();
@@ -522,15 +550,15 @@
             let Some((name, value)) = line.trim_end().split_once(": ") else { break };
             fields.insert(name.to_lowercase(), value.to_string());
         }
-        let length = fields.get("content-length").map_or(0, |l: &String| l.parse().unwrap());
+        let length = fields.get("content-length").map_or(0, |length: &String| length.parse().unwrap());
         let mut body = vec![0; length];
         if lines.read_exact(&mut body).is_err() {
-            let _ = say.send(None);
+            let _ = sender.send(None);
             return;
         }
         let message =
             SipMessage { start: start.trim_end().into(), fields, body: String::from_utf8(body).unwrap() };
-        if say.send(Some(message)).is_err() {
+        if sender.send(Some(message)).is_err() {
             return;
         }
     }
@@ -538,6 +566,7 @@
 
 // ---- The configuration ----
 
+/// The configuration file of a node with two classes.
 pub(crate) fn config_text(
     listen: SocketAddr,
     coordinator: SocketAddr,
@@ -553,7 +582,7 @@
         "limits": {"cores": 1.0, "memory_mb": 48, "sockets": sockets},
         "coordinator": coordinator.to_string(), "known": known,
         "settings": {
-            "classes": [class("plain", 1), class("dear", 3)],
+            "classes": [class("plain", 1), class("urgent", 3)],
             "dcs": ["a"],
             "family_info": {"home_no": -1, "release_ns": 300_000_000, "retransmit_ns": 400_000_000},
             "permissions": {"cancel": true, "connect_timeout_ns": 500_000_000, "max_attempts": 6,
