--- a/crates/lilacpitch-edge/examples/standin.rs
+++ b/crates/lilacpitch-edge/examples/standin.rs
@@ -30,7 +30,8 @@
         eprintln!("standin: {file}: {error}");
         return ExitCode::FAILURE;
     }
-    println!("configuration written to {file}; start the node: BALANCER_CONFIG={file} target/release/lilacpitch-edge node");
+    println!("configuration written to {file}");
+    println!("start the node: BALANCER_CONFIG={file} target/release/lilacpitch-edge node");
     wait_ready(listen);
     let mut caller = Caller::connect(listen);
     for call in 1..=CALLS {
--- a/crates/lilacpitch-edge/tests/node/settings.rs
+++ b/crates/lilacpitch-edge/tests/node/settings.rs
@@ -18,8 +18,8 @@
 }
 
 /// Settings with several classes and short times.
-const HARBOUR: Customer = Customer {
-    classes: &["alongside", "tug", "tide"],
+const SHORT_TIMES: Customer = Customer {
+    classes: &["voice", "fax", "data"],
     release_ms: 100,
     attempts: 2,
     connect_ms: 200,
@@ -29,8 +29,8 @@
     resend_ms: 400,
 };
 /// Settings with one class and long times.
-const DESK: Customer = Customer {
-    classes: &["desk"],
+const LONG_TIMES: Customer = Customer {
+    classes: &["modem"],
     release_ms: 700,
     attempts: 4,
     connect_ms: 900,
@@ -47,8 +47,8 @@
             let mut config: Value = serde_json::from_str(&text).unwrap();
             let settings = &mut config["settings"];
             let class = |name: &&str| {
-                json!({"name": name, "aim_ns": self.objective_ms * 1_000_000, "deadline_ns": 8_000_000_000u64, "worth": 1,
-                    "late_worth": 0.2, "repeat": "read_like"})
+                json!({"name": name, "aim_ns": self.objective_ms * 1_000_000,
+                    "deadline_ns": 8_000_000_000u64, "worth": 1, "late_worth": 0.2, "repeat": "read_like"})
             };
             settings["classes"] = self.classes.iter().map(class).collect();
             settings["family_info"]["release_ns"] = json!(self.release_ms * 1_000_000);
@@ -118,14 +118,14 @@
 
 #[test]
 fn each_node_follows_its_own_settings() {
-    HARBOUR.check_own_settings(&DESK);
-    DESK.check_own_settings(&HARBOUR);
+    SHORT_TIMES.check_own_settings(&LONG_TIMES);
+    LONG_TIMES.check_own_settings(&SHORT_TIMES);
 }
 
 #[test]
 fn abandons_a_connection_after_the_configured_timeout() {
     let mut delays = Vec::new();
-    for customer in [HARBOUR, DESK] {
+    for customer in [SHORT_TIMES, LONG_TIMES] {
         let (unreachable, other) = (unreachable_server(), Server::start());
         let targets = vec![
             target("s0", unreachable.0, 0, "in_service", 0),
@@ -141,5 +141,5 @@
         assert_eq!(caller.next().unwrap().body, "elsewhere");
         assert!(delays.last() >= Some(&ms(customer.connect_ms - 20)), "{delays:?}");
     }
-    assert!(delays[0] < ms(HARBOUR.connect_ms + 500), "{delays:?}");
+    assert!(delays[0] < ms(SHORT_TIMES.connect_ms + 500), "{delays:?}");
 }
--- a/crates/lilacpitch-edge/tests/node/standin.rs
+++ b/crates/lilacpitch-edge/tests/node/standin.rs
@@ -527,8 +527,8 @@
 /// Encodes a set-up with this `P-Path`.
 pub(crate) fn invite(call: &str, path: &str, left_ms: u64, body: &str) -> Vec<u8> {
     format!(
-        "INVITE sip:7f3a9c21e0b4d655@net SIP/2.0\r\nVia: SIP/2.0/TCP peer\r\nCall-ID: {call}\r\nCSeq: 1 INVITE\r\n\
-         P-Kind: plain\r\nP-Time-Left: {left_ms}\r\nP-Path: {path}\r\nContent-Length: {}\r\n\r\n{body}",
+        "INVITE sip:7f3a9c21e0b4d655@net SIP/2.0\r\nVia: SIP/2.0/TCP peer\r\nCall-ID: {call}\r\n\
+         CSeq: 1 INVITE\r\nP-Kind: plain\r\nP-Time-Left: {left_ms}\r\nP-Path: {path}\r\nContent-Length: {}\r\n\r\n{body}",
         body.len()
     )
     .into_bytes()
--- a/crates/lilacpitch-net/src/clock.rs
+++ b/crates/lilacpitch-net/src/clock.rs
@@ -25,8 +25,8 @@
     }
 
     /// Converts a time of this clock to an instant for the timers of the tokio runtime.
-    pub fn instant(&self, at: Nanos) -> tokio::time::Instant {
-        (self.start + Duration::from_nanos(at.saturating_sub(self.start_unix_ns))).into()
+    pub fn instant(&self, time: Nanos) -> tokio::time::Instant {
+        (self.start + Duration::from_nanos(time.saturating_sub(self.start_unix_ns))).into()
     }
 }
 
--- a/crates/lilacpitch-net/src/outbox.rs
+++ b/crates/lilacpitch-net/src/outbox.rs
@@ -177,7 +177,8 @@
         write: impl FnOnce(&[u8]) -> io::Result<usize>,
     ) -> io::Result<WriteProgress> {
         let mut state = self.0.state.borrow_mut();
-        let is_expired = |message: &OutgoingMessage| message.not_after_ns.is_some_and(|at| now > at);
+        let is_expired =
+            |message: &OutgoingMessage| message.not_after_ns.is_some_and(|deadline| now > deadline);
         if state.first_written_bytes > 0 && state.queue.front().is_some_and(is_expired) {
             return Ok(WriteProgress { expired: Vec::new(), is_partial_expired: true });
         }
--- a/crates/lilacpitch-net/src/timers.rs
+++ b/crates/lilacpitch-net/src/timers.rs
@@ -18,22 +18,22 @@
 }
 
 impl<K: Ord + Copy> Timers<K> {
-    /// Sets a timer to fire at `at`, replacing its earlier due time.
-    pub fn set(&mut self, timer: K, at: Nanos) {
+    /// Sets a timer to fire at `due`, replacing its earlier due time.
+    pub fn set(&mut self, timer: K, due: Nanos) {
         self.clear(timer);
-        self.due_by_key.insert(timer, at);
-        self.by_due_time.insert((at, timer));
+        self.due_by_key.insert(timer, due);
+        self.by_due_time.insert((due, timer));
     }
 
-    /// Sets a timer to fire at `at`, unless it is already due sooner.
-    pub fn set_no_later(&mut self, timer: K, at: Nanos) {
-        self.set(timer, self.at(timer).map_or(at, |current| current.min(at)));
+    /// Sets a timer to fire at `due`, unless it is already due sooner.
+    pub fn set_no_later(&mut self, timer: K, due: Nanos) {
+        self.set(timer, self.at(timer).map_or(due, |current| current.min(due)));
     }
 
     /// Cancels a timer.
     pub fn clear(&mut self, timer: K) {
-        if let Some(at) = self.due_by_key.remove(&timer) {
-            self.by_due_time.remove(&(at, timer));
+        if let Some(due) = self.due_by_key.remove(&timer) {
+            self.by_due_time.remove(&(due, timer));
         }
     }
 
@@ -44,13 +44,13 @@
 
     /// Returns when the next timer is due, if any is set.
     pub fn first(&self) -> Option<Nanos> {
-        self.by_due_time.first().map(|(at, _)| *at)
+        self.by_due_time.first().map(|(due, _)| *due)
     }
 
     /// Removes and returns the next timer if it is due at `now`.
     pub fn pop_due(&mut self, now: Nanos) -> Option<K> {
-        let (at, timer) = self.by_due_time.first().copied().filter(|(at, _)| *at <= now)?;
-        self.by_due_time.remove(&(at, timer));
+        let (due, timer) = self.by_due_time.first().copied().filter(|(due, _)| *due <= now)?;
+        self.by_due_time.remove(&(due, timer));
         self.due_by_key.remove(&timer);
         Some(timer)
     }
--- a/crates/lilacpitch-node/src/config.rs
+++ b/crates/lilacpitch-node/src/config.rs
@@ -81,13 +81,13 @@
 }
 
 /// Descriptors reserved for the runtime, the listener, the coordinator's connection and spare ones.
-const OTHER_SOCKETS: usize = 32;
+const RESERVED_SOCKETS: usize = 32;
 /// One in this many descriptors is for connections to servers.
 const UPSTREAM_FRACTION: usize = 8;
 /// One in this many of the remaining descriptors is for closed connections that are still draining.
 const DRAINING_FRACTION: usize = 8;
 /// Lowest descriptor limit: with fewer, the reserved ones would leave too few for callers.
-const MIN_SOCKETS: usize = 2 * OTHER_SOCKETS;
+const MIN_SOCKETS: usize = 2 * RESERVED_SOCKETS;
 /// Lowest memory limit in MiB: more than an idle node uses.
 const MIN_MEMORY_MB: u64 = 8;
 /// Memory of one caller's connection in KiB: a partial message and unread responses. Callers may use half of
@@ -98,7 +98,7 @@
     /// Divides the descriptors among the kinds of connections.
     pub fn budget(&self) -> Budget {
         let upstreams = self.sockets / UPSTREAM_FRACTION;
-        let remaining = self.sockets.saturating_sub(upstreams).saturating_sub(OTHER_SOCKETS);
+        let remaining = self.sockets.saturating_sub(upstreams).saturating_sub(RESERVED_SOCKETS);
         let draining = remaining / DRAINING_FRACTION;
         let memory_bound = self.memory_mb.map_or(u64::MAX, |mb| mb.saturating_mul(1024) / 2 / KIB_PER_CALLER);
         let callers = (remaining - draining).min(usize::try_from(memory_bound).unwrap_or(usize::MAX));
--- a/crates/lilacpitch-node/src/core/active_calls.rs
+++ b/crates/lilacpitch-node/src/core/active_calls.rs
@@ -84,7 +84,7 @@
         self.record_outcome(attempt.id(id), Outcome::Completed, true, LoadReport::default());
     }
 
-    /// Releases all calls established at a server that is gone to their callers.
+    /// Releases all calls at a lost server, and notifies their callers.
     pub(super) fn release_orphaned_calls(
         &mut self,
         server: ServerId,
@@ -96,7 +96,7 @@
         calls.into_iter().for_each(|call| self.release_orphaned_call(call, reason, effects));
     }
 
-    /// Releases an established call whose server is gone to its caller.
+    /// Releases an established call whose server is lost, and notifies its caller.
     pub(super) fn release_orphaned_call(&mut self, id: CallId, reason: &str, effects: &mut Vec<Effect>) {
         self.counters.orphaned += 1;
         tracing::trace!(call = id, reason, "call orphaned");
--- a/crates/lilacpitch-node/src/core/counters.rs
+++ b/crates/lilacpitch-node/src/core/counters.rs
@@ -30,7 +30,7 @@
     pub upstreams_lost: u64,
     /// Connections to servers that became unresponsive.
     pub upstreams_unresponsive: u64,
-    /// Calls that were released because their server was gone.
+    /// Calls that were released because their server was lost.
     pub orphaned: u64,
 }
 
--- a/crates/lilacpitch-node/src/net/driver.rs
+++ b/crates/lilacpitch-node/src/net/driver.rs
@@ -114,7 +114,7 @@
         while !self.is_stopped {
             self.feed_disconnects();
             self.keep_spare_slots();
-            let due = self.core.next_timeout().map(|at| self.context.clock.instant(at));
+            let due = self.core.next_timeout().map(|due| self.context.clock.instant(due));
             tokio::select! {
                 count = inbox.recv_many(&mut batch, EVENTS_PER_ROUND) => {
                     debug_assert!(count > 0, "channel closed, though the driver holds a sender");
--- a/crates/lilacpitch-node/tests/common/mod.rs
+++ b/crates/lilacpitch-node/tests/common/mod.rs
@@ -36,8 +36,8 @@
 pub(crate) fn request(method: &str, call: u64) -> Message {
     let body = "c=IN IP4 10.0.0.1\r\n";
     let text = format!(
-        "{method} sip:{call:016x}@net SIP/2.0\r\nCall-ID: {call:016x}\r\nCSeq: 1 {method}\r\nP-Kind: plain\r\n\
-         P-Time-Left: 3000\r\nP-Path: dest:{}\r\nContent-Length: {}\r\n\r\n{body}",
+        "{method} sip:{call:016x}@net SIP/2.0\r\nCall-ID: {call:016x}\r\nCSeq: 1 {method}\r\n\
+         P-Kind: plain\r\nP-Time-Left: 3000\r\nP-Path: dest:{}\r\nContent-Length: {}\r\n\r\n{body}",
         call % 3,
         body.len()
     );
