--- a/crates/lilacpitch-edge/tests/node/active_calls.rs
+++ b/crates/lilacpitch-edge/tests/node/active_calls.rs
@@ -64,7 +64,7 @@
         caller.send(&invite(&id(9), "dest:0;width:1;via:-1;at:s0", 3_000, BODY));
     }
     assert_eq!(caller.next_within(ms(300)), None, "an adopted call got a response");
-    // The node has a connection to the server, which reports the end of the adopted call.
+    // The node opens a connection to the server of an adopted call, on which the server reports its end.
     caller.invite(&id(10), 0, 3_000);
     let launch = server.next("launch");
     assert_eq!(launch.uid(), id(10), "an adopted call was set up");
--- a/crates/lilacpitch-edge/tests/node/process.rs
+++ b/crates/lilacpitch-edge/tests/node/process.rs
@@ -166,9 +166,9 @@
 
     /// Replaces the configuration file.
     pub(crate) fn replace_config(&self, text: &str) {
-        let new = self.folder.path().join("new.json");
-        std::fs::write(&new, text).unwrap();
-        std::fs::rename(new, &self.config).unwrap();
+        let new_config = self.folder.path().join("new.json");
+        std::fs::write(&new_config, text).unwrap();
+        std::fs::rename(new_config, &self.config).unwrap();
     }
 
     /// Waits until the process exits, and returns its exit code; `None` if it is killed by a signal or does
--- a/crates/lilacpitch-net/src/closing.rs
+++ b/crates/lilacpitch-net/src/closing.rs
@@ -57,7 +57,7 @@
 }
 
 impl ClosingConnection {
-    /// Writes the remaining bytes and waits for the peer to close, for 300 ms at most. If the quota is used
+    /// Writes the remaining bytes and waits for the peer to close, for a limited time. If the quota is used
     /// up, writes what the socket accepts and closes at once.
     pub async fn drain(mut self, quota: &Rc<DrainQuota>) {
         if !self.must_flush {
--- a/crates/lilacpitch-node/src/net/connections.rs
+++ b/crates/lilacpitch-node/src/net/connections.rs
@@ -146,7 +146,7 @@
 /// Connects to a server, with a small send buffer.
 async fn connect(address: SocketAddr) -> io::Result<TcpStream> {
     let socket = if address.is_ipv4() { TcpSocket::new_v4()? } else { TcpSocket::new_v6()? };
-    // If this fails, more messages can wait in the kernel, which is harmless.
+    // If this fails, more messages can wait in the kernel; nothing else changes.
     let _ = socket.set_send_buffer_size(UPSTREAM_SEND_BUFFER_BYTES);
     socket.connect(address).await
 }
--- a/crates/lilacpitch-node/src/net/driver.rs
+++ b/crates/lilacpitch-node/src/net/driver.rs
@@ -259,7 +259,7 @@
         outbox.push(OutgoingMessage { number: 0, bytes, not_after_ns: None });
         let queued = outbox.queued();
         if queued.messages > MAX_QUEUED_MESSAGES || queued.bytes > MAX_QUEUED_BYTES {
-            // The caller does not read, so it is disconnected to free the memory of its queue.
+            // The caller does not read, so it is disconnected rather than slowing down others.
             if outbox.close_mode() != Some(CloseMode::Immediately) {
                 tracing::info!(caller, "caller disconnected, not reading");
             }
--- a/crates/lilacpitch-node/tests/orders.rs
+++ b/crates/lilacpitch-node/tests/orders.rs
@@ -248,8 +248,8 @@
     /// Records that a caller no longer waits for its calls.
     fn record_disconnected(&mut self, caller: CallerId) {
         self.disconnected.insert(caller);
-        let own = self.calls.values_mut().filter(|setup| setup.caller == caller);
-        own.for_each(|setup| setup.is_over = true);
+        let own_setups = self.calls.values_mut().filter(|setup| setup.caller == caller);
+        own_setups.for_each(|setup| setup.is_over = true);
     }
 
     fn disconnect_caller(&mut self, caller: CallerId) {
