--- a/crates/lilacpitch/src/controller/endpoint_list.rs
+++ b/crates/lilacpitch/src/controller/endpoint_list.rs
@@ -1,49 +1,89 @@
-//! Updates of the endpoint list: which servers there are, and what a new one inherits.
+//! Updates of the endpoint list: adds, restarts and removes servers, and derives the state of a new one.
 
 use super::*;
 
 impl Controller {
-    /// Applies an update. A restarted server keeps its set-ups in flight and its number's normal rate.
+    /// Applies an update of the endpoint list. A restarted server keeps its set-ups in flight and the normal
+    /// rate of its number; the rest of its state starts anew.
     pub(super) fn handle_endpoints_updated(&mut self, update: EndpointUpdate) {
         let endpoints = match update {
             EndpointUpdate::Failed => {
-                // Immediate retries of all fronts together would make discovery fail.
-                let wait = PERIOD_NS * 5 + scaled(PERIOD_NS * 10, self.random_fraction());
-                self.subscribe_ns = Some(self.now + wait).filter(|_| self.settings.must_subscribe);
+                self.schedule_resubscription();
                 return;
             }
             EndpointUpdate::Changes(endpoints) => endpoints,
             EndpointUpdate::Full(endpoints) => {
-                let listed = |s: &Server| endpoints.iter().any(|e| e.server == s.endpoint.server);
-                let is_removed = self.servers.values_mut().filter(|s| !listed(s));
-                is_removed.for_each(|s| s.endpoint.availability = Availability::Removed);
+                self.mark_missing_as_removed(&endpoints);
                 endpoints
             }
         };
         for endpoint in endpoints {
-            let id = endpoint.server;
-            // The same process as before: only its entry changed.
-            let same = |s: &&mut Server| s.endpoint.up_since_ns == endpoint.up_since_ns;
-            if let Some(known) = self.servers.get_mut(&id).filter(same) {
-                known.endpoint = endpoint;
-                continue;
+            self.update_endpoint(endpoint);
+        }
+        self.drop_replaced_servers();
+    }
+
+    /// Subscribes again after a random delay: if all fronts retried immediately, they would overload the
+    /// discovery service.
+    fn schedule_resubscription(&mut self) {
+        let wait_ns = RESUBSCRIBE_MIN_NS + scaled(RESUBSCRIBE_SPREAD_NS, self.random_fraction());
+        self.resubscribe_at_ns = self.settings.must_subscribe.then_some(self.now + wait_ns);
+    }
+
+    /// Marks the servers that are missing from a complete list as removed.
+    fn mark_missing_as_removed(&mut self, endpoints: &[Endpoint]) {
+        for (id, server) in &mut self.servers {
+            if !endpoints.iter().any(|endpoint| endpoint.server == *id) {
+                server.endpoint.availability = Availability::Removed;
             }
-            // Unknown or restarted: only the normal rate of its number still holds.
-            let before =
-                self.servers.values().filter(|s| s.endpoint.number == endpoint.number).map(|s| s.normal_rate);
-            let normal_rate = before.fold((0.0, 0.0), |a, b| if a.1 > b.1 { a } else { b });
-            let in_flight = self.servers.remove(&id).map_or(Vec::new(), |known| known.in_flight);
-            let delays = LatencyDeviation::unknown(scaled(self.resend_ns, LATE_INTERVALS / LOST_DEVIATIONS));
-            // A random phase: many fronts learn of one start at once.
-            let credit = self.random_fraction();
-            let server = Server { normal_rate, in_flight, delays, credit, ..Server::new(endpoint, self.now) };
-            self.servers.insert(id, server);
         }
-        // A removed server is dropped once another has its number and with it its rate.
-        let used = self.servers.values().filter(|s| s.is_in_service()).map(|s| s.endpoint.number);
-        let used: BTreeSet<u32> = used.collect();
-        let is_removed =
-            |s: &Server| s.endpoint.availability == Availability::Removed && s.in_flight.is_empty();
-        self.servers.retain(|_, s| !(is_removed(s) && used.contains(&s.endpoint.number)));
+    }
+
+    /// Updates the entry of a server, or creates its state if it is new or was restarted.
+    fn update_endpoint(&mut self, endpoint: Endpoint) {
+        let id = endpoint.server;
+        if let Some(server) = self.servers.get_mut(&id) {
+            let was_restarted = server.endpoint.up_since_ns != endpoint.up_since_ns;
+            if !was_restarted {
+                server.endpoint = endpoint;
+                return;
+            }
+        }
+        let normal_rate = self.inherited_normal_rate(endpoint.number);
+        let in_flight = self.servers.remove(&id).map_or(Vec::new(), |server| server.in_flight);
+        let initial_deviation_ns = scaled(self.resend_ns, LATE_INTERVALS / LOST_DEVIATIONS);
+        let server = Server {
+            normal_rate,
+            in_flight,
+            delays: LatencyDeviation::with_initial_deviation(initial_deviation_ns),
+            // Randomised, since many fronts learn of the start of a server at the same time.
+            slow_start_credit: self.random_fraction(),
+            ..Server::new(endpoint, self.now)
+        };
+        self.servers.insert(id, server);
+    }
+
+    /// The normal rate of the servers with a number; of several, that of the one observed for the longest
+    /// time.
+    fn inherited_normal_rate(&self, number: u32) -> NormalRate {
+        let mut inherited = NormalRate::default();
+        for server in self.servers.values().filter(|server| server.endpoint.number == number) {
+            // Of equal ones the last counts.
+            if server.normal_rate.seconds >= inherited.seconds {
+                inherited = server.normal_rate;
+            }
+        }
+        inherited
+    }
+
+    /// Drops the removed servers whose number a server in service has, which has inherited their normal rate.
+    fn drop_replaced_servers(&mut self) {
+        let in_service = self.servers.values().filter(|server| server.is_in_service());
+        let numbers_in_service: BTreeSet<u32> = in_service.map(|server| server.endpoint.number).collect();
+        self.servers.retain(|_, server| {
+            let is_removed = server.endpoint.availability == Availability::Removed;
+            let is_replaced = numbers_in_service.contains(&server.endpoint.number);
+            !(is_removed && is_replaced && server.in_flight.is_empty())
+        });
     }
 }
