--- a/crates/lilacpitch-rpc/src/connection.rs
+++ b/crates/lilacpitch-rpc/src/connection.rs
@@ -1,8 +1,8 @@
-//! One connection between two processes, over which both ends send requests and responses.
+//! A connection between two processes, over which both ends send requests and responses.
 //!
-//! A task writes what is queued, another one reads; each request that comes in is handled by a task of its own.
+//! One task writes the queued messages and one reads; each incoming request is handled by a task of its own.
 //!
-//! **Locks.** The requests in flight are under one lock, which is not held across an await.
+//! **Locks.** One lock guards the requests in flight. It is never held across an await.
 
 use crate::error::RpcError;
 use crate::handshake::{FrameSink, FrameSource};
@@ -22,36 +22,36 @@
 use thiserror::Error;
 use tokio::sync::{mpsc, oneshot, watch, Semaphore};
 
-/// Most messages that may wait to be written.
+/// Most messages that may be queued for writing.
 const OUTBOX_CAPACITY: usize = 1_024;
-/// Most requests of one connection that are handled at once; more are rejected as overload.
+/// Most requests of one connection that are handled concurrently; more are rejected as overload.
 const MAX_CONCURRENT_REQUESTS: usize = 256;
-/// When to retry a request that was rejected so, in milliseconds.
+/// The retry delay that a rejected request is given, in milliseconds.
 const RETRY_AFTER_MS: u32 = 50;
 
-/// What this process calls itself on its connections.
+/// How this process identifies itself on its connections.
 #[derive(Debug, Clone)]
 pub struct LocalIdentity {
-    /// The process's name.
+    /// The name of the process, unique in the fleet.
     pub name: String,
-    /// Its incarnation: when it started, in nanoseconds since 1970.
+    /// The incarnation: when the process started, in nanoseconds since 1970.
     pub incarnation: u64,
-    /// What the process is.
+    /// The role of the process in the fleet.
     pub role: Role,
-    /// The keys in force.
+    /// The keys in force, which seal and open frames.
     pub keys: Keys,
 }
 
-/// The future of a response.
+/// A future that resolves to the response to a request.
 pub type ResponseFuture = Pin<Box<dyn Future<Output = Response> + Send>>;
 
 /// Handles the requests of the other end.
 pub trait RequestHandler: Send + Sync {
-    /// Handles one request. The future is dropped where the connection ends meanwhile.
+    /// Handles one request. The future is dropped if the connection ends before it completes.
     fn handle(self: Arc<Self>, from: Arc<RpcConnection>, request: Request) -> ResponseFuture;
 }
 
-/// Why the writing task of a connection has ended.
+/// Why the writer task of a connection failed.
 #[derive(Debug, Error)]
 enum WriteError {
     #[error(transparent)]
@@ -60,20 +60,20 @@
     Stream(#[from] std::io::Error),
 }
 
-/// A connection. Its tasks end with it.
+/// An established connection. Its tasks end when it is closed.
 #[derive(Debug)]
 pub struct RpcConnection {
-    /// The other end, by its Hello.
+    /// The Hello of the other end.
     pub peer: Hello,
     outbox: mpsc::Sender<Body>,
-    /// Requests that wait for their responses, by id; `None` once the connection is closed.
+    /// Requests that await a response, by id; `None` once the connection is closed.
     in_flight: Mutex<Option<HashMap<u64, oneshot::Sender<Response>>>>,
     next_request_id: AtomicU64,
     closed: watch::Sender<bool>,
 }
 
 impl RpcConnection {
-    /// A connection whose handshake is done, and its tasks.
+    /// Starts the tasks of a connection whose handshake is complete.
     pub(crate) fn spawn(
         peer: Hello,
         source: FrameSource,
@@ -93,7 +93,7 @@
         connection
     }
 
-    /// Sends a request and awaits the response for up to `timeout`. A response that comes later is dropped.
+    /// Sends a request and awaits the response for up to `timeout`. A response that arrives later is dropped.
     ///
     /// # Errors
     /// [`RpcError::Closed`], [`RpcError::Backlog`] or [`RpcError::TimedOut`].
@@ -120,19 +120,20 @@
         }
     }
 
-    /// Closes the connection; requests in flight fail at once. A half-open one is noticed by responses that do not come.
+    /// Closes the connection; requests in flight fail at once. A half-open connection is detected only by
+    /// requests that time out.
     pub fn close(&self) {
         self.closed.send_replace(true);
-        // Dropping the responders ends the requests that wait.
+        // Dropping the responders fails the requests in flight.
         self.in_flight.lock().take();
     }
 
-    /// Whether the connection has ended.
+    /// Whether the connection is closed.
     pub fn is_closed(&self) -> bool {
         *self.closed.borrow()
     }
 
-    /// Waits until the connection has ended.
+    /// Waits until the connection is closed.
     pub async fn ended(&self) {
         let mut closed = self.closed.subscribe();
         let _ = closed.wait_for(|closed| *closed).await;
@@ -140,7 +141,7 @@
 
     fn complete(&self, id: u64, response: Response) {
         let responder = self.in_flight.lock().as_mut().and_then(|in_flight| in_flight.remove(&id));
-        // A late or duplicate response has no responder, and is dropped.
+        // A late or duplicate response has no responder and is dropped.
         if let Some(responder) = responder {
             let _ = responder.send(response);
         }
@@ -157,7 +158,7 @@
     connection.close();
 }
 
-/// Writes until the queue is closed. A message that is too long ends the connection.
+/// Writes queued messages until the queue is closed. A message that is too long ends the connection.
 async fn write_queue(queue: &mut mpsc::Receiver<Body>, sink: &mut FrameSink) -> Result<(), WriteError> {
     while let Some(body) = queue.recv().await {
         let frame = sink.writer.seal(&body, sink.rng.random())?;
@@ -176,11 +177,11 @@
 ) {
     let slots = Arc::new(Semaphore::new(MAX_CONCURRENT_REQUESTS));
     let reason = loop {
-        let bytes = tokio::select! {
-            bytes = source.stream.next() => bytes,
-            () = connection.ended() => break "ended here".to_string(),
+        let frame = tokio::select! {
+            frame = source.stream.next() => frame,
+            () = connection.ended() => break "closed by this end".to_string(),
         };
-        let body = match bytes {
+        let body = match frame {
             Some(Ok(bytes)) => source.reader.open(&bytes),
             Some(Err(error)) => break error.to_string(),
             None => break "closed by the other end".into(),
--- a/crates/lilacpitch-rpc/src/dialer.rs
+++ b/crates/lilacpitch-rpc/src/dialer.rs
@@ -1,4 +1,4 @@
-//! A connection to one process that is made when it is first needed, and made again when it was lost.
+//! A connection to one process that is opened when it is first needed and reopened after it was lost.
 
 use crate::connection::{LocalIdentity, RequestHandler, RpcConnection};
 use crate::error::RpcError;
@@ -9,20 +9,20 @@
 use std::time::Duration;
 use tokio::sync::Mutex;
 
-/// The connection to one process.
+/// Opens and holds the connection to one process.
 pub struct Dialer {
-    /// The address that it listens on.
+    /// The address on which the process listens.
     pub address: SocketAddr,
     identity: LocalIdentity,
     handler: Arc<dyn RequestHandler>,
     connect_timeout: Duration,
-    /// Locked while connecting, so that one connection is made however many requests need it.
+    /// Locked while connecting, so that concurrent requests share one connection.
     slot: Mutex<Option<Arc<RpcConnection>>>,
 }
 
 impl Dialer {
-    /// A dialer that connects with the first request. `handler` handles the requests of the other end; connecting and the
-    /// handshake may each take `connect_timeout`.
+    /// Creates a dialer, which connects on its first request. `handler` handles the requests of the other
+    /// end. Connecting and the handshake may each take up to `connect_timeout`.
     pub fn new(
         address: SocketAddr,
         identity: LocalIdentity,
@@ -32,10 +32,10 @@
         Dialer { address, identity, handler, connect_timeout, slot: Mutex::new(None) }
     }
 
-    /// The connection, made now where there is none.
+    /// Returns the open connection, or opens one.
     ///
     /// # Errors
-    /// [`RpcError`], where it can't be made.
+    /// [`RpcError`] if the connection can't be opened.
     pub async fn connection(&self) -> Result<Arc<RpcConnection>, RpcError> {
         let mut slot = self.slot.lock().await;
         if let Some(connection) = slot.as_ref().filter(|connection| !connection.is_closed()) {
@@ -47,11 +47,11 @@
         Ok(connection)
     }
 
-    /// Sends a request over the connection; connecting and the response take no longer than `timeout`. A connection over
-    /// which no response comes is closed.
+    /// Sends a request and awaits the response; `timeout` also covers connecting. A connection on which the
+    /// response times out is closed, if `timeout` is no shorter than the time allowed for connecting.
     ///
     /// # Errors
-    /// [`RpcError`], where there is no connection or no response.
+    /// [`RpcError`] if there is no connection or no response.
     pub async fn request(&self, request: Request, timeout: Duration) -> Result<Response, RpcError> {
         let exchange = async {
             let connection = self.connection().await?;
--- a/crates/lilacpitch-rpc/src/error.rs
+++ b/crates/lilacpitch-rpc/src/error.rs
@@ -1,41 +1,41 @@
-//! Why connections and requests fail.
+//! The errors of connections and requests.
 
 use lilacpitch_fleet::error::FrameError;
 use miette::Diagnostic;
 use std::net::SocketAddr;
 use thiserror::Error;
 
-/// Why a connection, or a request over it, failed.
+/// Why a connection, or a request on it, failed.
 #[derive(Debug, Error, Diagnostic)]
 pub enum RpcError {
-    /// No connection could be made.
+    /// No connection to this address could be opened.
     #[error("connecting to {0}: {1}")]
     #[diagnostic(code(link::unreached), help("start that process, or correct its address in the settings"))]
     Unreachable(SocketAddr, std::io::Error),
-    /// The other end has sent no Hello, or not in time.
-    #[error("no greeting: {0}")]
+    /// The other end sent no valid Hello in time.
+    #[error("handshake failed: {0}")]
     #[diagnostic(
         code(link::greeting),
-        help("see what listens at that address, and whether both hold one key")
+        help("check which program listens at that address, and that both processes have the same key")
     )]
     Handshake(String),
     /// A frame was rejected.
     #[error(transparent)]
     #[diagnostic(transparent)]
     Frame(#[from] FrameError),
-    /// The connection has ended.
-    #[error("the connection is gone")]
-    #[diagnostic(code(link::closed), help("none needed: it is made again"))]
+    /// The connection was closed.
+    #[error("connection closed")]
+    #[diagnostic(code(link::closed), help("no action needed: the connection is reopened"))]
     Closed,
-    /// No response has come in time.
-    #[error("no answer in time")]
+    /// No response arrived in time.
+    #[error("no response in time")]
     #[diagnostic(
         code(link::late),
-        help("look at the other process: it stands still, or the way to it is cut")
+        help("check that the other process is running and that the network to it is up")
     )]
     TimedOut,
-    /// Too many messages wait to be written.
-    #[error("the other end does not read")]
-    #[diagnostic(code(link::backlog), help("look at the other process: it has no processor time"))]
+    /// The queue of messages to be written is full.
+    #[error("too many messages queued: the other end reads too slowly")]
+    #[diagnostic(code(link::backlog), help("check whether the other process lacks processor time"))]
     Backlog,
 }
--- a/crates/lilacpitch-rpc/src/handshake.rs
+++ b/crates/lilacpitch-rpc/src/handshake.rs
@@ -1,4 +1,5 @@
-//! The handshake: each end sends a Hello, and both are alike from then on.
+//! The handshake of a connection: each end sends a Hello. After that both ends have the same role in the
+//! protocol.
 
 use crate::connection::{LocalIdentity, RequestHandler, RpcConnection};
 use crate::error::RpcError;
@@ -25,14 +26,14 @@
 pub(crate) struct FrameSink {
     pub(crate) stream: FramedWrite<OwnedWriteHalf, LengthDelimitedCodec>,
     pub(crate) writer: FrameWriter,
-    /// Draws the nonces of frames.
+    /// Generates the nonces of frames.
     pub(crate) rng: StdRng,
 }
 
-/// Connects to a process and makes the handshake; each may take up to `timeout`.
+/// Connects to a process and performs the handshake; each of the two may take up to `timeout`.
 ///
 /// # Errors
-/// [`RpcError`]: the process was not reached, or the handshake failed.
+/// [`RpcError::Unreachable`] if no connection could be made; otherwise the errors of [`accept`].
 pub async fn connect(
     address: SocketAddr,
     identity: &LocalIdentity,
@@ -48,10 +49,10 @@
     accept(stream, identity, handler, timeout).await
 }
 
-/// Makes the handshake on a stream, at either end: both do the same. It may take up to `timeout`.
+/// Performs the handshake on a connected stream, within `timeout`. Both ends do the same.
 ///
 /// # Errors
-/// [`RpcError`]: the other end sent no valid Hello in time.
+/// [`RpcError::Handshake`] or [`RpcError::Frame`] if the other end sent no valid Hello in time.
 pub async fn accept(
     stream: TcpStream,
     identity: &LocalIdentity,
@@ -60,16 +61,16 @@
 ) -> Result<Arc<RpcConnection>, RpcError> {
     let _ = stream.set_nodelay(true);
     let codec = LengthDelimitedCodec::builder().max_frame_length(MAX_FRAME_BYTES).new_codec();
-    let (read, write) = stream.into_split();
+    let (read_half, write_half) = stream.into_split();
     let mut rng =
-        StdRng::try_from_os_rng().map_err(|error| handshake_error(format!("no randomness: {error}")))?;
+        StdRng::try_from_os_rng().map_err(|error| handshake_error(format!("no random numbers: {error}")))?;
     let nonce: u64 = rng.random_range(1..=u64::MAX);
     let mut source = FrameSource {
-        stream: FramedRead::new(read, codec.clone()),
+        stream: FramedRead::new(read_half, codec.clone()),
         reader: FrameReader::new(identity.keys.clone(), nonce),
     };
     let mut sink = FrameSink {
-        stream: FramedWrite::new(write, codec),
+        stream: FramedWrite::new(write_half, codec),
         writer: FrameWriter::new(identity.keys.clone()),
         rng,
     };
@@ -78,9 +79,9 @@
     let exchange = exchange_hellos(&mut source, &mut sink, first_frame);
     let peer = match tokio::time::timeout(timeout, exchange).await {
         Ok(Ok(Body::Hello(peer))) => peer,
-        Ok(Ok(_)) => return Err(handshake_error("not a Hello")),
+        Ok(Ok(_)) => return Err(handshake_error("the first message is not a Hello")),
         Ok(Err(error)) => return Err(error),
-        Err(_) => return Err(handshake_error("not in time")),
+        Err(_) => return Err(handshake_error("no Hello in time")),
     };
     sink.writer.set_peer(&peer);
     Ok(RpcConnection::spawn(peer, source, sink, handler))
@@ -105,7 +106,7 @@
     match source.stream.next().await {
         Some(Ok(bytes)) => source.reader.open(&bytes).map_err(RpcError::from),
         Some(Err(error)) => Err(handshake_error(error.to_string())),
-        None => Err(handshake_error("closed")),
+        None => Err(handshake_error("closed by the other end")),
     }
 }
 
--- a/crates/lilacpitch-rpc/src/lib.rs
+++ b/crates/lilacpitch-rpc/src/lib.rs
@@ -1,9 +1,13 @@
-//! Requests and responses between processes of the fleet, over TCP: the tokio shell around [`lilacpitch_fleet::frame`].
+//! Requests and responses between the processes of a fleet, over TCP. The frames are those of
+//! [`lilacpitch_fleet::frame`]; this crate adds the I/O with tokio.
 //!
-//! - `handshake`: connects, or accepts, and exchanges Hellos. `connection`: requests and responses, both ways.
-//! - `dialer`: a connection that is made again when it was lost. `steady_clock`: the clock of leases.
+//! - `handshake`: opens or accepts a connection and exchanges Hello messages.
+//! - `connection`: carries requests and responses in both directions.
+//! - `dialer`: a connection that is opened on demand and reopened after it was lost.
+//! - `steady_clock`: the clock by which leases are measured.
 //!
-//! Frames that can't be opened end their connection alone; requests beyond a limit are rejected as overload.
+//! A frame that can't be opened ends its own connection and no other. Requests above the concurrency limit
+//! are rejected as overload.
 #![forbid(unsafe_code)]
 
 mod connection;
--- a/crates/lilacpitch-rpc/src/steady_clock.rs
+++ b/crates/lilacpitch-rpc/src/steady_clock.rs
@@ -1,11 +1,14 @@
-//! The steady clock of the fleet: leases are counted by it.
+//! The steady clock by which all processes of a fleet measure leases.
 
 use nix::time::{clock_gettime, ClockId};
 
-/// Nanoseconds since the machine started: never set, and counting on while the machine is suspended, so that a lease
-/// expires meanwhile (CLOCK_BOOTTIME, clock_gettime(2)); 0 where the machine has no such clock.
+const NANOS_PER_SECOND: u64 = 1_000_000_000;
+
+/// Returns the nanoseconds since the machine started, by `CLOCK_BOOTTIME` (see clock_gettime(2)). This clock
+/// is never set, and it advances while the machine is suspended, so that a lease expires during a suspension.
+/// Returns 0 if the machine has no steady clock.
 pub fn steady_ns() -> u64 {
-    // Without it, the clock that stops while suspended: every Linux has that one.
+    // CLOCK_MONOTONIC stops during a suspension, but exists on every Linux.
     let now = clock_gettime(ClockId::CLOCK_BOOTTIME).or_else(|_| clock_gettime(ClockId::CLOCK_MONOTONIC));
-    now.map_or(0, |at| at.tv_sec() as u64 * 1_000_000_000 + at.tv_nsec() as u64)
+    now.map_or(0, |time| time.tv_sec() as u64 * NANOS_PER_SECOND + time.tv_nsec() as u64)
 }
