--- a/crates/lilacpitch-fleet/src/audit.rs
+++ b/crates/lilacpitch-fleet/src/audit.rs
@@ -1,73 +1,74 @@
-//! The audit: which front acted on which version of settings and build, and when. Each front records its own changes; the
-//! root's log retains them. Both are bounded.
+//! The audit: which front acted on which version of settings and build, and when. Each front records its own
+//! changes and reports them to the root, whose replicated log retains them. Both are bounded in size.
 
 use crate::error::AuditError;
 use crate::message::LogPosition;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, VecDeque};
 
-/// Most changes that wait to be acknowledged; beyond that the oldest are merged.
+/// Most changes that may await acknowledgement; beyond that the oldest ones are merged.
 const MAX_PENDING_CHANGES: usize = 1_024;
 /// Most changes in one record.
 pub const MAX_CHANGES: usize = 256;
-/// Most intervals that are retained of one incarnation of a front.
+/// Most intervals that are retained for one incarnation of a front.
 const MAX_INTERVALS: usize = 4_096;
-/// Most incarnations of all fronts that are retained.
+/// Most incarnations that are retained, counted over all fronts.
 const MAX_INCARNATIONS: usize = 2_048;
-/// With more versions than this, those are dropped that no interval refers to.
+/// With more versions than this, those are dropped to which no interval refers.
 const MAX_VERSIONS: usize = 8_192;
-/// Changes of the purge position alone, closer than this, are one change that names both ends.
+/// Changes of the purge position alone are merged if they are less than this apart, in milliseconds.
 const MERGE_WITHIN_MS: u64 = 100;
 
-/// The version that a front acts on.
+/// The version of settings and build that a front acts on.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Version {
-    /// The digest of its settings.
+    /// The digest of the settings.
     pub settings: u64,
-    /// The digest of its endpoint list.
+    /// The digest of the endpoint list.
     pub endpoint_list: u64,
-    /// Its build.
+    /// The name of the build.
     pub build: String,
-    /// It uses cached answers.
+    /// Whether the front uses cached answers.
     pub uses_cache: bool,
-    /// It accepts new calls.
+    /// Whether the front accepts new calls.
     pub accepts_calls: bool,
 }
 
 /// A change of the version or the purge position that a front acts on.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Change {
-    /// Its number in the incarnation, from 1, with gaps only where changes were merged.
+    /// The number of the change in its incarnation, from 1. There are gaps only where changes were merged or
+    /// dropped.
     pub serial: u64,
-    /// When it took effect, by the front's clock, in milliseconds since 1970.
+    /// When the change took effect, by the front's wall clock, in milliseconds since 1970.
     pub at_ms: u64,
-    /// The version.
+    /// The version from then on.
     pub version: Version,
-    /// The purge position at that moment.
+    /// The purge position at that time.
     pub position: LogPosition,
-    /// The index that the position had moved on to before the next change.
+    /// The index of the purge position when the next change followed, or so far.
     pub moved_to: u64,
 }
 
-/// Changes that a front reports of itself.
+/// A front's report of its own changes.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AuditRecord {
-    /// The front.
+    /// The name of the front.
     pub front: String,
-    /// Its incarnation, in nanoseconds since 1970.
+    /// The incarnation of the front: when it started, in nanoseconds since 1970.
     pub incarnation: u64,
-    /// Until when it was running at least, in milliseconds since 1970.
+    /// When the front made this record, in milliseconds since 1970: it was running until then at least.
     pub seen_ms: u64,
-    /// Changes, in their order.
+    /// The changes, in the order in which they took effect.
     pub changes: Vec<Change>,
 }
 
-/// Changes that a front has recorded and its site has not acknowledged.
+/// The size of a front's backlog of changes that are not acknowledged yet.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct AuditBacklog {
-    /// How many wait.
+    /// The number of pending changes.
     pub pending: usize,
-    /// How many were merged or dropped so far because too many waited.
+    /// The number of changes that were merged or dropped so far because too many were pending.
     pub merged: u64,
 }
 
@@ -78,14 +79,14 @@
     incarnation: u64,
     serial: u64,
     pending: VecDeque<Change>,
-    /// The last change, also after it was acknowledged.
+    /// The last change, which is kept after its acknowledgement.
     last: Option<Change>,
-    /// How many changes were merged or dropped because too many were pending.
+    /// The number of changes that were merged or dropped because too many were pending.
     merged: u64,
 }
 
 impl AuditRecorder {
-    /// A recorder for one incarnation of a front.
+    /// Creates a recorder for one incarnation of a front.
     pub fn new(front: &str, incarnation: u64) -> Self {
         AuditRecorder {
             front: front.into(),
@@ -97,7 +98,7 @@
         }
     }
 
-    /// Records the version and position that the front acts on now, where one has changed.
+    /// Records the version and purge position that the front acts on now, if either has changed.
     pub fn record_version(&mut self, at_ms: u64, version: Version, position: LogPosition) {
         if let Some(last) = &mut self.last {
             if last.version == version && last.position.log == position.log {
@@ -105,10 +106,10 @@
                     return;
                 }
                 let is_close = at_ms.saturating_sub(last.at_ms) < MERGE_WITHIN_MS;
-                if let Some(open) =
-                    self.pending.back_mut().filter(|open| is_close && open.serial == last.serial)
+                if let Some(pending) =
+                    self.pending.back_mut().filter(|pending| is_close && pending.serial == last.serial)
                 {
-                    open.moved_to = position.index;
+                    pending.moved_to = position.index;
                     last.moved_to = position.index;
                     return;
                 }
@@ -123,104 +124,110 @@
         }
     }
 
-    /// Merges the two oldest neighbours of one version, or else drops the oldest change.
+    /// Merges the oldest two consecutive changes that have the same version and log. If there are none, drops
+    /// the oldest change.
     fn merge_oldest(&mut self) {
         self.merged += 1;
-        let is_mergeable = |at: usize| {
-            let (a, b) = (&self.pending[at], &self.pending[at + 1]);
-            a.version == b.version && a.position.log == b.position.log
+        let is_mergeable = |index: usize| {
+            let (earlier, later) = (&self.pending[index], &self.pending[index + 1]);
+            earlier.version == later.version && earlier.position.log == later.position.log
         };
-        if let Some(at) = (0..self.pending.len() - 2).find(|at| is_mergeable(*at)) {
-            if let Some(later) = self.pending.remove(at + 1) {
-                self.pending[at].moved_to = later.moved_to;
+        if let Some(index) = (0..self.pending.len() - 2).find(|index| is_mergeable(*index)) {
+            if let Some(later) = self.pending.remove(index + 1) {
+                self.pending[index].moved_to = later.moved_to;
             }
         } else {
             self.pending.pop_front();
         }
     }
 
-    /// The record to be reported. The last change may still move its position, and is reported again then.
+    /// The record to be reported next. The position of the last change may still advance; the change is then
+    /// reported again.
     pub fn pending_record(&self, now_ms: u64) -> AuditRecord {
         let changes = self.pending.iter().take(MAX_CHANGES).cloned().collect();
         AuditRecord { front: self.front.clone(), incarnation: self.incarnation, seen_ms: now_ms, changes }
     }
 
-    /// The record was acknowledged: its changes are no longer pending.
+    /// Handles the acknowledgement of a record: its changes are no longer pending.
     pub fn acknowledge(&mut self, record: &AuditRecord) {
-        for sent in &record.changes {
-            // One that moved on since it was sent is sent again.
-            if self.pending.front().is_some_and(|first| first == sent) {
+        for reported in &record.changes {
+            // A change whose position has advanced since it was reported stays pending.
+            if self.pending.front().is_some_and(|first| first == reported) {
                 self.pending.pop_front();
             }
         }
     }
 
-    /// The changes that wait to be acknowledged.
+    /// The size of the backlog.
     pub fn backlog(&self) -> AuditBacklog {
         AuditBacklog { pending: self.pending.len(), merged: self.merged }
     }
 
-    /// The last change.
+    /// The last change, whether acknowledged or not.
     pub fn latest(&self) -> Option<&Change> {
         self.last.as_ref()
     }
 }
 
-/// An interval in which a front acted on one version. The order of fields is that on disk.
+/// An interval in which a front acted on one version. The order of fields is that of the encoding on disk.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct VersionInterval {
-    /// The change that began it.
+    /// The number of the change that began the interval.
     serial: u64,
-    /// From when on, in milliseconds since 1970, by the front's clock.
+    /// When the interval began, by the front's wall clock, in milliseconds since 1970.
     pub from_ms: u64,
-    /// The index of the version.
+    /// The index of the version in [`AuditLog::versions`].
     version: u32,
-    /// The purge position at its begin.
+    /// The purge position at the beginning of the interval.
     pub position: LogPosition,
-    /// The index of the purge position at its end.
+    /// The index of the purge position at the end of the interval.
     pub moved_to: u64,
 }
 
+/// The intervals of one incarnation of a front. The order of fields is that of the encoding on disk.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 struct IncarnationHistory {
     intervals: VecDeque<VersionInterval>,
+    /// Until when the front was certainly running, in milliseconds since 1970.
     seen_ms: u64,
 }
 
-/// The version that a front acted on at a moment.
+/// The version that a front acted on at some time.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ActiveVersion<'a> {
-    /// The front.
+    /// The name of the front.
     pub front: &'a str,
-    /// Its incarnation.
+    /// The incarnation of the front: when it started, in nanoseconds since 1970.
     pub incarnation: u64,
     /// The version.
     pub version: &'a Version,
-    /// The interval.
+    /// The interval in which the front acted on the version.
     pub interval: &'a VersionInterval,
-    /// Until when the front was running for certain, in milliseconds since 1970.
+    /// Until when the front was certainly running, in milliseconds since 1970.
     pub seen_ms: u64,
 }
 
-/// The audit log: intervals by front and incarnation. The order of fields is that on disk.
+/// The audit log: the intervals of all incarnations of all fronts. The order of fields is that of the
+/// encoding on disk.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AuditLog {
+    /// By the name and incarnation of the front.
     histories: BTreeMap<(String, u64), IncarnationHistory>,
-    /// Each version once, in the order of its first use.
+    /// Each version once, in the order of first use.
     versions: Vec<Version>,
 }
 
 impl AuditLog {
-    /// Appends what a front reports; what is known already is passed over.
+    /// Appends the changes in a front's record, except those that are known already.
     ///
     /// # Errors
-    /// [`AuditError`], where there are too many changes or they are out of order; nothing is appended then.
+    /// [`AuditError`] if there are too many changes, or if they are out of order; nothing is appended then.
     pub fn append(&mut self, record: AuditRecord) -> Result<(), AuditError> {
         if record.changes.len() > MAX_CHANGES {
-            return Err(AuditError::Long(record.changes.len()));
+            return Err(AuditError::TooManyChanges(record.changes.len()));
         }
         if let Some(pair) = record.changes.windows(2).find(|pair| pair[0].serial >= pair[1].serial) {
-            return Err(AuditError::Order { found: pair[1].serial, known: pair[0].serial });
+            return Err(AuditError::OutOfOrder { found: pair[1].serial, known: pair[0].serial });
         }
         let key = (record.front, record.incarnation);
         if !self.histories.contains_key(&key) && self.histories.len() >= MAX_INCARNATIONS {
@@ -231,9 +238,9 @@
         let history = self.histories.entry(key).or_default();
         history.seen_ms = history.seen_ms.max(record.seen_ms);
         for change in record.changes {
-            let known = self.versions.iter().rposition(|version| *version == change.version);
-            let version = known.unwrap_or(self.versions.len()) as u32;
-            if known.is_none() {
+            let known_index = self.versions.iter().rposition(|version| *version == change.version);
+            let version = known_index.unwrap_or(self.versions.len()) as u32;
+            if known_index.is_none() {
                 self.versions.push(change.version);
             }
             let Change { serial, at_ms: from_ms, position, moved_to, .. } = change;
@@ -253,7 +260,7 @@
         Ok(())
     }
 
-    /// Drops versions that no interval refers to any more.
+    /// Drops the versions to which no interval refers any more.
     fn forget_versions(&mut self) {
         let intervals = self.histories.values().flat_map(|history| &history.intervals);
         let mut new_indexes: BTreeMap<u32, u32> = intervals.map(|interval| (interval.version, 0)).collect();
@@ -283,18 +290,18 @@
         }
     }
 
-    /// The version of each front at a moment, in milliseconds since 1970. An incarnation that is not known to have run
-    /// until then is left out.
-    pub fn active_at(&self, moment_ms: u64) -> impl Iterator<Item = ActiveVersion<'_>> {
+    /// The version that each incarnation acted on at a time, in milliseconds since 1970. An incarnation that
+    /// is not known to have been running at that time is left out.
+    pub fn active_at(&self, time_ms: u64) -> impl Iterator<Item = ActiveVersion<'_>> {
         self.histories.iter().filter_map(move |(key, history)| {
-            let after = history.intervals.partition_point(|interval| interval.from_ms <= moment_ms);
-            let interval = after.checked_sub(1).and_then(|at| history.intervals.get(at))?;
-            let is_known_alive = after < history.intervals.len() || history.seen_ms >= moment_ms;
-            is_known_alive.then(|| self.active_version(key, interval, history.seen_ms))
+            let next_index = history.intervals.partition_point(|interval| interval.from_ms <= time_ms);
+            let interval = next_index.checked_sub(1).and_then(|index| history.intervals.get(index))?;
+            let was_running = next_index < history.intervals.len() || history.seen_ms >= time_ms;
+            was_running.then(|| self.active_version(key, interval, history.seen_ms))
         })
     }
 
-    /// The last version of each incarnation.
+    /// The last known version of each incarnation.
     pub fn latest(&self) -> impl Iterator<Item = ActiveVersion<'_>> {
         self.histories.iter().filter_map(|(key, history)| {
             Some(self.active_version(key, history.intervals.back()?, history.seen_ms))
--- a/crates/lilacpitch-fleet/src/error.rs
+++ b/crates/lilacpitch-fleet/src/error.rs
@@ -1,44 +1,52 @@
-//! What can go wrong in the fleet: a type for each concern, each variant with what an operator can do.
+//! The errors of the fleet, with one type for each concern. Each variant has a help text for operators.
 
 use crate::message::RejectReason;
 use miette::Diagnostic;
 use thiserror::Error;
 
-/// Why a frame was rejected; its connection ends, and nothing else.
+/// Why a frame was rejected. The error ends the frame's own connection and no other.
 #[derive(Debug, Clone, PartialEq, Eq, Error, Diagnostic)]
 pub enum FrameError {
-    /// Sealed with no key in force, or changed on its way.
+    /// The frame was not sealed with a key in force, or was changed on the way.
     #[error("not sealed with a key in force")]
     #[diagnostic(
         code(frame::forged),
-        help("give both processes the same `key_file`; during a change, both keys to both")
+        help(
+            "give both processes the same `key_file`; while a key is replaced, give both of them both keys"
+        )
     )]
     Forged,
-    /// Longer or shorter than a frame may be.
-    #[error("{0} bytes: not a frame")]
-    #[diagnostic(code(frame::length), help("see what else speaks to this address; frames are up to 8 MiB"))]
+    /// The frame is longer than allowed; its length in bytes.
+    #[error("frame of {0} bytes is too long")]
+    #[diagnostic(
+        code(frame::length),
+        help("check what else connects to this address; frames have 8 MiB at most")
+    )]
     Length(usize),
-    /// Opened, but not of the form.
-    #[error("malformed: {0}")]
-    #[diagnostic(code(frame::malformed), help("compare the builds at both ends: their forms differ"))]
+    /// The frame was opened, but its content can't be decoded or is not allowed at this point.
+    #[error("malformed frame: {0}")]
+    #[diagnostic(
+        code(frame::malformed),
+        help("compare the builds at both ends: their message formats differ")
+    )]
     Malformed(String),
-    /// Doubled, out of order, or of another connection.
-    #[error("frame {found} of this connection in place of {wanted}")]
+    /// The frame is a duplicate, out of order, or of another connection.
+    #[error("frame {found} received, frame {expected} of this connection expected")]
     #[diagnostic(
         code(frame::order),
-        help("none needed: the connection is made again; if it goes on, something between replays")
+        help("no action needed: the connection is reopened; if this persists, something replays frames")
     )]
-    Order {
-        /// What it said.
+    OutOfOrder {
+        /// The number in the frame.
         found: u64,
-        /// What was next.
-        wanted: u64,
+        /// The number of the next frame.
+        expected: u64,
     },
-    /// The other end speaks another version.
-    #[error("version {0} of the links between processes in place of {ours}", ours = crate::message::VERSION)]
+    /// The other end uses this other version of the message format.
+    #[error("message format version {0}, {ours} expected", ours = crate::message::VERSION)]
     #[diagnostic(
         code(frame::version),
-        help("bring the older build up; until then both go on without each other")
+        help("upgrade the older build; until then the two processes run without a connection to each other")
     )]
     Version(u16),
 }
@@ -46,11 +54,11 @@
 /// Why a command could not be applied.
 #[derive(Debug, Clone, PartialEq, Eq, Error, Diagnostic)]
 pub enum PurgeError {
-    /// Commands are missing before this one.
-    #[error("order {found} after {applied}: those between are missing")]
+    /// Commands between the last one applied and this one are missing.
+    #[error("command {found} received after command {applied}: commands between them are missing")]
     #[diagnostic(
         code(purge::gap),
-        help("none needed: they are asked for; if it goes on, look at the link to the process above")
+        help("no action needed: they are requested; if this persists, check the connection to the parent")
     )]
     Gap {
         /// The number of the first command received.
@@ -59,15 +67,15 @@
         applied: u64,
     },
     /// The command is of another log.
-    #[error("orders of log {found:x}, log {ours:x} is followed")]
+    #[error("commands of log {found:x} received, commands of log {ours:x} expected")]
     #[diagnostic(
         code(purge::log),
-        help("none needed: a fresh start follows; a new log means that the root site lost orders")
+        help("no action needed: a reset follows; a new log means that the root site has lost commands")
     )]
-    Log {
-        /// The log of the command.
+    OtherLog {
+        /// The id of the command's log.
         found: u64,
-        /// The log of this holder.
+        /// The id of this holder's log.
         ours: u64,
     },
 }
@@ -79,19 +87,19 @@
     #[error("no lease")]
     #[diagnostic(
         code(lease::out),
-        help("look at the home site and the link to it; calls go on without the cache")
+        help("check the home site and the connection to it; calls continue without the cache")
     )]
-    Out,
+    Expired,
     /// The lease requires a command that is not applied yet.
-    #[error("orders up to {needed} are to be applied first, {applied} are")]
+    #[error("the lease requires the commands up to {required}, those up to {applied} are applied")]
     #[diagnostic(
         code(lease::behind),
-        help("none needed: the missing orders come; if it goes on, the front has no processor time")
+        help("no action needed: missing commands follow; if this persists, the front lacks processor time")
     )]
     Behind {
-        /// The command that the lease requires.
-        needed: u64,
-        /// The last command applied.
+        /// The number of the last command that the lease requires.
+        required: u64,
+        /// The number of the last command applied.
         applied: u64,
     },
     /// The settings version is withdrawn.
@@ -103,92 +111,94 @@
     Withdrawn,
 }
 
-/// Why a site could not be queried, or a query not be accepted.
+/// Why a query to a site failed, or was not accepted.
 #[derive(Debug, Clone, PartialEq, Eq, Error, Diagnostic)]
 pub enum LocateError {
-    /// The process, or the dispatcher, has rejected the query.
+    /// The process or the dispatcher rejected the query.
     #[error("refused: {0}")]
     #[diagnostic(
         code(locate::refused),
-        help("the site is loaded or behind: see its metrics; give it processes or shards")
+        help("the site is overloaded or lags behind: check its metrics; give it more processes or shards")
     )]
     Refused(RejectReason),
-    /// No process of the site has responded in time.
+    /// No process of the site responded in time.
     #[error("no answer in time")]
-    #[diagnostic(code(locate::late), help("look at the site's processes and at the links to them"))]
+    #[diagnostic(code(locate::late), help("check the site's processes and the connections to them"))]
     Late,
-    /// There is no connection.
+    /// There is no connection to any process of the site.
     #[error("no connection")]
     #[diagnostic(
         code(locate::unreached),
         help("start the site's processes, or correct their addresses in the settings")
     )]
     Unreached,
-    /// Too many queries wait.
-    #[error("too many questions wait")]
+    /// Too many queries are waiting.
+    #[error("too many queries are waiting")]
     #[diagnostic(
         code(locate::full),
-        help("fewer searches at once, or a higher `questions` in the front's settings")
+        help("run fewer searches at once, or set a higher `questions` in the front's settings")
     )]
     TooMany,
 }
 
-/// What is wrong with an audit record.
+/// Why an audit record, or a request for the audit page, is invalid.
 #[derive(Debug, Clone, PartialEq, Eq, Error, Diagnostic)]
 pub enum AuditError {
-    /// It has too many changes.
-    #[error("{0} changes at once")]
+    /// The record contains too many changes; their number.
+    #[error("{0} changes in one record")]
     #[diagnostic(
         code(audit::long),
-        help("compare the builds: an older one may send more than a newer one takes")
-    )]
-    Long(usize),
-    /// A change is out of order.
-    #[error("change {found} after {known} of one life")]
-    #[diagnostic(code(audit::order), help("two fronts run under one name: give each its own"))]
-    Order {
-        /// What came.
+        help("compare the builds: an older one may send more changes than a newer one accepts")
+    )]
+    TooManyChanges(usize),
+    /// The changes are not in ascending order.
+    #[error("change {found} after change {known} of the same incarnation")]
+    #[diagnostic(code(audit::order), help("two fronts run under one name: give each its own name"))]
+    OutOfOrder {
+        /// The number of the change.
         found: u64,
-        /// What was known.
+        /// The number of the change before it.
         known: u64,
     },
-    /// The moment of a query is none.
+    /// The time in a request for the audit page is invalid.
     #[error("moment {0:?}: not milliseconds since 1970")]
-    #[diagnostic(code(audit::moment), help("ask as /audit?at=1796083200000"))]
-    Moment(String),
+    #[diagnostic(code(audit::moment), help("request a page such as /audit?at=1796083200000"))]
+    InvalidTime(String),
 }
 
-/// Why a site's log has failed.
+/// Why a site's replicated log failed.
 #[derive(Debug, Clone, PartialEq, Eq, Error, Diagnostic)]
 pub enum LogError {
-    /// The disk refused a write or a read.
+    /// The disk failed on a read or a write, or the log stopped for another reason.
     #[error("disk: {0}")]
     #[diagnostic(
         code(log::disk),
-        help("free space on the data folder's disk or mend it, then start the process again")
+        help("free space on the data folder's disk or repair it, then start the process again")
     )]
     Disk(String),
-    /// What is on disk can't be read.
-    #[error("{path}: {what}")]
+    /// A file or folder on disk can't be read.
+    #[error("{path}: {reason}")]
     #[diagnostic(
         code(log::damaged),
-        help("move the data folder away: the process fetches all from the others, or starts empty if alone")
+        help(
+            "move the data folder away: the process gets all data from the others, or starts empty if alone"
+        )
     )]
     Damaged {
-        /// The file or folder.
+        /// The path of the file or folder.
         path: String,
-        /// The reason.
-        what: String,
+        /// Why it can't be read.
+        reason: String,
     },
-    /// The folder is of another site or process.
+    /// The data folder belongs to another site or process.
     #[error("{path}: of {found}, this is {ours}")]
     #[diagnostic(code(log::foreign), help("give this process its own `data` folder"))]
     Foreign {
-        /// The folder.
+        /// The path of the folder.
         path: String,
-        /// Its owner.
+        /// The owner of the folder, as site, index and name.
         found: String,
-        /// The process that opened it.
+        /// The process that opened the folder, in the same form.
         ours: String,
     },
 }
--- a/crates/lilacpitch-fleet/src/frame.rs
+++ b/crates/lilacpitch-fleet/src/frame.rs
@@ -1,5 +1,5 @@
-//! The frames of a connection between processes: sealed with the shared key, and numbered for one connection, so that no
-//! frame is accepted twice, out of order, or on another connection.
+//! The frames of a connection between processes. They are sealed with the shared key and numbered per
+//! connection, so that no frame is accepted twice, out of order, or on another connection.
 
 use crate::error::FrameError;
 use crate::message::{Body, Hello, VERSION};
@@ -8,14 +8,15 @@
 
 /// Longest frame, in bytes.
 pub const MAX_FRAME_BYTES: usize = 8 << 20;
-/// The purpose that frames are sealed for: datagrams between fronts are sealed for another.
+/// The purpose for which frames are sealed; datagrams between fronts are sealed for another one.
 const PURPOSE: &[u8] = b"lilacpitch.fleet.1";
 const NONCE_BYTES: usize = 24;
 
 #[derive(Serialize, Deserialize)]
 struct Envelope<B> {
-    /// The nonce that the receiver drew for this connection; 0 in the first frame.
+    /// The nonce in the receiver's [`Hello`]; 0 in the first frame.
     to: u64,
+    /// The number of the frame on this connection and in this direction, from 0.
     counter: u64,
     body: B,
 }
@@ -24,27 +25,28 @@
 #[derive(Debug)]
 pub struct FrameWriter {
     keys: Keys,
-    to: u64,
+    /// The nonce of the other end; 0 until its [`Hello`] is known.
+    peer_nonce: u64,
     counter: u64,
 }
 
 impl FrameWriter {
-    /// A writer for a connection whose other end has not sent its [`Hello`] yet.
+    /// Creates a writer for a new connection, whose other end has not sent its [`Hello`] yet.
     pub fn new(keys: Keys) -> Self {
-        FrameWriter { keys, to: 0, counter: 0 }
+        FrameWriter { keys, peer_nonce: 0, counter: 0 }
     }
 
-    /// From now on frames name the nonce of the other end.
+    /// Sets the other end, whose nonce all further frames contain.
     pub fn set_peer(&mut self, hello: &Hello) {
-        self.to = hello.nonce;
+        self.peer_nonce = hello.nonce;
     }
 
-    /// Seals the next frame. `nonce` must be drawn at random for each.
+    /// Seals the next frame. `nonce` must be a new random value for each frame.
     ///
     /// # Errors
-    /// [`FrameError::Length`], where the frame is too long.
+    /// [`FrameError::Length`] if the frame is too long.
     pub fn seal(&mut self, body: &Body, nonce: [u8; NONCE_BYTES]) -> Result<Vec<u8>, FrameError> {
-        let envelope = Envelope { to: self.to, counter: self.counter, body };
+        let envelope = Envelope { to: self.peer_nonce, counter: self.counter, body };
         self.counter += 1;
         let plain = postcard::to_allocvec(&envelope).map_err(|e| FrameError::Malformed(e.to_string()))?;
         let sealed = self.keys.seal_for(PURPOSE, &plain, nonce);
@@ -59,20 +61,20 @@
 #[derive(Debug)]
 pub struct FrameReader {
     keys: Keys,
-    own: u64,
+    own_nonce: u64,
     counter: u64,
 }
 
 impl FrameReader {
-    /// A reader; `own` is the nonce that this end drew for the connection.
-    pub fn new(keys: Keys, own: u64) -> Self {
-        FrameReader { keys, own, counter: 0 }
+    /// Creates a reader; `own_nonce` is the nonce in this end's [`Hello`].
+    pub fn new(keys: Keys, own_nonce: u64) -> Self {
+        FrameReader { keys, own_nonce, counter: 0 }
     }
 
     /// Opens the next frame.
     ///
     /// # Errors
-    /// [`FrameError`]: the connection can't go on then.
+    /// [`FrameError`] if the frame is not the next valid one; the connection must be closed.
     pub fn open(&mut self, bytes: &[u8]) -> Result<Body, FrameError> {
         if bytes.len() > MAX_FRAME_BYTES {
             return Err(FrameError::Length(bytes.len()));
@@ -80,21 +82,21 @@
         let plain = self.keys.open_for(PURPOSE, bytes).map_err(|_| FrameError::Forged)?;
         let envelope: Envelope<Body> =
             postcard::from_bytes(&plain).map_err(|e| FrameError::Malformed(e.to_string()))?;
-        let first = self.counter == 0;
-        let is_for_this_end = if first { envelope.to == 0 } else { envelope.to == self.own };
+        let is_first = self.counter == 0;
+        let is_for_this_end = if is_first { envelope.to == 0 } else { envelope.to == self.own_nonce };
         if envelope.counter != self.counter || !is_for_this_end {
-            return Err(FrameError::Order { found: envelope.counter, wanted: self.counter });
+            return Err(FrameError::OutOfOrder { found: envelope.counter, expected: self.counter });
         }
         self.counter += 1;
-        match (&envelope.body, first) {
+        match (&envelope.body, is_first) {
             (Body::Hello(hello), true) if hello.version != VERSION => Err(FrameError::Version(hello.version)),
             (Body::Hello(_), true) | (Body::Request(..) | Body::Answer(..), false) => Ok(envelope.body),
-            _ => Err(FrameError::Malformed("not what comes first, or first again".into())),
+            _ => Err(FrameError::Malformed("first frame without a Hello, or a second Hello".into())),
         }
     }
 }
 
-/// Opens a frame without regard to order or connection: for the testbed's checker.
+/// Opens a frame without checking its order or connection. Only the testbed's checker uses this.
 #[doc(hidden)]
 pub fn peek(keys: &Keys, bytes: &[u8]) -> Option<Body> {
     let plain = keys.open_for(PURPOSE, bytes).ok()?;
--- a/crates/lilacpitch-fleet/src/lease_holder.rs
+++ b/crates/lilacpitch-fleet/src/lease_holder.rs
@@ -1,5 +1,5 @@
-//! The holder's side of leases and commands: its position in the command log, its lease, and the settings versions that
-//! are withdrawn. A front's cache is a holder, and so is each process of a site below the root.
+//! The holder's side of a lease: its position in the command log, its lease, and the withdrawn settings
+//! versions. Each front is a holder, and so is each process of a site below the root.
 
 use crate::error::{LeaseError, PurgeError};
 use crate::lease::Lease;
@@ -7,18 +7,18 @@
 use crate::Nanos;
 use std::collections::BTreeSet;
 
-/// What a response of the parent means to a holder.
+/// What a holder must do after a response of its parent.
 #[derive(Debug, PartialEq, Eq)]
 pub enum LeaseUpdate {
-    /// These commands are next: apply each, in this order.
+    /// Apply these commands in this order.
     Commands(Vec<FleetCommand>),
-    /// Drop everything that is cached, then renew at once.
+    /// Drop all cached answers, then renew the lease at once.
     Reset,
-    /// Nothing to do.
+    /// Do nothing.
     Unchanged,
 }
 
-/// The state of a holder. Its owner applies the commands that it returns before it goes on.
+/// The state of a lease holder. The caller must apply the commands that are returned before it calls again.
 #[derive(Debug, Clone, Default)]
 pub struct LeaseHolder {
     position: Option<LogPosition>,
@@ -28,12 +28,12 @@
 }
 
 impl LeaseHolder {
-    /// A holder that acts on this settings version and has applied no commands.
+    /// Creates a holder that acts on this settings version, by its digest, and has applied no commands.
     pub fn new(settings_version: u64) -> Self {
         LeaseHolder { settings_version, ..LeaseHolder::default() }
     }
 
-    /// The last command applied; `None`: no position was ever given.
+    /// The position of the last command applied; `None` until the parent has sent a position.
     pub fn position(&self) -> Option<LogPosition> {
         self.position
     }
@@ -48,30 +48,32 @@
         self.withdrawn.contains(&self.settings_version)
     }
 
-    /// Until when cached answers may be used, checked now: call it after any pause, right before an answer.
+    /// Returns until when cached answers may be used. Call this directly before an answer is used: the lease
+    /// may have expired during any earlier pause.
     ///
-    /// # Errors
-    /// [`LeaseError`]: the settings are withdrawn, the lease has expired, or commands that it requires are missing.
+    /// # Errors [`LeaseError`] if the settings are withdrawn, the lease has expired, or commands that it
+    /// requires are not applied.
     pub fn valid_until(&self, now: Nanos) -> Result<Nanos, LeaseError> {
         if self.is_withdrawn() {
             return Err(LeaseError::Withdrawn);
         }
-        let lease = self.lease.filter(|lease| now < lease.until_ns).ok_or(LeaseError::Out)?;
+        let lease = self.lease.filter(|lease| now < lease.until_ns).ok_or(LeaseError::Expired)?;
         match self.position {
             Some(position) if position.includes(lease.position) => Ok(lease.until_ns),
-            other => {
-                let applied = other.map_or(0, |position| position.index);
-                Err(LeaseError::Behind { needed: lease.position.index, applied })
+            position => {
+                let applied = position.map_or(0, |position| position.index);
+                Err(LeaseError::Behind { required: lease.position.index, applied })
             }
         }
     }
 
-    /// Handles the response to a lease request that was sent at `requested_ns`, by this process's steady clock.
+    /// Handles the response to a lease request that was sent at `requested_ns` by this process's steady
+    /// clock.
     pub fn handle_response(&mut self, requested_ns: Nanos, response: Response) -> LeaseUpdate {
         match response {
             Response::LeaseGranted { for_ns, position, commands, .. } => {
                 let until_ns = requested_ns.saturating_add(for_ns);
-                // A response that a later one has overtaken takes nothing back.
+                // Responses may arrive out of order: an older one does not shorten the lease.
                 if self
                     .lease
                     .is_none_or(|known| known.until_ns <= until_ns || known.position.log != position.log)
@@ -91,10 +93,10 @@
         }
     }
 
-    /// Selects the commands that are next: those applied already are passed over.
+    /// Selects the commands to be applied next, without those that are applied already.
     ///
     /// # Errors
-    /// [`PurgeError`], where commands before these are missing, or these are of another log.
+    /// [`PurgeError`] if earlier commands are missing, or if these are of another log.
     pub fn select_next_commands(
         &mut self,
         log: u64,
@@ -102,7 +104,7 @@
     ) -> Result<Vec<FleetCommand>, PurgeError> {
         let Some(position) = self.position else { return Err(PurgeError::Gap { found: 0, applied: 0 }) };
         if position.log != log {
-            return Err(PurgeError::Log { found: log, ours: position.log });
+            return Err(PurgeError::OtherLog { found: log, ours: position.log });
         }
         let mut next = Vec::new();
         let mut applied = position.index;
@@ -119,7 +121,7 @@
         Ok(next)
     }
 
-    /// Records that the owner has applied a command: everything that it withdraws is gone.
+    /// Records that a command is applied: all cached answers that it purges are removed.
     pub fn record_applied(&mut self, command: &FleetCommand) {
         match &command.action {
             CommandAction::Purge(_) => {}
@@ -127,7 +129,7 @@
             CommandAction::Reinstate(version) => drop(self.withdrawn.remove(version)),
         }
         if let Some(position) = &mut self.position {
-            debug_assert_eq!(command.number, position.index + 1, "orders are applied without gaps");
+            debug_assert_eq!(command.number, position.index + 1, "commands are applied without gaps");
             position.index = command.number;
         }
     }
--- a/crates/lilacpitch-fleet/tests/errors.rs
+++ b/crates/lilacpitch-fleet/tests/errors.rs
@@ -1,5 +1,5 @@
-//! Every error says what an operator can do. The lists are held to the types: a variant that is added and not listed
-//! does not compile.
+//! Every error has a code of its own and a help text for operators. The lists below must name all variants:
+//! with one that is missing, this file does not compile.
 
 use lilacpitch_fleet::error::*;
 use lilacpitch_fleet::message::RejectReason;
@@ -7,62 +7,62 @@
 use miette::Diagnostic;
 use std::collections::BTreeSet;
 
-/// All variants that the patterns name, checked to be all there are.
-macro_rules! walk {
+/// Checks the code and the help of each error. The patterns must cover all variants of the type.
+macro_rules! check_errors {
     ($codes:ident, $type:ty, [$($value:expr => $pattern:pat),* $(,)?]) => {{
-        let all: Vec<$type> = vec![$($value),*];
-        for error in &all {
+        let errors: Vec<$type> = vec![$($value),*];
+        for error in &errors {
             match error { $($pattern => {}),* }
             let code = error.code().expect("a code").to_string();
             let help = error.help().expect("a help").to_string();
             assert!(help.len() > 15, "{code}: {help}");
             assert!(!error.to_string().is_empty(), "{code}");
-            assert!($codes.insert(code.clone()), "{code} is given twice");
+            assert!($codes.insert(code.clone()), "{code} is used twice");
         }
     }};
 }
 
 #[test]
-fn every_error_has_its_own_code_and_a_help() {
+fn every_error_has_its_own_code_and_a_help_text() {
     let mut codes = BTreeSet::new();
-    let word = String::new;
-    walk!(codes, LocationError, [
+    let text = String::new;
+    check_errors!(codes, LocationError, [
         LocationError::Number("x".into()) => LocationError::Number(_),
-        LocationError::Name { field: "class", found: word() } => LocationError::Name { .. },
+        LocationError::Name { field: "class", found: text() } => LocationError::Name { .. },
         LocationError::Summary { shard: 1, what: "x" } => LocationError::Summary { .. },
         LocationError::Shards(0) => LocationError::Shards(_),
     ]);
-    walk!(codes, FrameError, [
+    check_errors!(codes, FrameError, [
         FrameError::Forged => FrameError::Forged,
         FrameError::Length(1) => FrameError::Length(_),
-        FrameError::Malformed(word()) => FrameError::Malformed(_),
-        FrameError::Order { found: 1, wanted: 2 } => FrameError::Order { .. },
+        FrameError::Malformed(text()) => FrameError::Malformed(_),
+        FrameError::OutOfOrder { found: 1, expected: 2 } => FrameError::OutOfOrder { .. },
         FrameError::Version(2) => FrameError::Version(_),
     ]);
-    walk!(codes, PurgeError, [
+    check_errors!(codes, PurgeError, [
         PurgeError::Gap { found: 3, applied: 1 } => PurgeError::Gap { .. },
-        PurgeError::Log { found: 1, ours: 2 } => PurgeError::Log { .. },
+        PurgeError::OtherLog { found: 1, ours: 2 } => PurgeError::OtherLog { .. },
     ]);
-    walk!(codes, LeaseError, [
-        LeaseError::Out => LeaseError::Out,
-        LeaseError::Behind { needed: 2, applied: 1 } => LeaseError::Behind { .. },
+    check_errors!(codes, LeaseError, [
+        LeaseError::Expired => LeaseError::Expired,
+        LeaseError::Behind { required: 2, applied: 1 } => LeaseError::Behind { .. },
         LeaseError::Withdrawn => LeaseError::Withdrawn,
     ]);
-    walk!(codes, LocateError, [
+    check_errors!(codes, LocateError, [
         LocateError::Refused(RejectReason::Behind) => LocateError::Refused(_),
         LocateError::Late => LocateError::Late,
         LocateError::Unreached => LocateError::Unreached,
         LocateError::TooMany => LocateError::TooMany,
     ]);
-    walk!(codes, AuditError, [
-        AuditError::Long(1) => AuditError::Long(_),
-        AuditError::Order { found: 1, known: 2 } => AuditError::Order { .. },
-        AuditError::Moment(word()) => AuditError::Moment(_),
+    check_errors!(codes, AuditError, [
+        AuditError::TooManyChanges(1) => AuditError::TooManyChanges(_),
+        AuditError::OutOfOrder { found: 1, known: 2 } => AuditError::OutOfOrder { .. },
+        AuditError::InvalidTime(text()) => AuditError::InvalidTime(_),
     ]);
-    walk!(codes, LogError, [
-        LogError::Disk(word()) => LogError::Disk(_),
-        LogError::Damaged { path: word(), what: word() } => LogError::Damaged { .. },
-        LogError::Foreign { path: word(), found: word(), ours: word() } => LogError::Foreign { .. },
+    check_errors!(codes, LogError, [
+        LogError::Disk(text()) => LogError::Disk(_),
+        LogError::Damaged { path: text(), reason: text() } => LogError::Damaged { .. },
+        LogError::Foreign { path: text(), found: text(), ours: text() } => LogError::Foreign { .. },
     ]);
     assert_eq!(codes.len(), 24);
 }
--- a/crates/lilacpitch-site/src/admin_pages.rs
+++ b/crates/lilacpitch-site/src/admin_pages.rs
@@ -133,8 +133,8 @@
 fn parse_moment(query: &str) -> Result<Option<u64>, AuditError> {
     match query.strip_prefix("at=") {
         None if query.is_empty() => Ok(None),
-        None => Err(AuditError::Moment(query.into())),
-        Some(text) => text.parse().map(Some).map_err(|_| AuditError::Moment(text.into())),
+        None => Err(AuditError::InvalidTime(query.into())),
+        Some(text) => text.parse().map(Some).map_err(|_| AuditError::InvalidTime(text.into())),
     }
 }
 
--- a/crates/lilacpitch-site/src/log/store.rs
+++ b/crates/lilacpitch-site/src/log/store.rs
@@ -95,7 +95,7 @@
         let path = folder.join("log.redb");
         let damaged = |error: StoreError| LogError::Damaged {
             path: path.display().to_string(),
-            what: error.to_string(),
+            reason: error.to_string(),
         };
         let log = Database::create(&path).map_err(|error| damaged(StoreError::database(error)))?;
         let store = LogStore { log: Arc::new(log), folder: folder.to_path_buf() };
--- a/crates/lilacpitch-site/src/startup.rs
+++ b/crates/lilacpitch-site/src/startup.rs
@@ -171,7 +171,7 @@
     let identity = LocalIdentity { name: settings.name.clone(), incarnation, role, keys };
     let state = Arc::new(SiteState::new(settings.shards)?);
     let damaged =
-        |error: StoreError| LogError::Damaged { path: settings.data.clone(), what: error.to_string() };
+        |error: StoreError| LogError::Damaged { path: settings.data.clone(), reason: error.to_string() };
     let has_joined = store.has_joined().map_err(damaged)?;
     let (machine, applied) = StateMachine::open(state.clone(), store.clone()).map_err(damaged)?;
     Ok(Disk { identity, store, state, machine, applied, has_joined })
