--- a/crates/lilacpitch-fleet/src/ack_aggregator.rs
+++ b/crates/lilacpitch-fleet/src/ack_aggregator.rs
@@ -1,9 +1,13 @@
-//! The parent's side of leases and commands: grants leases to children, holds the commands that they lack, and aggregates
-//! what they have acknowledged.
+//! The parent's side of leases and commands: grants leases to children, retains the commands that they lack,
+//! and aggregates their acknowledgements.
 //!
-//! The root's leader is the origin: it may grant while its leadership is confirmed. Every other process of a site holds
-//! a lease from its parent and grants none that outlasts it. An acknowledgement counts for one incarnation of a child;
-//! an incarnation no longer counts once its lease has surely expired, be it dead, cut off, or superseded by a later one.
+//! The leader of the root site is the origin of all leases: it may grant them while its leadership is
+//! confirmed. Every other process of a site holds a lease from its parent and grants no lease that outlasts
+//! it.
+//!
+//! An acknowledgement belongs to one incarnation of a child. The aggregate waits for an incarnation until its
+//! lease has certainly expired, whether the incarnation has ended, is unreachable, or is superseded by a
+//! later one.
 
 use crate::lease::LeaseTerms;
 use crate::log_tail::LogTail;
@@ -13,13 +17,13 @@
 use crate::{Nanos, Safeguards};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-/// A child is forgotten so long after its lease has expired.
-const FORGET_NS: Nanos = 600_000_000_000;
+/// How long after the expiry of its lease a child is forgotten, in nanoseconds.
+const FORGET_AFTER_NS: Nanos = 600_000_000_000;
 
-/// A child: a front or a process of a site below, in one of its incarnations.
+/// One incarnation of a child, which is a front or a process of a site below.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub struct ChildId {
-    /// The name in its settings.
+    /// The name of the child in its settings.
     pub name: String,
     /// The incarnation: when it started, in nanoseconds since 1970.
     pub incarnation: u64,
@@ -27,69 +31,78 @@
 
 #[derive(Debug, Clone)]
 struct Child {
-    /// A front acknowledges for itself, a process for everybody below it.
+    /// Whether the child is a front, which acknowledges for itself alone. A process of a site acknowledges
+    /// for all lease holders below it.
     is_front: bool,
-    /// It has applied all commands up to here.
+    /// The child has applied all commands up to this position.
     applied: LogPosition,
-    /// Everybody below it has acknowledged all commands up to here.
+    /// For a process of a site: all lease holders below it have acknowledged the commands up to this
+    /// position.
     aggregated: LogPosition,
-    /// From then on its lease has surely expired, by any clock of the fleet.
+    /// When the child's lease has certainly expired, by any clock of the fleet.
     lease_expires_ns: Nanos,
-    /// When it last requested one.
+    /// When the child last requested a lease.
     last_renewal_ns: Nanos,
-    /// It was too far behind for one then: it has no lease, and its writes are rejected.
+    /// Whether the child lagged too far behind at its last request: it got no lease, and its writes are
+    /// rejected.
     is_lagging: bool,
+    /// For a process of a site: names of holders below it that have not acknowledged all commands.
     missing: Vec<String>,
+    /// For a process of a site: the number of such holders.
     missing_count: u32,
 }
 
-/// Up to where everybody below a process has acknowledged commands.
+/// The aggregated acknowledgement of all lease holders below a process.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct AggregatedAck {
-    /// Everybody has acknowledged up to here, or has no lease any more.
+    /// Every holder that may still have a lease has acknowledged the commands up to this position.
     pub acknowledged: LogPosition,
-    /// The names of some who have not acknowledged all commands, [`MAX_NAMES`] at most.
+    /// The names of some holders that have not acknowledged all commands, [`MAX_NAMES`] at most.
     pub missing: Vec<String>,
-    /// How many have not.
+    /// The number of holders that have not acknowledged all commands.
     pub missing_count: u32,
 }
 
-/// What a child has applied, and what comes next.
+/// The position of a child and the next commands that it lacks.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct MissingCommands {
-    /// The child has applied all commands up to here.
+    /// The child has applied all commands up to this position.
     pub applied: LogPosition,
-    /// The commands after that, [`MAX_COMMANDS`] at most.
+    /// The commands after that position, [`MAX_COMMANDS`] at most.
     pub commands: Vec<FleetCommand>,
 }
 
 /// When a front last requested its lease.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct FrontContact {
-    /// The front, in one incarnation.
+    /// The incarnation of the front.
     pub id: ChildId,
-    /// For how long it has not requested one, in nanoseconds of this process's steady clock.
-    pub silent_for_ns: Nanos,
+    /// The time since the front last requested its lease, in nanoseconds by this process's steady clock.
+    pub since_renewal_ns: Nanos,
 }
 
-/// The children of a process and what they have acknowledged.
+/// The children of a process, their leases and their acknowledgements.
 #[derive(Debug, Clone)]
 pub struct AckAggregator {
     terms: LeaseTerms,
     safeguards: Safeguards,
     log_tail: LogTail,
-    /// The index of each recent command and when it came here, newest last.
+    /// The index and arrival time of each recent command, newest last.
     arrivals: VecDeque<(u64, Nanos)>,
     children: BTreeMap<ChildId, Child>,
+    /// Until when leases may be granted.
     grants_until_ns: Nanos,
+    /// Leases may be granted once the commands up to this position are here.
     grants_require: LogPosition,
-    /// Until then there may be holders of leases of a former origin that are unknown here.
+    /// Until when leases of a former origin may be valid whose holders are unknown here.
     former_leases_until_ns: Nanos,
+    /// The index up to which all lease holders have acknowledged. It decreases only when the log is replaced,
+    /// or when this process becomes the origin.
     complete: u64,
 }
 
 impl AckAggregator {
-    /// An aggregator without children, commands or a lease.
+    /// Creates an aggregator without children or commands, which may not grant leases yet.
     pub fn new(terms: LeaseTerms, safeguards: Safeguards) -> Self {
         AckAggregator {
             terms,
@@ -109,24 +122,24 @@
         self.log_tail.position()
     }
 
-    /// The settings versions that are withdrawn.
+    /// The withdrawn settings versions.
     pub fn withdrawn(&self) -> &BTreeSet<u64> {
         self.log_tail.withdrawn()
     }
 
-    /// Allows leases to be granted until a moment, once all commands up to `required` are here.
+    /// Allows leases to be granted until `until_ns`, once all commands up to `required` are here.
     pub fn allow_grants_until(&mut self, until_ns: Nanos, required: LogPosition) {
         (self.grants_until_ns, self.grants_require) = (until_ns, required);
     }
 
-    /// This process has just become the origin: children of a former one may still hold leases. What this process's own
-    /// children have acknowledged says nothing of them.
+    /// Called when this process has become the origin. Children of a former origin may still hold leases,
+    /// and the acknowledgements of this process's own children do not cover them.
     pub fn become_origin(&mut self, now: Nanos) {
         self.complete = 0;
         self.former_leases_until_ns = now + self.terms.worst_case_ns(self.terms.lease_ns);
     }
 
-    /// Replaces the log tail: the commands up to its position are applied elsewhere at once.
+    /// Replaces the log tail. The commands up to its position need not be appended one by one.
     pub fn reset(&mut self, log_tail: LogTail) {
         if log_tail.position().log != self.log_tail.position().log {
             self.complete = 0;
@@ -135,34 +148,34 @@
         self.arrivals.clear();
     }
 
-    /// Appends the next command; its position.
+    /// Appends the next command and returns its position.
     pub fn append_command(&mut self, now: Nanos, action: CommandAction) -> LogPosition {
         let position = self.log_tail.append(action);
         self.arrivals.push_back((position.index, now));
         while self
             .arrivals
             .front()
-            .is_some_and(|(_, at)| now.saturating_sub(*at) > 2 * self.terms.lagging_after_ns)
+            .is_some_and(|(_, arrival_ns)| now.saturating_sub(*arrival_ns) > 2 * self.terms.lagging_after_ns)
         {
             self.arrivals.pop_front();
         }
         position
     }
 
-    /// The index of the last command that is old enough for everybody to have applied it.
+    /// The index of the last command that every child must have applied by now, or else it lags.
     fn last_overdue_index(&self, now: Nanos) -> u64 {
-        let is_recent = |at: Nanos| now.saturating_sub(at) <= self.terms.lagging_after_ns;
-        let first_recent = self.arrivals.iter().find(|(_, at)| is_recent(*at));
+        let is_recent = |arrival_ns: Nanos| now.saturating_sub(arrival_ns) <= self.terms.lagging_after_ns;
+        let first_recent = self.arrivals.iter().find(|(_, arrival_ns)| is_recent(*arrival_ns));
         first_recent.map_or(self.position().index, |(index, _)| index - 1)
     }
 
     /// Whether this process may grant leases now.
-    fn has_lease(&self, now: Nanos) -> bool {
+    fn may_grant(&self, now: Nanos) -> bool {
         now < self.grants_until_ns && self.position().includes(self.grants_require)
     }
 
-    /// Responds to a child's request for its lease: with a lease and the commands that it lacks, with a reset, or with the
-    /// reason why not. A lagging child gets commands and a lease of length 0.
+    /// Responds to a child's request for a lease: with a lease and the commands that it lacks, with a reset,
+    /// or with the reason for rejecting the request. A lagging child gets commands and a lease of length 0.
     pub fn renew_lease(
         &mut self,
         now: Nanos,
@@ -178,7 +191,7 @@
         if let Some(child) = self.children.get_mut(id) {
             child.last_renewal_ns = now;
         }
-        if !self.has_lease(now) {
+        if !self.may_grant(now) {
             return Response::Rejected(RejectReason::NoLease);
         }
         let reset =
@@ -202,7 +215,7 @@
             missing: Vec::new(),
             missing_count: 0,
         });
-        // What it has applied by its own report, and never what it was only sent.
+        // The child's own report counts, not which commands were sent to it.
         child.applied = applied;
         child.is_lagging = is_lagging;
         if for_ns > 0 {
@@ -211,9 +224,11 @@
         Response::LeaseGranted { for_ns, position, commands, store_id }
     }
 
+    /// Whether a later incarnation of the child is known.
     fn is_superseded(&self, id: &ChildId) -> bool {
-        let after = ChildId { name: id.name.clone(), incarnation: id.incarnation.saturating_add(1) };
-        self.children.range(after..).next().is_some_and(|(later, _)| later.name == id.name)
+        let next_incarnation =
+            ChildId { name: id.name.clone(), incarnation: id.incarnation.saturating_add(1) };
+        self.children.range(next_incarnation..).next().is_some_and(|(later, _)| later.name == id.name)
     }
 
     /// Records that a child has applied all commands up to a position.
@@ -225,7 +240,7 @@
         }
     }
 
-    /// Records what a process below has aggregated.
+    /// Records the aggregated acknowledgement of a process below.
     pub fn record_aggregated_ack(&mut self, id: &ChildId, aggregated: AggregatedAck) {
         if let Some(child) = self.children.get_mut(id) {
             child.aggregated = aggregated.acknowledged;
@@ -239,55 +254,55 @@
         self.children.remove(id);
     }
 
-    /// Whether a front's writes are accepted: this incarnation of it renews, and it does not lag. A site that is cut off
-    /// from its parent grants no leases, and accepts writes all the same.
+    /// Whether writes of a front are accepted: this incarnation of it requests leases and does not lag. A
+    /// site that is disconnected from its parent grants no leases, but still accepts writes.
     pub fn accepts_writes_from(&self, now: Nanos, id: &ChildId) -> bool {
         let duration_ns = self.terms.worst_case_ns(self.terms.lease_ns);
-        let is_heard = |child: &Child| now < child.last_renewal_ns + duration_ns && !child.is_lagging;
-        (self.children.get(id).is_some_and(is_heard) && !self.is_superseded(id))
+        let is_renewing = |child: &Child| now < child.last_renewal_ns + duration_ns && !child.is_lagging;
+        (self.children.get(id).is_some_and(is_renewing) && !self.is_superseded(id))
             || !self.safeguards.write_fencing
     }
 
-    /// Children that may still have a lease, with what each has applied.
+    /// The children that may still have a lease, and the position up to which each has applied commands.
     pub fn children(&self, now: Nanos) -> impl Iterator<Item = (&ChildId, LogPosition)> {
         self.children
             .iter()
             .filter(move |(_, child)| now < child.lease_expires_ns)
-            .map(|(id, c)| (id, c.applied))
+            .map(|(id, child)| (id, child.applied))
     }
 
-    /// The fronts among the children, each incarnation, and for how long each has not renewed.
+    /// When each incarnation of each front among the children last requested its lease.
     pub fn front_contacts(&self, now: Nanos) -> Vec<FrontContact> {
         let fronts = self.children.iter().filter(|(_, child)| child.is_front);
         let contact = |(id, child): (&ChildId, &Child)| FrontContact {
             id: id.clone(),
-            silent_for_ns: now.saturating_sub(child.last_renewal_ns),
+            since_renewal_ns: now.saturating_sub(child.last_renewal_ns),
         };
         fronts.map(contact).collect()
     }
 
-    /// What a child has applied, and some of the commands that it lacks; `None`: it is not known here.
+    /// The position of a child and the next commands that it lacks; `None` if the child is unknown.
     pub fn missing_commands(&self, id: &ChildId) -> Option<MissingCommands> {
         let applied = self.children.get(id)?.applied;
         Some(MissingCommands { applied, commands: self.commands_after(applied) })
     }
 
-    /// The commands after a position, [`MAX_COMMANDS`] at most; none where it is of another log.
+    /// The commands after a position, [`MAX_COMMANDS`] at most; none if the position is in another log.
     fn commands_after(&self, applied: LogPosition) -> Vec<FleetCommand> {
         let is_same_log = applied.log == self.position().log;
         self.log_tail.commands_after(applied.index, MAX_COMMANDS).filter(|_| is_same_log).unwrap_or_default()
     }
 
-    /// Aggregates what all children have acknowledged by now, and forgets those that have long expired.
+    /// Aggregates the acknowledgements of all children, and forgets children whose lease expired long ago.
     pub fn aggregate(&mut self, now: Nanos) -> AggregatedAck {
         let position = self.position();
         let is_forgotten = |child: &Child| {
-            now.saturating_sub(child.lease_expires_ns) > FORGET_NS && now > child.lease_expires_ns
+            now.saturating_sub(child.lease_expires_ns) > FORGET_AFTER_NS && now > child.lease_expires_ns
         };
         self.children.retain(|_, child| !is_forgotten(child));
         let (mut acknowledged, mut missing, mut missing_count) = (position.index, Vec::new(), 0);
-        let counted = self.children.iter().filter(|(_, child)| now < child.lease_expires_ns);
-        for (id, child) in counted.filter(|_| self.safeguards.acknowledgements) {
+        let lease_holders = self.children.iter().filter(|(_, child)| now < child.lease_expires_ns);
+        for (id, child) in lease_holders.filter(|_| self.safeguards.acknowledgements) {
             let child_acked = if child.is_front { child.applied } else { child.aggregated };
             let child_acked = if child_acked.log == position.log { child_acked.index } else { 0 };
             if child_acked < position.index {
@@ -316,10 +331,10 @@
         }
     }
 
-    /// When a lease expires next that the aggregate may wait for.
+    /// When the next lease expires that the aggregate may be waiting for.
     pub fn next_expiry_ns(&self, now: Nanos) -> Option<Nanos> {
         let expiries =
             self.children.values().map(|child| child.lease_expires_ns).chain([self.former_leases_until_ns]);
-        expiries.filter(|at| *at > now).min()
+        expiries.filter(|expiry_ns| *expiry_ns > now).min()
     }
 }
--- a/crates/lilacpitch-fleet/src/disk_loss_recovery.rs
+++ b/crates/lilacpitch-fleet/src/disk_loss_recovery.rs
@@ -1,70 +1,74 @@
-//! When a process of a site whose disk is new may take part in the site's log.
+//! Decides when a process of a site that has lost its disk may take part in the site's replicated log.
 //!
-//! Its former disk may have held votes, and entries that were acknowledged with its help. Whoever else took part in such
-//! a decision is one of any `N - q + 1` of the other processes, `q` of `N` being a quorum. Until so many have told which
-//! vote they hold the process waits; then it acts on no vote older than theirs, and votes for nobody before it has
-//! everything that a leader has acknowledged. Where all their disks are new as well, the log has not begun.
+//! The lost disk may have held votes, and entries that were committed with its help. With a quorum of `q` out
+//! of `N` processes, any `N - q + 1` of the other processes include at least one that took part in each such
+//! decision. The process therefore waits until that many others have reported the votes that they hold. It
+//! then accepts no vote older than theirs, and does not vote until it has all entries that a leader has
+//! acknowledged. If the disks of all of them are new as well, the log has not begun.
 
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// A vote in a site's log: later ones are greater. The order of the fields is that of the comparison and of the wire.
+/// A vote in a site's log. Later votes compare as greater. The order of fields is that of the comparison and
+/// of the encoding on the wire.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct LogVote {
-    /// Its term.
+    /// The term of the vote.
     pub term: u64,
-    /// The node that it is for.
+    /// The node that the vote is for.
     pub node: u64,
-    /// Whether a quorum gave it.
+    /// Whether a quorum granted the vote.
     pub committed: bool,
 }
 
-/// What a process with a new disk is to do.
+/// What a process with a new disk must do.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Verdict {
-    /// Request the votes of the others again.
+pub enum RecoveryDecision {
+    /// Request the votes of the other processes again.
     Wait,
-    /// The log has not begun: begin it with the others.
+    /// Begin the log together with the other processes: it has not begun yet.
     Bootstrap,
-    /// Take this vote for its own and follow; vote for nobody before it has caught up.
+    /// Adopt this vote and follow the leader. Do not vote before having caught up.
     Follow(LogVote),
 }
 
-/// The votes that the other processes hold, as far as they have responded.
+/// The votes that the other processes hold, as far as they have reported them.
 #[derive(Debug, Clone)]
 pub struct DiskLossRecovery {
     processes: usize,
-    /// By index; `None`: its disk was new as well when it first responded. A vote that it holds later does not replace
-    /// that: whoever takes part since then began while this process was there.
+    /// The vote of each process by its index; `None` if its disk was new as well when it first reported. A
+    /// vote that such a process reports later does not replace `None`: it was cast after this process had
+    /// started.
     votes: BTreeMap<usize, Option<LogVote>>,
 }
 
 impl DiskLossRecovery {
-    /// For a site of so many processes, this one among them.
+    /// Creates the recovery of a process in a site with `processes` processes, including itself.
     pub fn new(processes: usize) -> Self {
         DiskLossRecovery { processes, votes: BTreeMap::new() }
     }
 
-    /// How many others have to respond.
+    /// The number of other processes that must report their votes.
     pub fn required_responses(&self) -> usize {
         let quorum = self.processes / 2 + 1;
         (self.processes - quorum + 1).min(self.processes.saturating_sub(1))
     }
 
-    /// Records the vote that the process of this index holds; `None`: its disk is new, as is that of one that requests
-    /// this process's vote.
+    /// Records the vote that the process at this index holds; `None` if its disk is new. A process that
+    /// requests the vote of this one has a new disk, too.
     pub fn record_vote(&mut self, index: usize, vote: Option<LogVote>) {
-        let known = self.votes.entry(index).or_insert(vote);
-        if known.is_some() {
-            *known = (*known).max(vote);
+        let recorded = self.votes.entry(index).or_insert(vote);
+        if recorded.is_some() {
+            *recorded = (*recorded).max(vote);
         }
     }
 
-    /// What is to be done by now.
-    pub fn verdict(&self) -> Verdict {
+    /// What the process must do, given the votes recorded so far.
+    pub fn decision(&self) -> RecoveryDecision {
         if self.votes.len() < self.required_responses() {
-            return Verdict::Wait;
+            return RecoveryDecision::Wait;
         }
-        self.votes.values().flatten().max().map_or(Verdict::Bootstrap, |vote| Verdict::Follow(*vote))
+        let latest_vote = self.votes.values().flatten().max();
+        latest_vote.map_or(RecoveryDecision::Bootstrap, |vote| RecoveryDecision::Follow(*vote))
     }
 }
--- a/crates/lilacpitch-fleet/src/log_tail.rs
+++ b/crates/lilacpitch-fleet/src/log_tail.rs
@@ -1,5 +1,6 @@
-//! The last commands of a command log, retained for holders that have missed some. A holder that has missed more than are
-//! retained is reset: it drops everything and begins at the current position.
+//! The last commands of the command log, retained for lease holders that have missed some. A holder that has
+//! missed more than are retained is reset: it drops all cached answers and continues from the current
+//! position.
 
 use crate::message::{CommandAction, FleetCommand, LogPosition};
 use serde::{Deserialize, Serialize};
@@ -8,7 +9,8 @@
 /// Most commands that are retained.
 pub const MAX_RETAINED_COMMANDS: usize = 16_384;
 
-/// The last commands, and the settings versions that are withdrawn after them. The order of fields is that on disk.
+/// The last commands, and the settings versions that are withdrawn after all of them. The order of fields is
+/// that of the encoding on disk.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LogTail {
     position: LogPosition,
@@ -17,7 +19,7 @@
 }
 
 impl LogTail {
-    /// A tail that begins at a position, with no commands before it.
+    /// Creates a tail that begins after a position and retains no commands before it.
     pub fn starting_at(position: LogPosition, withdrawn: BTreeSet<u64>) -> Self {
         LogTail { position, commands: VecDeque::new(), withdrawn }
     }
@@ -27,12 +29,12 @@
         self.position
     }
 
-    /// The settings versions that are withdrawn.
+    /// The withdrawn settings versions.
     pub fn withdrawn(&self) -> &BTreeSet<u64> {
         &self.withdrawn
     }
 
-    /// Appends a command with the next number; its position.
+    /// Appends a command, which gets the next number, and returns its position.
     pub fn append(&mut self, action: CommandAction) -> LogPosition {
         match &action {
             CommandAction::Purge(_) => {}
@@ -47,8 +49,8 @@
         self.position
     }
 
-    /// Up to `limit` of the commands after an index; `None`: some of them are no longer retained, or there is no command
-    /// of this index yet.
+    /// Up to `limit` of the commands after an index; `None` if some of them are no longer retained, or if the
+    /// index is beyond the last command.
     pub fn commands_after(&self, index: u64, limit: usize) -> Option<Vec<FleetCommand>> {
         let missing = self.position.index.checked_sub(index)? as usize;
         let first = self.commands.len().checked_sub(missing)?;
--- a/crates/lilacpitch-site/src/log_membership.rs
+++ b/crates/lilacpitch-site/src/log_membership.rs
@@ -1,12 +1,13 @@
-//! How a process takes part in its site's log: at once with the disk that it had before; with a new disk only as
-//! [`lilacpitch_fleet::disk_loss_recovery`] allows, since its former disk may have held votes and entries that count.
+//! Joins the site's replicated log. A process with its former disk joins at once. A process with a new disk
+//! joins as [`lilacpitch_fleet::disk_loss_recovery`] allows, since the lost disk may have held votes and
+//! committed entries.
 
 use crate::log::machine::StateMachine;
 use crate::log::network::Network;
 use crate::log::store::LogStore;
 use crate::log::{self, Raft, Types};
 use crate::process::Process;
-use lilacpitch_fleet::disk_loss_recovery::{LogVote, Verdict};
+use lilacpitch_fleet::disk_loss_recovery::{LogVote, RecoveryDecision};
 use lilacpitch_fleet::error::LogError;
 use lilacpitch_fleet::message::{RejectReason, Request, Response};
 use openraft::storage::RaftLogStorage;
@@ -17,29 +18,30 @@
 use std::time::{Duration, Instant};
 use tokio::task::JoinSet;
 
-/// The delay between requests for the votes of the other processes, and between checks whether this one caught up.
+/// The interval between requests for the votes of the other processes, and between checks whether this
+/// process has caught up.
 const POLL_INTERVAL: Duration = Duration::from_millis(100);
-/// After so long an operator is told what the process waits for.
+/// How long a process with a new disk waits for votes before it logs a warning.
 const WARN_AFTER: Duration = Duration::from_secs(3);
-/// The vote of a process that takes part and has not voted yet.
+/// The vote that is reported by a process that takes part in the log but has not voted yet.
 const NO_VOTE: LogVote = LogVote { term: 0, node: 0, committed: false };
 
 fn disk_error(error: impl std::fmt::Display) -> LogError {
     LogError::Disk(error.to_string())
 }
 
-/// Takes part in the log; with a new disk once enough of the other processes have responded.
+/// Joins the log; with a new disk, once enough of the other processes have reported their votes.
 pub(crate) async fn join(process: &Arc<Process>, machine: StateMachine) -> Result<Raft, LogError> {
     let mut store = process.store.clone();
     let mut must_catch_up = false;
     if !process.has_joined.load(Relaxed) {
-        match recovery_verdict(process).await {
-            Verdict::Follow(vote) => {
+        match await_recovery_decision(process).await {
+            RecoveryDecision::Follow(vote) => {
                 must_catch_up = true;
                 tracing::info!(term = vote.term, "new disk, voting suspended until caught up");
                 save_later_vote(&mut store, vote).await?;
             }
-            Verdict::Bootstrap | Verdict::Wait => {
+            RecoveryDecision::Bootstrap | RecoveryDecision::Wait => {
                 store.save_joined().map_err(disk_error)?;
                 process.has_joined.store(true, Relaxed);
             }
@@ -60,7 +62,7 @@
     Ok(raft)
 }
 
-/// Saves the latest vote known of the site, unless the disk holds a later one.
+/// Saves the latest vote that the other processes have reported, unless the disk holds a later one.
 async fn save_later_vote(store: &mut LogStore, vote: LogVote) -> Result<(), LogError> {
     let held = store.read_vote().await.map_err(disk_error)?.map(to_log_vote);
     if held.is_none_or(|held| held < vote) {
@@ -70,8 +72,8 @@
     Ok(())
 }
 
-/// Begins the log with the site's processes as members. All begin with the same ones: that another process was first
-/// is no error.
+/// Begins the log with the site's processes as members. All processes begin with the same members, so it is
+/// no error if another one was first.
 async fn initialize(raft: &Raft, processes: u64) {
     let members: BTreeMap<u64, BasicNode> =
         (0..processes).map(|index| (index, BasicNode::default())).collect();
@@ -80,18 +82,19 @@
     }
 }
 
-/// Requests the votes of the other processes until it is known what to do.
-async fn recovery_verdict(process: &Arc<Process>) -> Verdict {
+/// Requests the votes of the other processes until they allow a decision. With the safeguard switched off,
+/// the decision may be to wait.
+async fn await_recovery_decision(process: &Arc<Process>) -> RecoveryDecision {
     let (started, mut has_warned) = (Instant::now(), false);
     loop {
-        let verdict = process.disk_loss_recovery.lock().verdict();
-        if verdict != Verdict::Wait || !process.safeguards.disk_loss {
-            return verdict;
+        let decision = process.disk_loss_recovery.lock().decision();
+        if decision != RecoveryDecision::Wait || !process.safeguards.disk_loss {
+            return decision;
         }
         request_votes(process).await;
         if !has_warned && started.elapsed() > WARN_AFTER {
             has_warned = true;
-            tracing::warn!("new disk, waiting for the votes of the site's other processes");
+            tracing::warn!("new disk, waiting for the other processes of the site to report their votes");
         }
         tokio::time::sleep(POLL_INTERVAL).await;
     }
@@ -110,13 +113,13 @@
     }
 }
 
-/// Votes as the others do once this process has everything that a leader had acknowledged.
+/// Enables voting once this process has all entries that a leader had acknowledged.
 async fn catch_up(process: Arc<Process>, raft: Raft) {
     while !process.read_barrier.wait().await {
         tokio::time::sleep(POLL_INTERVAL).await;
     }
     if let Err(error) = process.store.save_joined() {
-        tracing::error!(%error, "saving that the log was joined failed, not voting");
+        tracing::error!(%error, "saving the membership in the log failed, voting stays disabled");
         return;
     }
     process.has_joined.store(true, Relaxed);
@@ -130,7 +133,7 @@
 }
 
 impl Process {
-    /// Responds to a process of this site whose disk is new, and which requests the vote that this one holds.
+    /// Responds to a process of this site with a new disk, which requests the vote that this process holds.
     pub(crate) async fn report_held_vote(&self, requester: usize) -> Response {
         self.disk_loss_recovery.lock().record_vote(requester, None);
         if !self.has_joined.load(Relaxed) {
--- a/crates/lilacpitch-site/src/record_store/removal.rs
+++ b/crates/lilacpitch-site/src/record_store/removal.rs
@@ -1,5 +1,6 @@
-//! Removes the location records of fronts that are gone: those of former incarnations at once, those of a front that
-//! requests no lease after the retention time of the settings.
+//! Removes the location records of fronts that no longer run. Records of former incarnations are removed at
+//! once; those of a front that has stopped requesting leases are removed after the retention time in the
+//! settings.
 
 use crate::clock::now;
 use crate::process::Process;
@@ -9,38 +10,39 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Sweeps a lease's length.
+/// The number of sweeps during the length of a lease.
 const SWEEPS_PER_LEASE: u64 = 5;
-/// The shortest interval between sweeps, in nanoseconds.
+/// The minimum interval between sweeps, in nanoseconds.
 const MIN_SWEEP_INTERVAL_NS: u64 = 10_000_000;
 
-/// One removal: all records of the front's incarnations before `before`.
+/// The removal of all records of a front's incarnations before `before`.
 struct Removal {
-    /// For whose sake: what is noted of it is taken back where the removal fails.
+    /// The incarnation that caused the removal. If the removal fails, its entries in [`Sweep`] are deleted.
     cause: ChildId,
     front: String,
     before: u64,
 }
 
-/// What has been removed already.
+/// The removals that were requested already.
 #[derive(Default)]
 struct Sweep {
-    /// The latest incarnation of each front whose former ones were removed.
+    /// The latest known incarnation of each front; records of earlier ones are removed.
     latest: BTreeMap<String, u64>,
-    /// Fronts that were removed for their silence.
+    /// Incarnations whose own records are removed, because they have not renewed for the retention time.
     expired: BTreeSet<ChildId>,
 }
 
 impl Sweep {
+    /// The removals that are due and were not requested yet.
     fn due_removals(&mut self, contacts: Vec<FrontContact>, retention_ns: u64) -> Vec<Removal> {
         let mut due = Vec::new();
-        for FrontContact { id, silent_for_ns } in contacts {
+        for FrontContact { id, since_renewal_ns } in contacts {
             let latest = self.latest.get(&id.name);
             if latest.is_none_or(|incarnation| *incarnation < id.incarnation) {
                 self.latest.insert(id.name.clone(), id.incarnation);
                 due.push(Removal { cause: id.clone(), front: id.name.clone(), before: id.incarnation });
             }
-            if silent_for_ns < retention_ns {
+            if since_renewal_ns < retention_ns {
                 self.expired.remove(&id);
                 continue;
             }
@@ -52,14 +54,14 @@
         due
     }
 
-    /// A removal failed: it is due again with the next sweep.
+    /// Makes a failed removal due again in the next sweep.
     fn forget(&mut self, cause: &ChildId) {
         self.expired.remove(cause);
         self.latest.remove(&cause.name);
     }
 }
 
-/// Sweeps at intervals, as long as the process runs.
+/// Removes records at intervals while the process runs.
 pub(crate) async fn run(process: Arc<Process>) {
     let terms = &process.settings.terms;
     let interval_ns = (terms.lease_ns / SWEEPS_PER_LEASE).max(MIN_SWEEP_INTERVAL_NS);
@@ -77,7 +79,7 @@
     }
 }
 
-/// Removes by way of the site's leader.
+/// Requests a removal from the site's leader.
 async fn remove(process: &Process, front: String, before: u64) -> Response {
     match process.leader() {
         Some(index) if index == process.settings.place => {
