--- a/crates/lilacpitch-fleet/src/cache.rs
+++ b/crates/lilacpitch-fleet/src/cache.rs
@@ -1,50 +1,59 @@
-//! The cache of a front: answers by number, in shards under locks of their own. A purge removes what it withdraws, and
-//! what was read before a purge never comes in after it.
+//! The cache of a front: answers by number, in shards with a lock each. A purge removes the cached answers in
+//! its scope, and an answer that was read before a purge is never cached after it.
 //!
-//! **Order of locks.** A shard, then the list of recent purges. Never two shards.
+//! **Lock order.** A shard, then the list of recent purges. Never two shards.
 
 use crate::locate::LocateAnswer;
 use crate::message::{CommandAction, FleetCommand, PurgeScope};
 use crate::sync::Mutex;
 use crate::{Nanos, Safeguards};
 use lilacpitch_location::summary::shard_of;
-use lilacpitch_location::Number;
+use lilacpitch_location::{Number, Owner};
 use std::collections::{HashMap, VecDeque};
 
 const SHARDS: usize = 16;
-/// Most scopes of purges that are retained for fills under way; what was read before the oldest fills nothing.
+/// Most purge scopes that are retained to check fills against. An answer that was read before the oldest of
+/// them is not cached.
 const MAX_RECENT_SCOPES: usize = 65_536;
 
 #[derive(Debug, Default)]
 struct Shard {
     entries: HashMap<Number, LocateAnswer>,
-    /// Numbers in the order of their insertion: the oldest are evicted first.
+    /// Numbers in insertion order; the oldest entries are evicted first.
     insertion_order: VecDeque<Number>,
 }
 
 #[derive(Debug, Default)]
 struct RecentPurges {
+    /// When each purge was applied, and its scope, oldest first.
     scopes: VecDeque<(Nanos, PurgeScope)>,
-    /// What was read before this may have been withdrawn by something that is no longer listed.
+    /// An answer that was read before this time may be in the scope of a purge that is no longer retained.
     known_from_ns: Nanos,
 }
 
 impl RecentPurges {
+    /// Whether a purge has, or may have, withdrawn an answer since it was read.
     fn withdrawn_since(&self, read_from_ns: Nanos, number: &Number, answer: &LocateAnswer) -> bool {
-        // A purge of the very moment of reading counts as after it.
-        let since = |(at, _): &&(Nanos, PurgeScope)| *at >= read_from_ns;
+        // A purge at the time of reading counts as later.
+        let is_later = |(purged_ns, _): &&(Nanos, PurgeScope)| *purged_ns >= read_from_ns;
         read_from_ns < self.known_from_ns
-            || self.scopes.iter().rev().take_while(since).any(|(_, scope)| withdraws(scope, number, answer))
+            || self
+                .scopes
+                .iter()
+                .rev()
+                .take_while(is_later)
+                .any(|(_, scope)| withdraws(scope, number, answer))
     }
 }
 
-/// Whether a purge withdraws an answer.
+/// Whether an answer is in the scope of a purge.
 fn withdraws(scope: &PurgeScope, number: &Number, answer: &LocateAnswer) -> bool {
     match scope {
-        PurgeScope::Number(one) => one == number,
+        PurgeScope::Number(purged) => purged == number,
         PurgeScope::Prefix(prefix) => number.as_str().starts_with(prefix.as_str()),
         PurgeScope::Owner(name) => {
-            answer.records.iter().any(|r| r.key.owner.name == *name || r.key.owner.front == *name)
+            let is_owned = |owner: &Owner| owner.name == *name || owner.front == *name;
+            answer.records.iter().any(|record| is_owned(&record.key.owner))
         }
         PurgeScope::All => true,
     }
@@ -60,7 +69,7 @@
 }
 
 impl Cache {
-    /// A cache for up to about so many numbers.
+    /// Creates a cache for about `capacity` numbers. The capacity is divided evenly among the shards.
     pub fn new(capacity: usize, safeguards: Safeguards) -> Self {
         let shards = (0..SHARDS).map(|_| Mutex::default()).collect();
         Cache {
@@ -75,17 +84,20 @@
         &self.shards[shard_of(number.hash64(), SHARDS)]
     }
 
-    /// The cached answer about a number. The caller checks the lease after this, and before it uses the answer.
+    /// Returns the cached answer about a number. The caller must check the lease after this call and before
+    /// it uses the answer.
     pub fn get(&self, number: &Number) -> Option<LocateAnswer> {
         self.shard(number).lock().entries.get(number).cloned()
     }
 
-    /// Caches an answer that was read from `read_from_ns` on, unless a purge has withdrawn it since; whether it did.
+    /// Caches an answer that was read at or after `read_from_ns`, unless a purge has withdrawn it since.
+    /// Returns whether the answer was cached.
     pub fn fill(&self, read_from_ns: Nanos, number: &Number, answer: &LocateAnswer) -> bool {
         let mut shard = self.shard(number).lock();
-        // Under the shard's lock: a purge that is listed after this check finds the entry in the shard.
-        let withdrawn = self.recent_purges.lock().withdrawn_since(read_from_ns, number, answer);
-        if withdrawn && self.safeguards.stale_fills {
+        // Checked under the shard's lock: a purge that is added after this check will find the entry in the
+        // shard.
+        let is_withdrawn = self.recent_purges.lock().withdrawn_since(read_from_ns, number, answer);
+        if is_withdrawn && self.safeguards.stale_fills {
             return false;
         }
         let cached = LocateAnswer { is_cached: true, ..answer.clone() };
@@ -99,14 +111,16 @@
         true
     }
 
-    /// Applies a command: when this returns, nothing that it purges is served or filled.
+    /// Applies a command. After this returns, no answer in the scope of the purge is cached or can be filled
+    /// by an earlier read.
     pub fn apply(&self, now: Nanos, command: &FleetCommand) {
         let CommandAction::Purge(scopes) = &command.action else { return };
         {
             let mut recent_purges = self.recent_purges.lock();
             recent_purges.scopes.extend(scopes.iter().map(|scope| (now, scope.clone())));
             while recent_purges.scopes.len() > MAX_RECENT_SCOPES {
-                recent_purges.known_from_ns = recent_purges.scopes.pop_front().map_or(0, |(at, _)| at + 1);
+                recent_purges.known_from_ns =
+                    recent_purges.scopes.pop_front().map_or(0, |(purged_ns, _)| purged_ns + 1);
             }
         }
         let numbers = scopes.iter().filter_map(|scope| match scope {
@@ -120,14 +134,14 @@
             return;
         }
         for shard in &self.shards {
-            let is_withdrawn = |n: &Number, answer: &LocateAnswer| {
-                wide_scopes.iter().any(|scope| withdraws(scope, n, answer))
+            let is_withdrawn = |number: &Number, answer: &LocateAnswer| {
+                wide_scopes.iter().any(|scope| withdraws(scope, number, answer))
             };
             shard.lock().entries.retain(|number, answer| !is_withdrawn(number, answer));
         }
     }
 
-    /// Drops everything, after a reset. What was read before now fills nothing.
+    /// Removes all answers after a reset. Answers that were read up to now can't be cached any more.
     pub fn clear(&self, now: Nanos) {
         {
             let mut recent_purges = self.recent_purges.lock();
@@ -139,12 +153,12 @@
         }
     }
 
-    /// How many numbers are cached.
+    /// The number of cached answers.
     pub fn len(&self) -> usize {
         self.shards.iter().map(|shard| shard.lock().entries.len()).sum()
     }
 
-    /// Whether none is.
+    /// Whether the cache is empty.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
--- a/crates/lilacpitch-fleet/src/catalogue.rs
+++ b/crates/lilacpitch-fleet/src/catalogue.rs
@@ -1,6 +1,7 @@
-//! Summaries of the sites' location records, as a process holds them: which sites may have a record that a query
-//! matches, and which can be ruled out without a request. A summary may only err towards a request.
-//! Summaries reach a process by polling its parent and its children, in versions a shard.
+//! The summaries of the location records of all sites, as one process holds them. They tell which sites may
+//! have a matching record and which can be ruled out without a request. False positives are allowed, false
+//! negatives are not. A process obtains summaries by polling its parent and its children; each shard of a
+//! summary has its own version.
 
 use crate::lease::LeaseTerms;
 use crate::message::{KnownSummary, LogPosition, PendingPurges, SiteSummaryUpdate};
@@ -9,54 +10,58 @@
 use lilacpitch_location::{LocationError, Query, QueryTarget, ShardSummary, ShardUpdate};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Bytes of shard updates in one response; the rest is requested again.
+/// Once a response holds this many bytes of shard updates, the others are left to the next request.
 pub const MAX_UPDATE_BYTES: usize = 1 << 20;
-/// Most shards that a site may have by its summary.
+/// Most shards that a summary may have.
 const MAX_SHARDS: u32 = 1 << 16;
-/// Most bytes of one fingerprint in a message: a `u32` as a varint of `postcard`.
+/// Most bytes of one fingerprint in a message: `postcard` encodes a `u32` as a varint.
 const MAX_FINGERPRINT_BYTES: usize = 5;
-/// Bytes of an update beside its base and its fingerprints, rounded up.
+/// The bytes of a shard update without its base and fingerprints, rounded up.
 const UPDATE_HEADER_BYTES: usize = 16;
 
-/// What a summary tells about a query.
+/// Whether a site may have records that match a query, according to its summary.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum SiteVerdict {
     /// The site has no matching record, by this version of its summary.
     RuledOut {
-        /// The incarnation of the process whose versions these are.
+        /// The incarnation of the process that numbered the versions.
         incarnation: u64,
         /// The sum of the versions of all shards.
         total: u64,
-        /// When the summary was requested, by this process's steady clock.
+        /// The time as of which the summary is valid, by this process's steady clock.
         as_of_ns: Nanos,
     },
-    /// The site may have a matching record: query it.
+    /// The site may have a matching record and must be queried.
     MayContain,
-    /// The summary is missing, too old, or does not cover the query: query the site.
+    /// The summary is missing, too old, or does not cover the query: the site must be queried.
     Unknown,
 }
 
+/// The summary of one site.
 #[derive(Debug, Default)]
 struct Summary {
+    /// The incarnation of the process that numbered the versions.
     incarnation: u64,
     shards: Vec<ShardSummary>,
+    /// The sum of the versions of all shards.
     total: u64,
-    /// The moment of which it is true, by this process's steady clock: the first process on its path requested it
-    /// then. `None`: not complete yet.
+    /// The time as of which the summary is valid, by this process's steady clock: when the first process on
+    /// its path requested it. `None`: the summary is not complete yet.
     as_of_ns: Option<Nanos>,
-    /// Hashes of numbers whose purge is not in the command log yet.
+    /// Hashes of the numbers whose purge is not in the command log yet.
     pending: BTreeSet<u64>,
-    /// There are more of them than are listed.
+    /// Whether there are more pending numbers than could be listed; `pending` is empty then.
     many_pending: bool,
-    /// The last purge command for this site's changes.
+    /// The position of the last purge command for this site's changes.
     purge_position: LogPosition,
-    /// The site's total is greater than that of the versions held here.
+    /// Whether the site's total is greater than the total of the versions held here.
     is_incomplete: bool,
 }
 
 /// The summaries of all sites.
 #[derive(Debug)]
 pub struct Catalogue {
+    /// The maximum age of a summary that may rule a site out, in nanoseconds.
     settle_ns: Nanos,
     terms: LeaseTerms,
     safeguards: Safeguards,
@@ -64,7 +69,8 @@
 }
 
 impl Catalogue {
-    /// A catalogue of these sites, without summaries yet. A summary older than `settle_ns` rules nothing out.
+    /// Creates a catalogue of these sites, without summaries. A summary that is older than `settle_ns` rules
+    /// no site out.
     pub fn new<'a>(
         sites: impl IntoIterator<Item = &'a str>,
         settle_ns: Nanos,
@@ -75,12 +81,15 @@
         Catalogue { settle_ns, terms, safeguards, sites }
     }
 
+    /// The time as of which a summary is valid; `None` if the summary is incomplete or too old.
     fn fresh_as_of(&self, summary: &Summary, now: Nanos) -> Option<Nanos> {
-        let is_fresh = |at: &Nanos| now.saturating_sub(*at) <= self.settle_ns || !self.safeguards.summary_age;
+        let is_fresh = |as_of_ns: &Nanos| {
+            now.saturating_sub(*as_of_ns) <= self.settle_ns || !self.safeguards.summary_age
+        };
         summary.as_of_ns.filter(is_fresh)
     }
 
-    /// What each site's summary says of a question.
+    /// Whether each site may have matching records, according to its summary.
     pub fn candidates<'a>(
         &'a self,
         now: Nanos,
@@ -88,14 +97,14 @@
     ) -> impl Iterator<Item = (&'a str, SiteVerdict)> {
         let hash = match &query.target {
             QueryTarget::Number(number) => Some(number.hash64()),
-            // A summary knows whole numbers only.
+            // A summary covers whole numbers only.
             QueryTarget::Prefix(_) => None,
         };
         self.sites.iter().map(move |(site, summary)| {
             let verdict = match (self.fresh_as_of(summary, now), hash) {
                 (Some(as_of_ns), Some(hash)) => {
                     let shard = &summary.shards[shard_of(hash, summary.shards.len())];
-                    let out = SiteVerdict::RuledOut {
+                    let ruled_out = SiteVerdict::RuledOut {
                         incarnation: summary.incarnation,
                         total: summary.total,
                         as_of_ns,
@@ -103,7 +112,7 @@
                     if shard.may_contain(fingerprint(hash)) {
                         SiteVerdict::MayContain
                     } else {
-                        out
+                        ruled_out
                     }
                 }
                 _ => SiteVerdict::Unknown,
@@ -112,8 +121,9 @@
         })
     }
 
-    /// Whether the answer that a lease holder has cached for a number is still what the sites would answer: every
-    /// summary is fresh, and all changes of the number have been purged by commands up to `applied`.
+    /// Whether the cached answer of a lease holder about a number is still the one that the sites would give.
+    /// This is so if all summaries are fresh and all changes of the number are purged by commands up to
+    /// `applied`.
     pub fn confirms_cached(&self, now: Nanos, hash: u64, applied: LogPosition) -> bool {
         self.sites.values().all(|summary| {
             let is_purged = summary.purge_position.index == 0 || applied.includes(summary.purge_position);
@@ -128,9 +138,9 @@
         stale.map(|(site, _)| site.clone()).collect()
     }
 
-    /// The versions to request updates with.
+    /// The versions held here, to be sent with a request for updates.
     pub fn known_summaries(&self) -> Vec<KnownSummary> {
-        let known = |(site, summary): (&String, &Summary)| KnownSummary {
+        let known_summary = |(site, summary): (&String, &Summary)| KnownSummary {
             site: site.clone(),
             incarnation: summary.incarnation,
             shards: match summary.is_incomplete {
@@ -139,22 +149,23 @@
             },
             total: summary.total,
         };
-        self.sites.iter().map(known).collect()
+        self.sites.iter().map(known_summary).collect()
     }
 
-    /// Applies the response to a request for summaries that was sent at `asked_ns`, by the steady clock of this
-    /// process. An update that can't be decoded costs its site the summary until the next update, and nothing else.
-    pub fn apply_updates(&mut self, asked_ns: Nanos, updates: Vec<SiteSummaryUpdate>) -> AppliedUpdates {
+    /// Applies the response to a request for updates that was sent at `requested_ns` by this process's steady
+    /// clock. An update that can't be decoded discards the summary of its site until the next update, and
+    /// nothing else.
+    pub fn apply_updates(&mut self, requested_ns: Nanos, updates: Vec<SiteSummaryUpdate>) -> AppliedUpdates {
         let mut applied = AppliedUpdates::default();
         for update in updates {
             let Some(summary) = self.sites.get_mut(&update.site) else { continue };
-            // Each process of a site numbers its versions for itself: the one followed now is kept while it responds.
-            let is_recent = |at: Nanos| asked_ns.saturating_sub(at) <= self.settle_ns / 2;
+            // Each process of a site numbers versions on its own: keep to the same process while it responds.
+            let is_recent = |as_of_ns: Nanos| requested_ns.saturating_sub(as_of_ns) <= self.settle_ns / 2;
             if summary.incarnation != update.incarnation && summary.as_of_ns.is_some_and(is_recent) {
                 continue;
             }
-            // Its age was measured by a clock that may be slower than this one.
-            let as_of_ns = asked_ns.saturating_sub(self.terms.worst_case_ns(update.age_ns));
+            // The age was measured by a clock that may be slower than this one.
+            let as_of_ns = requested_ns.saturating_sub(self.terms.worst_case_ns(update.age_ns));
             match summary.apply_update(as_of_ns, update) {
                 Ok(has_more) => applied.has_more |= has_more,
                 Err(error) => {
@@ -166,7 +177,7 @@
         applied
     }
 
-    /// The updates that another process lacks by what it knows, but for the sites that `skip` names.
+    /// The updates that a process with these versions lacks, except those of sites for which `skip` is true.
     pub fn updates_since(
         &self,
         now: Nanos,
@@ -204,29 +215,29 @@
     }
 }
 
-/// What [`Catalogue::apply_updates`] has done.
+/// The result of [`Catalogue::apply_updates`].
 #[derive(Debug, Default)]
 pub struct AppliedUpdates {
-    /// Some summary is not up to date yet: request updates again at once.
+    /// Whether a summary is not up to date yet, so that updates must be requested again at once.
     pub has_more: bool,
-    /// Why updates were rejected, one for each.
+    /// The error of each rejected update.
     pub errors: Vec<LocationError>,
 }
 
 /// The updates of one site's shards that a process lacks.
 #[derive(Debug, Default)]
 pub struct ShardUpdates {
-    /// The updates, by shard.
+    /// The updates, in the order of shards.
     pub updates: Vec<ShardUpdate>,
-    /// The sum of the versions of all shards once these are applied.
+    /// The sum of the versions of all shards once these updates are applied.
     pub total: u64,
-    /// There are more than these: request again.
+    /// Whether there are more updates, to be requested next.
     pub has_more: bool,
 }
 
-/// The updates of a site's shards since the versions that a process knows. Their size in bytes is taken off
-/// `capacity_bytes`; once that is 0 the rest waits for the next request. `shard_since` gives a shard's update, by its
-/// index, since a version.
+/// Returns the updates of a site's shards since the versions in `known`. The size of the updates is
+/// subtracted from `capacity_bytes`; once it is 0, further updates are left to the next request.
+/// `shard_since` returns the update of the shard at an index since a version.
 pub fn shard_updates_since(
     known: &KnownSummary,
     incarnation: u64,
@@ -256,7 +267,7 @@
     ShardUpdates { updates, total: new_total, has_more: false }
 }
 
-/// About how many bytes an update takes in a message.
+/// The approximate size of an update in a message, in bytes.
 fn size_on_wire(update: &ShardUpdate) -> usize {
     let base_bytes = update.base.as_ref().map_or(0, |(_, bytes)| bytes.len());
     base_bytes + MAX_FINGERPRINT_BYTES * update.added.len() + UPDATE_HEADER_BYTES
@@ -270,7 +281,7 @@
         }
     }
 
-    /// Applies one site's update; whether the summary still lacks something.
+    /// Applies an update. Returns whether the summary is still incomplete.
     fn apply_update(&mut self, as_of_ns: Nanos, update: SiteSummaryUpdate) -> Result<bool, LocationError> {
         if update.shards == 0 || update.shards > MAX_SHARDS {
             return Err(LocationError::Shards(update.shards as usize));
@@ -287,9 +298,9 @@
                 .apply_update(shard_update)?;
         }
         self.total = self.shards.iter().map(ShardSummary::version).sum();
-        // Who has a lower total than is known here lags behind: nothing is to be had from it.
+        // A sender with a lower total lags behind this process and has no further updates for it.
         self.is_incomplete = self.total < update.total;
-        // The older of two responses takes nothing back.
+        // Responses may arrive out of order: an older one does not replace newer values.
         let is_newer = self.as_of_ns.is_none_or(|known_ns| known_ns <= as_of_ns);
         if self.total == update.total && is_newer {
             self.as_of_ns = Some(as_of_ns);
--- a/crates/lilacpitch-fleet/src/locate.rs
+++ b/crates/lilacpitch-fleet/src/locate.rs
@@ -1,5 +1,6 @@
-//! One locate: a query to all sites that may have a matching record, and the answer merged from their responses. Sites
-//! that their summary rules out are not queried; sites that did not respond are named in the answer.
+//! One locate: a query to all sites that may have a matching record, and the answer that is merged from their
+//! responses. A site that is ruled out by its summary is not queried. The answer names the sites that did not
+//! respond.
 
 use crate::catalogue::{Catalogue, SiteVerdict};
 use crate::error::LocateError;
@@ -10,46 +11,46 @@
 /// Most records of one answer.
 pub const MAX_LIMIT: usize = 1_000;
 
-/// What became of a site in a locate.
+/// The outcome of a locate at one site.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum SiteOutcome {
-    /// Its summary rules it out.
+    /// The site's summary shows that it has no matching record.
     RuledOut {
-        /// The incarnation of the process whose versions these are.
+        /// The incarnation of the process that numbered the summary's versions.
         incarnation: u64,
-        /// The version.
+        /// The version of the summary: the sum of the versions of all shards.
         total: u64,
-        /// When it was requested, by this process's steady clock.
+        /// The time as of which the summary is valid, by this process's steady clock.
         as_of_ns: Nanos,
     },
-    /// It was queried, and responded.
+    /// The site responded to the query.
     Queried {
-        /// The process that responded.
+        /// The name of the process that responded.
         process: String,
-        /// How many records it found.
+        /// The number of records that it found.
         records: usize,
     },
-    /// It could not be queried, or did not respond.
+    /// The site could not be queried, rejected the query, or did not respond in time.
     Unreachable(LocateError),
 }
 
-/// An answer: what was found, and what it rests on.
+/// The answer of a locate: the records found, and the outcome at each site.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct LocateAnswer {
-    /// The records, in the order of keys.
+    /// The records found, in key order.
     pub records: Vec<LocationRecord>,
-    /// What became of each site.
+    /// The outcome at each site, by name.
     pub sites: BTreeMap<String, SiteOutcome>,
-    /// Every site has responded or is ruled out.
+    /// Whether every site has responded or is ruled out.
     pub is_complete: bool,
-    /// There is more after this key.
+    /// The key after which there are more records; `None`: there are no more.
     pub cursor: Option<Key>,
-    /// It came from the cache.
+    /// Whether the answer came from the cache.
     pub is_cached: bool,
 }
 
 impl LocateAnswer {
-    /// The newest record: two sites may hold a number, and the later one is where it is.
+    /// The newest record. If two sites have a record of the number, the later one is valid.
     pub fn newest(&self) -> Option<&LocationRecord> {
         self.records.iter().max_by_key(|record| (record.since_ms, &record.key))
     }
@@ -60,19 +61,19 @@
 pub struct Locate {
     /// The query.
     pub query: Query,
-    /// Only records behind this key.
+    /// Only records after this key are wanted.
     pub after: Option<Key>,
     limit: usize,
     safeguards: Safeguards,
     sites: BTreeMap<String, Option<SiteOutcome>>,
     pages: Vec<Page>,
-    /// Everything that goes into the answer was read at this moment or later.
+    /// Everything in the answer was read at this time or later.
     read_from_ns: Nanos,
 }
 
 impl Locate {
-    /// Begins a locate; [`Locate::pending_sites`] are to be queried. `limit` is the number of records wanted, up to
-    /// [`MAX_LIMIT`].
+    /// Begins a locate; the caller then queries [`Locate::pending_sites`]. `limit` is the number of records
+    /// wanted, up to [`MAX_LIMIT`].
     pub fn begin(
         now: Nanos,
         query: Query,
@@ -97,21 +98,21 @@
         Locate { query, after, limit, safeguards, sites, pages: Vec::new(), read_from_ns }
     }
 
-    /// Most records of the answer.
+    /// The maximum number of records in the answer.
     pub fn limit(&self) -> usize {
         self.limit
     }
 
-    /// The sites that have not responded.
+    /// The sites that have yet to respond.
     pub fn pending_sites(&self) -> impl Iterator<Item = &str> {
         self.sites.iter().filter(|(_, outcome)| outcome.is_none()).map(|(site, _)| site.as_str())
     }
 
-    /// Records a site's response, with the name of the process, or why there is none. Duplicate and late responses change
-    /// nothing.
-    pub fn record_response(&mut self, site: &str, outcome: Result<(Page, String), LocateError>) {
+    /// Records a site's response: a page of records with the name of the process, or the error. Duplicate and
+    /// late responses are ignored.
+    pub fn record_response(&mut self, site: &str, response: Result<(Page, String), LocateError>) {
         let Some(site_outcome) = self.sites.get_mut(site).filter(|outcome| outcome.is_none()) else { return };
-        *site_outcome = Some(match outcome {
+        *site_outcome = Some(match response {
             Ok((page, process)) => {
                 let records = page.records.len();
                 self.pages.push(page);
@@ -121,12 +122,12 @@
         });
     }
 
-    /// Everything in the answer was read at this moment or later: for [`crate::cache::Cache::fill`].
+    /// The time at or after which everything in the answer was read; passed to [`crate::cache::Cache::fill`].
     pub fn read_from_ns(&self) -> Nanos {
         self.read_from_ns
     }
 
-    /// The answer by now: sites that have not responded were not reached in time.
+    /// Returns the answer. Sites that have not responded yet count as timed out.
     pub fn into_answer(self) -> LocateAnswer {
         let timed_out = || SiteOutcome::Unreachable(LocateError::Late);
         let mut sites: BTreeMap<String, SiteOutcome> =
@@ -135,18 +136,21 @@
             sites.retain(|_, outcome| !matches!(outcome, SiteOutcome::Unreachable(_)));
         }
         let is_complete = !sites.values().any(|outcome| matches!(outcome, SiteOutcome::Unreachable(_)));
-        // Behind the first cursor of any site, records of that site are missing.
-        let first_cut = self.pages.iter().filter_map(|page| page.cursor.clone()).min();
+        // A site with a cursor has more records after it, so the answer must end at the lowest cursor of any
+        // site.
+        let lowest_cursor = self.pages.iter().filter_map(|page| page.cursor.clone()).min();
         let mut records: Vec<LocationRecord> = self.pages.into_iter().flat_map(|page| page.records).collect();
         records.sort_unstable_by(|a, b| a.key.cmp(&b.key));
         records.dedup_by(|a, b| a.key == b.key);
-        if let Some(first_cut) = &first_cut {
-            records.retain(|record| record.key <= *first_cut);
+        if let Some(lowest_cursor) = &lowest_cursor {
+            records.retain(|record| record.key <= *lowest_cursor);
         }
         let exceeds_limit = records.len() > self.limit;
         records.truncate(self.limit);
-        let cursor =
-            records.last().map(|record| record.key.clone()).filter(|_| exceeds_limit || first_cut.is_some());
+        let cursor = records
+            .last()
+            .map(|record| record.key.clone())
+            .filter(|_| exceeds_limit || lowest_cursor.is_some());
         LocateAnswer { records, sites, is_complete, cursor, is_cached: false }
     }
 }
--- a/crates/lilacpitch-fleet/src/message.rs
+++ b/crates/lilacpitch-fleet/src/message.rs
@@ -1,5 +1,5 @@
-//! The messages between processes of the fleet, as `postcard` writes them: it writes the order of variants and fields,
-//! not their names. Both ends need the same [`VERSION`].
+//! The messages between the processes of a fleet, encoded by `postcard`. The encoding depends on the order of
+//! variants and fields, not on their names. Both ends must use the same [`VERSION`].
 
 use crate::audit::AuditRecord;
 use crate::disk_loss_recovery::LogVote;
@@ -7,7 +7,7 @@
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
-/// The version of these messages.
+/// The version of the message format.
 pub const VERSION: u16 = 1;
 /// Most commands in one message.
 pub const MAX_COMMANDS: usize = 512;
@@ -15,44 +15,44 @@
 pub const MAX_SCOPES: usize = 1_024;
 /// Most records or record changes in one message.
 pub const MAX_RECORDS: usize = 1_024;
-/// Most names in a list of who is missing; how many are missing is a field beside it.
+/// Most names in a list of processes that have not acknowledged; their count is a separate field.
 pub const MAX_NAMES: usize = 32;
 
-/// What a process is.
+/// The role of a process in the fleet.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Role {
-    /// A front: it holds cached answers.
+    /// A front, which caches answers.
     Front,
-    /// A process of a site, by the site's name and its index there.
+    /// A process of a site: the name of the site and the index of the process in it.
     Process(String, u32),
 }
 
-/// The first message of each end of a connection.
+/// The first message that each end of a connection sends.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Hello {
-    /// [`VERSION`].
+    /// The sender's [`VERSION`].
     pub version: u16,
-    /// The process's name, unique in the fleet.
+    /// The name of the process, unique in the fleet.
     pub name: String,
-    /// When this incarnation of it started, in nanoseconds since 1970.
+    /// The incarnation: when the process started, in nanoseconds since 1970.
     pub incarnation: u64,
-    /// What the process is.
+    /// The role of the process.
     pub role: Role,
-    /// Drawn at random for this connection: frames to this end name it.
+    /// A random number for this connection; later frames to this end contain it.
     pub nonce: u64,
 }
 
 /// A position in the command log.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Hash, Serialize, Deserialize)]
 pub struct LogPosition {
-    /// The log's number: another log begins when the root has lost commands.
+    /// The id of the log. The root begins another log when it has lost commands.
     pub log: u64,
-    /// The number of the last command, from 1; 0: none yet.
+    /// The number of the last command in the log, from 1; 0: no command yet.
     pub index: u64,
 }
 
 impl LogPosition {
-    /// Whether all commands up to `other` are at or before this position. Positions of different logs include nothing.
+    /// Whether `other` is in the same log and at or before this position.
     pub fn includes(self, other: LogPosition) -> bool {
         self.log == other.log && self.index >= other.index
     }
@@ -64,36 +64,36 @@
     }
 }
 
-/// Which cached answers a purge withdraws.
+/// Which cached answers a purge removes.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum PurgeScope {
-    /// Those about one number.
+    /// Answers about one number.
     Number(Number),
-    /// Those about all numbers with this prefix.
+    /// Answers about all numbers with this prefix.
     Prefix(String),
-    /// Those with a record of this front or server.
+    /// Answers that contain a record of this front or server.
     Owner(String),
-    /// All.
+    /// All answers.
     All,
 }
 
-/// What a command does.
+/// The effect of a command.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum CommandAction {
     /// Purges cached answers.
     Purge(Vec<PurgeScope>),
-    /// Withdraws a settings version: fronts no longer act on it.
+    /// Withdraws a settings version, by its digest: fronts no longer act on it.
     Withdraw(u64),
-    /// Reinstates a settings version.
+    /// Reinstates a withdrawn settings version, by its digest.
     Reinstate(u64),
 }
 
 /// A command of the command log.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FleetCommand {
-    /// Its number in the log, from 1, without gaps.
+    /// The number of the command in the log, from 1, without gaps.
     pub number: u64,
-    /// What it does.
+    /// The effect of the command.
     pub action: CommandAction,
 }
 
@@ -106,179 +106,181 @@
     Withdraw(Key),
 }
 
-/// What a process knows of a site's summary.
+/// The versions of a site's summary that a process has, sent to request updates.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct KnownSummary {
-    /// The site.
+    /// The name of the site.
     pub site: String,
-    /// The incarnation of the process whose versions these are.
+    /// The incarnation of the process that numbered the versions.
     pub incarnation: u64,
-    /// The version of each shard; empty: only whether anything is newer than `total` is requested.
+    /// The version of each shard. If empty, the request only asks whether anything is newer than `total`.
     pub shards: Vec<u64>,
     /// The sum of the versions of all shards.
     pub total: u64,
 }
 
-/// Numbers that changed at a site and whose purge is not in the command log yet, by hash.
+/// The numbers that changed at a site and whose purge is not in the command log yet.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum PendingPurges {
-    /// These.
+    /// The hashes of all of them.
     Some(Vec<u64>),
-    /// More than are listed.
+    /// Too many to be listed.
     Many,
 }
 
 /// An update of a site's summary.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SiteSummaryUpdate {
-    /// The site.
+    /// The name of the site.
     pub site: String,
-    /// The incarnation of the process whose versions these are.
+    /// The incarnation of the process that numbered the versions.
     pub incarnation: u64,
-    /// How many shards it has.
+    /// The number of shards.
     pub shards: u32,
-    /// The sum of their versions once this is applied.
+    /// The sum of the versions of all shards once this update is applied.
     pub total: u64,
-    /// How old it is when it is sent, in nanoseconds.
+    /// The age of the summary when the update is sent, in nanoseconds.
     pub age_ns: u64,
-    /// Changes that are not purged yet.
+    /// Changes whose purge is not in the command log yet.
     pub pending: PendingPurges,
     /// The position of the last purge of the site's changes.
     pub purge_position: LogPosition,
-    /// The updates of the shards whose versions were named.
+    /// Updates of the shards that are newer than the versions in the request.
     pub shard_updates: Vec<ShardUpdate>,
-    /// There is more: request again.
+    /// Whether there are more updates, to be requested next.
     pub has_more: bool,
 }
 
-/// A request of one process to another.
+/// A request from one process to another.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum Request {
-    /// A holder requests its lease from its parent; with its position, if it has one.
+    /// To the parent: grants or renews the sender's lease. Contains the sender's position in the command log,
+    /// if it has one.
     RenewLease(Option<LogPosition>),
-    /// A process reports what everybody below it has acknowledged.
+    /// To the parent: what all lease holders below the sender have acknowledged.
     ReportAcknowledged {
-        /// Everybody below has acknowledged up to here, or has no lease any more.
+        /// Every process below that may still hold a lease has acknowledged the commands up to this position.
         acknowledged: LogPosition,
-        /// The names of some who are missing.
+        /// The names of some holders that have not acknowledged all commands, [`MAX_NAMES`] at most.
         missing: Vec<String>,
-        /// How many are missing.
+        /// The number of holders that have not acknowledged all commands.
         missing_count: u32,
     },
-    /// A holder has dropped everything it cached, and releases its lease.
+    /// To the parent: the sender has dropped all cached answers and releases its lease.
     ReleaseLease,
-    /// Commands, from the parent.
+    /// From the parent: commands to be applied.
     Commands {
-        /// The number of their log.
+        /// The id of their log.
         log: u64,
-        /// The commands in their order, without gaps.
+        /// The commands in log order, without gaps.
         commands: Vec<FleetCommand>,
     },
-    /// To the root: append a command.
+    /// To the root: appends a command to the command log.
     Submit(CommandAction),
-    /// To the root: up to which command are purges complete?
+    /// To the root: returns the last command and the index up to which purges are complete.
     Progress,
-    /// To the root: audit records of fronts.
+    /// To the root: appends audit records of fronts.
     Audit(Vec<AuditRecord>),
-    /// To the home site: changes of this front's records, numbered by it without gaps. A change that comes twice, or
-    /// after a later one, changes nothing.
+    /// To the home site: changes of the sending front's records, which the front numbers without gaps. A
+    /// change that arrives twice, or after a later one, has no effect.
     Write {
-        /// The first change's number, from 1.
+        /// The number of the first change, from 1.
         first: u64,
         /// The changes.
         changes: Vec<RecordChange>,
     },
-    /// Find matching records.
+    /// Finds matching records.
     FindRecords {
         /// The query.
         query: Query,
-        /// Only records behind this key.
+        /// Returns only records after this key.
         after: Option<Key>,
-        /// Most records wanted.
+        /// Most records to be returned.
         limit: u32,
-        /// A call waits for the response.
+        /// Whether a call waits for the response.
         urgent: bool,
     },
-    /// Updates of the summaries that the requester knows.
+    /// Requests updates of these summaries.
     Summaries(Vec<KnownSummary>),
-    /// Within a site: the log index that must be applied before a read.
+    /// Within a site: returns the log index that must be applied before a read.
     ReadIndex,
-    /// Within a site, from a process whose disk is new: the vote that the other one holds.
+    /// Within a site, from a process with a new disk: returns the vote that the receiver holds.
     HeldVote,
-    /// Within a site: remove all records that a front wrote in incarnations before this one.
+    /// Within a site: removes all records that a front wrote in incarnations before this one.
     RemoveOlderIncarnations(String, u64),
-    /// Within a site: for its leader, on behalf of a front or process, by name and incarnation.
+    /// Within a site: a request to the leader on behalf of a front or process, given by its name and
+    /// incarnation.
     Forwarded(String, u64, Box<Request>),
-    /// Within a site: a message of its replicated log.
+    /// Within a site: a message of the replicated log.
     Log(LogMessage),
 }
 
-/// A message of a site's replicated log, in the encoding of the log library.
+/// A message of a site's replicated log, in the encoding of the Raft library.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum LogMessage {
-    /// Entries.
+    /// An AppendEntries request.
     Append(Vec<u8>),
-    /// A vote.
+    /// A RequestVote request.
     Vote(Vec<u8>),
-    /// A part of a snapshot.
+    /// An InstallSnapshot request, with a part of a snapshot.
     Snapshot(Vec<u8>),
 }
 
 /// The response to a request.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum Response {
-    /// A lease, from the moment of the request on.
+    /// A lease, which begins when the holder sent the request.
     LeaseGranted {
-        /// Its length by the holder's steady clock, in nanoseconds; 0: none.
+        /// The length of the lease by the holder's steady clock, in nanoseconds; 0: no lease.
         for_ns: u64,
-        /// It is valid once all commands up to here are applied.
+        /// The lease is valid once all commands up to this position are applied.
         position: LogPosition,
-        /// Some of the commands that the holder lacks.
+        /// The next commands that the holder lacks.
         commands: Vec<FleetCommand>,
-        /// The id of the site's record store: another one has none of the records written before.
+        /// The id of the site's record store. When it changes, a front must write its records again.
         store_id: u64,
     },
-    /// The commands that the holder lacks are no longer retained: it drops everything it has cached, takes this position
-    /// and renews at once.
+    /// The commands that the holder lacks are no longer retained: the holder must drop all cached answers,
+    /// continue from this position and renew its lease at once.
     ResetRequired {
-        /// The position to take.
+        /// The position to continue from.
         position: LogPosition,
-        /// Settings versions that are withdrawn there.
+        /// The settings versions that are withdrawn at this position.
         withdrawn: Vec<u64>,
     },
-    /// The holder has applied all commands up to here.
+    /// The holder has applied all commands up to this position.
     Applied(LogPosition),
-    /// The command is committed, at this position.
+    /// The command is committed at this position.
     Committed(LogPosition),
-    /// Up to which command purges are complete.
+    /// The progress of purges.
     Progress {
-        /// The last command.
+        /// The position of the last command.
         ordered: LogPosition,
-        /// The index up to which they are complete: no process serves what these withdrew.
+        /// The index up to which purges are complete: no process serves an answer that they removed.
         complete: u64,
-        /// The names of some who are missing.
+        /// The names of some holders that have not acknowledged all commands, [`MAX_NAMES`] at most.
         missing: Vec<String>,
-        /// How many are missing.
+        /// The number of holders that have not acknowledged all commands.
         missing_count: u32,
     },
-    /// Written, and synced to the disks of a quorum.
+    /// The changes are written and synced to the disks of a quorum.
     Written,
-    /// Records that were found.
+    /// The records that match a query.
     Found {
         /// The records.
         page: Page,
-        /// The process that found them.
+        /// The name of the process that found them.
         process: String,
     },
     /// Updates of summaries.
     Summaries(Vec<SiteSummaryUpdate>),
-    /// The log index to wait for.
+    /// The log index that must be applied before the read.
     ReadIndex(u64),
     /// The vote that the process holds; `None`: its disk is new.
     HeldVote(Option<LogVote>),
-    /// A response of the log library, or its error, in its encoding.
+    /// The response of the Raft library, or its error, in the library's encoding.
     Log(Result<Vec<u8>, Vec<u8>>),
-    /// Done.
+    /// The request was carried out.
     Done,
     /// The request was rejected.
     Rejected(RejectReason),
@@ -287,30 +289,30 @@
 /// Why a process has rejected a request.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RejectReason {
-    /// Too many requests at once: retry after a delay.
+    /// Too many concurrent requests: retry after a delay.
     Overloaded {
-        /// The delay, in milliseconds.
+        /// The retry delay, in milliseconds.
         wait_ms: u32,
     },
-    /// The process lags behind its site, or can't tell.
+    /// The process lags behind its site, or can't determine whether it does.
     Behind,
-    /// The process has no lease of its own, and so grants none.
+    /// The process has no lease of its own and therefore grants none.
     NoLease,
     /// A later incarnation of the requester is known.
     Superseded,
-    /// The requester has no lease of this site: its writes are rejected.
+    /// The requester has no lease from this site, so its writes are rejected.
     Fenced,
     /// The requester lags too far behind for a lease; the commands that it lacks are sent to it.
     Lagging,
     /// The requester has applied commands that this log does not have.
     Ahead,
-    /// No process of the site leads.
+    /// The site has no leader.
     NoLeader,
-    /// This process does not handle such requests, or not of this requester.
+    /// This process does not handle such requests, or not from this requester.
     Unsupported,
-    /// The request is malformed: how.
+    /// The request is malformed, for this reason.
     Malformed(String),
-    /// The log, its disk or a connection failed.
+    /// The log, its disk or a connection failed, for this reason.
     Failed(String),
 }
 
@@ -326,8 +328,8 @@
             RejectReason::Ahead => f.write_str("ahead of the log"),
             RejectReason::NoLeader => f.write_str("no process leads"),
             RejectReason::Unsupported => f.write_str("not to be asked here"),
-            RejectReason::Malformed(what) => write!(f, "malformed: {what}"),
-            RejectReason::Failed(what) => write!(f, "failed: {what}"),
+            RejectReason::Malformed(reason) => write!(f, "malformed: {reason}"),
+            RejectReason::Failed(reason) => write!(f, "failed: {reason}"),
         }
     }
 }
@@ -335,10 +337,10 @@
 /// The body of a frame.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum Body {
-    /// The first frame of each end.
+    /// The first message of each end.
     Hello(Hello),
-    /// A request, with an id that the requester chose.
+    /// A request, with an id chosen by the requester.
     Request(u64, Request),
-    /// The response to the request of this id.
+    /// The response to the request with this id.
     Answer(u64, Response),
 }
--- a/crates/lilacpitch-fleet/src/query_dispatcher.rs
+++ b/crates/lilacpitch-fleet/src/query_dispatcher.rs
@@ -1,6 +1,7 @@
-//! Dispatches queries to the processes of sites: the controller of calls decides which process gets a query, when it is
-//! retried and when it is rejected. Sites are its pools, processes its servers, 'overloaded' a full processor. Each site
-//! and urgency is a class of its own, so that no query goes to another site.
+//! Dispatches queries to the processes of sites. The controller that dispatches calls decides which process
+//! gets a query, when the query is retried and when it is rejected: sites are its pools, processes are its
+//! servers, and an overloaded process is a server whose processor is full. Each combination of site and
+//! urgency has a class of its own, so that no query is sent to another site.
 
 use crate::Nanos;
 use lilacpitch::interface::{
@@ -12,30 +13,31 @@
 /// The timing of queries.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Timing {
-    /// The wanted response time, in nanoseconds.
+    /// The response time to be met, in nanoseconds.
     pub latency_objective_ns: Nanos,
-    /// The resolution of the timer, in nanoseconds.
+    /// The resolution of the caller's timer, in nanoseconds.
     pub tick_ns: Nanos,
 }
 
-/// The delay before the first health check of a process that did not respond; it doubles with each.
+/// The delay before the first health check of a process that did not respond; it doubles with each check.
 const FIRST_POLL_DELAY_NS: Nanos = 50_000_000;
-/// The longest delay between two health checks.
+/// The maximum delay between two health checks.
 const MAX_POLL_DELAY_NS: Nanos = 500_000_000;
 
-/// The delay before the `nth` health check, from 0, of a process that did not respond to a query, in nanoseconds.
+/// Returns the delay before the `nth` health check, from 0, of a process that did not respond, in
+/// nanoseconds.
 pub fn poll_delay_ns(nth: u32) -> Nanos {
     (FIRST_POLL_DELAY_NS << nth.min(16)).min(MAX_POLL_DELAY_NS)
 }
 
-/// What the caller is to do.
+/// What the caller of the dispatcher must do.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum DispatchAction {
-    /// Send the query to this process; without a response after the timeout the attempt has timed out.
+    /// Send the query to this process. Without a response after the timeout, the attempt has timed out.
     Send {
-        /// The query.
+        /// The id of the query.
         query_id: u64,
-        /// The attempt.
+        /// The number of the attempt, from 0.
         attempt: u32,
         /// The index of the site.
         site: usize,
@@ -44,35 +46,37 @@
         /// The timeout, in nanoseconds.
         timeout_ns: Nanos,
     },
-    /// The query is rejected for overload: no answer will come.
+    /// Reject the query with this id, because all processes are overloaded.
     Reject(u64),
-    /// All attempts of the query have failed: no answer will come.
+    /// Fail the query with this id, because all its attempts have failed.
     Fail(u64),
-    /// Call [`QueryDispatcher::handle_timer`] at this moment.
+    /// Call [`QueryDispatcher::handle_timer`] at this time.
     SetTimer(Nanos),
 }
 
-/// The queries in flight, and the controller that decides about them.
+/// The queries in flight, and the controller that dispatches them.
 pub struct QueryDispatcher {
     controller: Controller,
     endpoints: Vec<Endpoint>,
+    /// Reused for the controller's actions, so that it is allocated once.
     actions: Vec<Action>,
     next_query_id: u64,
+    /// The number of attempts sent so far, by query id.
     attempts: std::collections::BTreeMap<u64, u32>,
 }
 
-/// Most processes of a site: server ids are numbered by it.
+/// Most processes of a site. Server ids are `site * MAX_PROCESSES + process`.
 const MAX_PROCESSES: u64 = 64;
 
 impl QueryDispatcher {
-    /// A dispatcher for sites with so many processes each.
+    /// Creates a dispatcher; `sites` contains the number of processes of each site.
     pub fn new(sites: &[usize], timing: Timing, now: Nanos, seed: u64) -> Self {
         let class = |site: u32, is_urgent: bool| Class {
             latency_objective_ns: timing.latency_objective_ns,
             deadline_ns: timing.latency_objective_ns * 4,
             priority_weight: if is_urgent { 10.0 } else { 1.0 },
             late_weight: 0.5,
-            // A query changes nothing.
+            // A query has no side effects.
             idempotency: Idempotency::Idempotent,
             key_retention_ns: 0,
             pools: vec![site],
@@ -85,7 +89,7 @@
             resend_interval_ns: 0,
             release_ns: 0,
             max_attempts: 3,
-            // Attempts that time out go to another process while there is time.
+            // An attempt that times out is followed by one to another process while the budget lasts.
             may_cancel: false,
             max_retry_after_ns: 0,
             must_subscribe: false,
@@ -120,8 +124,9 @@
         }
     }
 
-    /// A process that did not respond does so again, by a health check: queries are too few to find that out in good time.
-    /// It is treated as a process that has just started, of which nothing is known.
+    /// Records that a process which did not respond has passed a health check. Queries alone are too rare to
+    /// detect a recovery in time. The process is then treated as one that has just started, without known
+    /// load.
     pub fn mark_recovered(&mut self, now: Nanos, site: usize, process: usize, out: &mut Vec<DispatchAction>) {
         let id = server_id(site, process);
         if let Some(endpoint) = self.endpoints.iter_mut().find(|endpoint| endpoint.server == id) {
@@ -131,7 +136,7 @@
         }
     }
 
-    /// Submits a query to a site, with a time budget in nanoseconds; its id.
+    /// Submits a query to a site, with a time budget in nanoseconds. Returns the id of the query.
     pub fn submit(
         &mut self,
         now: Nanos,
@@ -157,7 +162,7 @@
         id
     }
 
-    /// An attempt has completed; `attempt` is the [`DispatchAction::Send`] that began it.
+    /// Records the outcome of an attempt; `attempt` is the [`DispatchAction::Send`] that began it.
     pub fn complete_attempt(
         &mut self,
         now: Nanos,
@@ -178,14 +183,14 @@
         self.handle(now, event, out);
     }
 
-    /// Cancels a query: its answer is no longer wanted.
+    /// Cancels a query whose answer is no longer wanted.
     pub fn cancel(&mut self, now: Nanos, query_id: u64, out: &mut Vec<DispatchAction>) {
         if self.attempts.remove(&query_id).is_some() {
             self.handle(now, Event::ClientDisconnected(query_id), out);
         }
     }
 
-    /// The timer of [`DispatchAction::SetTimer`] has fired.
+    /// Handles the timer that [`DispatchAction::SetTimer`] has set.
     pub fn handle_timer(&mut self, now: Nanos, out: &mut Vec<DispatchAction>) {
         self.handle(now, Event::TimerFired, out);
     }
@@ -211,8 +216,8 @@
                     self.attempts.remove(&call);
                     out.push(DispatchAction::Fail(call));
                 }
-                Action::SetTimer(at) => out.push(DispatchAction::SetTimer(at)),
-                // Attempts may not be cancelled by the settings above, and the endpoint list does not change.
+                Action::SetTimer(time) => out.push(DispatchAction::SetTimer(time)),
+                // Not emitted: the settings above allow neither cancelled attempts nor subscriptions.
                 Action::CancelAttempt { .. } | Action::Subscribe => {}
             }
         }
--- a/crates/lilacpitch-fleet/src/write_batcher.rs
+++ b/crates/lilacpitch-fleet/src/write_batcher.rs
@@ -1,17 +1,19 @@
-//! Batches a front's record changes: a change of where a number is reached is urgent and takes along what waits; calls
-//! that begin and end can wait a little, since no answer about where a number is reached depends on them.
+//! Batches a front's record changes. A change of where a number can be reached is urgent: the whole batch is
+//! due at once. The start or end of a call may be delayed, since no answer about where a number can be
+//! reached depends on it.
 
 use crate::Nanos;
 
-/// How long a change that is not urgent waits for others.
+/// The longest time for which a change that is not urgent is held back, in nanoseconds.
 pub const MAX_DELAY_NS: Nanos = 20_000_000;
-/// With so many changes a batch is full.
+/// The number of changes with which a batch is full.
 pub const MAX_BATCH: usize = 256;
 
-/// Changes that go together, in their order.
+/// The batch of changes to be written next, in the order in which they were made.
 #[derive(Debug)]
 pub struct WriteBatcher<T> {
     pending: Vec<T>,
+    /// When the batch must be written; `None` if it is empty.
     due_ns: Option<Nanos>,
 }
 
@@ -22,20 +24,20 @@
 }
 
 impl<T> WriteBatcher<T> {
-    /// Adds a change; returns the batch where it is full by now.
+    /// Adds a change. Returns the batch if that makes it full.
     pub fn push(&mut self, now: Nanos, change: T, is_urgent: bool) -> Option<Vec<T>> {
         let due_ns = if is_urgent { now } else { now + MAX_DELAY_NS };
-        self.due_ns = Some(self.due_ns.map_or(due_ns, |earlier| earlier.min(due_ns)));
+        self.due_ns = Some(self.due_ns.map_or(due_ns, |current| current.min(due_ns)));
         self.pending.push(change);
         (self.pending.len() >= MAX_BATCH).then(|| self.take_batch())
     }
 
-    /// When the batch is due; `None`: it is empty.
+    /// When the batch must be written; `None` if it is empty.
     pub fn due_ns(&self) -> Option<Nanos> {
         self.due_ns
     }
 
-    /// The batch, if it is due.
+    /// Takes the batch if it is due.
     pub fn take_due(&mut self, now: Nanos) -> Option<Vec<T>> {
         self.due_ns.is_some_and(|due_ns| due_ns <= now).then(|| self.take_batch())
     }
