--- a/crates/lilacpitch-fleet/tests/pinned_stored.rs
+++ b/crates/lilacpitch-fleet/tests/pinned_stored.rs
@@ -1,8 +1,10 @@
-//! Pins what sites store and pass on: rows, records of the audit and its ledger, and the Golomb-coded set of a summary
-//! with the hash that it rests on. A disk and a summary outlive the build that wrote them.
+//! Pins the encodings of what sites store and exchange: location records, audit records, the audit log, and
+//! the Golomb-coded set of a summary with the hash behind it. Disks and summaries outlive the build that
+//! wrote them, so renaming or reordering in the code must not change the encodings.
 //!
-//! `tests/data/stored.txt` was written by the build of version 0.2.0. After a change of the format that is meant:
-//! `cargo test -p lilacpitch-fleet --test pinned_stored -- --ignored`.
+//! `tests/data/stored.txt` was written by the build of version 0.2.0. After an intended change of the format,
+//! write it again with `cargo test -p lilacpitch-fleet --test pinned_stored -- --ignored`.
+//! The labels below are those in the file.
 
 mod pinned;
 
@@ -15,12 +17,13 @@
 use std::fmt::Debug;
 
 const FILE: &str = "stored.txt";
-const VALUES: usize = 40;
+/// The number of fingerprints in the pinned set.
+const FINGERPRINTS: usize = 40;
 
-fn row(kind: Kind) -> LocationRecord {
-    let holder =
+fn location_record(kind: Kind) -> LocationRecord {
+    let owner =
         Owner { name: "server-3".into(), front: "edge-1".into(), incarnation: 1_700_000_001, serial: 77 };
-    let key = Key { number: Number::new("+4930123").unwrap(), kind, owner: holder };
+    let key = Key { number: Number::new("+4930123").unwrap(), kind, owner };
     LocationRecord {
         key,
         class: "emergency".into(),
@@ -29,7 +32,7 @@
     }
 }
 
-fn record() -> AuditRecord {
+fn audit_record() -> AuditRecord {
     let position = LogPosition { log: 1_700_000_003, index: 6 };
     let version = Version {
         settings: 301,
@@ -49,23 +52,23 @@
     }
 }
 
-fn ledger() -> AuditLog {
-    let mut ledger = AuditLog::default();
-    ledger.append(record()).unwrap();
-    ledger
+fn audit_log() -> AuditLog {
+    let mut log = AuditLog::default();
+    log.append(audit_record()).unwrap();
+    log
 }
 
 fn fingerprints() -> Vec<u32> {
     let number = |n: usize| Number::new(&format!("+4930{n}")).unwrap();
-    (0..VALUES).map(|n| fingerprint(number(n).hash64())).collect()
+    (0..FINGERPRINTS).map(|n| fingerprint(number(n).hash64())).collect()
 }
 
 fn samples() -> Vec<Sample> {
     let samples = [
-        ("row-reached", postcard::to_allocvec(&row(Kind::Binding)).unwrap()),
-        ("row-standing", postcard::to_allocvec(&row(Kind::ActiveCall)).unwrap()),
-        ("audit-record", postcard::to_allocvec(&record()).unwrap()),
-        ("audit-ledger", postcard::to_allocvec(&ledger()).unwrap()),
+        ("row-reached", postcard::to_allocvec(&location_record(Kind::Binding)).unwrap()),
+        ("row-standing", postcard::to_allocvec(&location_record(Kind::ActiveCall)).unwrap()),
+        ("audit-record", postcard::to_allocvec(&audit_record()).unwrap()),
+        ("audit-ledger", postcard::to_allocvec(&audit_log()).unwrap()),
         ("number-hash", Number::new("+4930123").unwrap().hash64().to_be_bytes().to_vec()),
         ("summary-empty", golomb_coded_set::encode(&[])),
         ("summary-set", golomb_coded_set::encode(&fingerprints())),
@@ -74,7 +77,7 @@
 }
 
 fn pinned_bytes(label: &str) -> Vec<u8> {
-    read(FILE).into_iter().find(|(found, _)| found == label).expect("a pinned sample").1
+    read(FILE).into_iter().find(|(pinned_label, _)| pinned_label == label).expect("a pinned sample").1
 }
 
 fn assert_decodes<T: DeserializeOwned + PartialEq + Debug>(label: &str, value: &T) {
@@ -82,24 +85,26 @@
 }
 
 #[test]
-fn encodes_everything_stored_as_pinned() {
+fn encodes_every_stored_value_as_pinned() {
     assert_pinned(FILE, &samples());
 }
 
 #[test]
-fn decodes_everything_pinned_to_the_same_value() {
-    assert_decodes("row-reached", &row(Kind::Binding));
-    assert_decodes("row-standing", &row(Kind::ActiveCall));
-    assert_decodes("audit-record", &record());
-    assert_decodes("audit-ledger", &ledger());
-    let mut values: Vec<u32> =
-        fingerprints().iter().map(|found| golomb_coded_set::scale(*found, VALUES)).collect();
+fn decodes_every_pinned_value_to_the_same_value() {
+    assert_decodes("row-reached", &location_record(Kind::Binding));
+    assert_decodes("row-standing", &location_record(Kind::ActiveCall));
+    assert_decodes("audit-record", &audit_record());
+    assert_decodes("audit-ledger", &audit_log());
+    let mut values: Vec<u32> = fingerprints()
+        .iter()
+        .map(|fingerprint| golomb_coded_set::scale(*fingerprint, FINGERPRINTS))
+        .collect();
     values.sort_unstable();
-    assert_eq!(golomb_coded_set::decode(&pinned_bytes("summary-set"), VALUES), Some(values));
+    assert_eq!(golomb_coded_set::decode(&pinned_bytes("summary-set"), FINGERPRINTS), Some(values));
 }
 
 #[test]
-#[ignore = "writes the pinned file anew"]
+#[ignore = "overwrites the pinned file"]
 fn write_pinned_stored() {
     pinned::write(FILE, &samples());
 }
