--- a/crates/lilacpitch-fleet/tests/model.rs
+++ b/crates/lilacpitch-fleet/tests/model.rs
@@ -1,6 +1,9 @@
-//! Purge, lease and fence at small sizes, every order of events explored: one root, one relay, one front, the cores as
-//! they are. Messages are lost, overtake each other and come late; relay and front die and come back; another process
-//! takes the root over. Whoever is not moved on while time goes by stands still.
+//! Explores purges, leases and write fencing with a model checker, in every order of events at a small size:
+//! one root, one process below it (the parent) and one front. The model runs the cores of the library
+//! unchanged.
+//!
+//! Messages are lost, reordered and delayed. The parent and the front restart, and another process of the
+//! root becomes the origin. A process that takes no action while the time advances is one that is suspended.
 
 use lilacpitch_fleet::ack_aggregator::{AckAggregator, AggregatedAck, ChildId};
 use lilacpitch_fleet::lease::LeaseTerms;
@@ -12,54 +15,106 @@
 use std::collections::BTreeSet;
 use std::hash::{Hash, Hasher};
 
+/// The length of a lease, in ticks.
 const LEASE: u64 = 2;
+/// The id of the command log.
 const LOG: u64 = 7;
 
+const NO_STALE_ANSWERS: &str = "purged answers are not served";
+const NO_UNFENCED_WRITES: &str = "an incarnation that has not requested a lease writes nothing";
+
+/// A process below the root.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
-enum Who {
-    Relay,
+enum Node {
+    Parent,
     Front,
 }
 
-/// What is on its way, to or from a life of the process below.
+/// A message in flight between a node and the process above it. The first two fields are the node and its
+/// incarnation.
 #[derive(Debug, Clone, PartialEq)]
 enum Message {
-    /// From a process: its life, when it asked, what it has applied.
-    Renew(Who, u64, u64, Option<LogPosition>),
-    /// To a process, with when it asked.
-    Answer(Who, u64, u64, Response),
-    Orders(Who, u64, Vec<FleetCommand>),
-    Applied(Who, u64, LogPosition),
-    Sum(u64, LogPosition),
+    /// A lease request, with the time when it was sent and the position of the node.
+    Renew(Node, u64, u64, Option<LogPosition>),
+    /// The response to a lease request, with the time when the request was sent.
+    Response(Node, u64, u64, Response),
+    /// Commands that are pushed to the node.
+    Commands(Node, u64, Vec<FleetCommand>),
+    /// The position up to which the node has applied commands.
+    Applied(Node, u64, LogPosition),
+    /// The parent's aggregated acknowledgement, with the parent's incarnation.
+    AggregatedAck(u64, LogPosition),
+}
+
+#[derive(Debug, Clone)]
+struct Parent {
+    incarnation: u64,
+    lease: LeaseHolder,
+    children: AckAggregator,
+}
+
+#[derive(Debug, Clone)]
+struct Front {
+    incarnation: u64,
+    lease: LeaseHolder,
 }
 
 #[derive(Debug, Clone)]
 struct State {
     now: u64,
-    /// How often the row changed: order `n` withdraws what was read before the `n`th change.
-    truth: u64,
+    /// How often the record has changed. Command `n` purges the answers that were read before the `n`th
+    /// change.
+    record_version: u64,
     root: AckAggregator,
-    taken_over: bool,
-    relay: (u64, LeaseHolder, AckAggregator),
-    front: (u64, LeaseHolder),
-    /// What the front has read of the row, and whether the answer is still on its way to it.
+    has_new_origin: bool,
+    parent: Parent,
+    front: Front,
+    /// The version of the record that the front has cached.
     cached: Option<u64>,
+    /// The version of the record in an answer that is on its way to the front.
     reading: Option<u64>,
     messages: Vec<Message>,
-    /// Up to where the root has ever reported complete.
+    /// The highest index that the root has reported as complete.
     complete: u64,
-    /// The front's writes were taken by the relay though it had not asked this life for anything.
-    wrote: bool,
-    asked: bool,
+    /// Whether the parent accepted a write of the front though this incarnation of the parent has received no
+    /// lease request from this incarnation of the front.
+    has_unfenced_write: bool,
+    /// Whether this incarnation of the parent has received a lease request of the front.
+    has_renewed: bool,
 }
 
 impl State {
+    /// Identifies the state. Messages may be delivered in any order, so their order does not matter.
     fn text(&self) -> String {
-        // Messages may be delivered in any order: which came first makes no other state.
-        let mut messages: Vec<String> = self.messages.iter().map(|m| format!("{m:?}")).collect();
+        let mut messages: Vec<String> = self.messages.iter().map(|message| format!("{message:?}")).collect();
         messages.sort_unstable();
         format!("{:?} {messages:?}", State { messages: Vec::new(), ..self.clone() })
     }
+
+    fn incarnation(&self, node: Node) -> u64 {
+        match node {
+            Node::Parent => self.parent.incarnation,
+            Node::Front => self.front.incarnation,
+        }
+    }
+
+    /// The front applies commands: the answers that they purge are removed. An answer that is on its way was
+    /// read before them and is not cached.
+    fn apply_at_front(&mut self, commands: &[FleetCommand]) {
+        for command in commands {
+            self.cached = self.cached.filter(|read| *read >= command.number);
+            self.reading = None;
+            self.front.lease.record_applied(command);
+        }
+    }
+
+    /// The parent applies commands and retains them for the front.
+    fn apply_at_parent(&mut self, commands: Vec<FleetCommand>) {
+        for command in commands {
+            self.parent.lease.record_applied(&command);
+            self.parent.children.append_command(self.now, command.action);
+        }
+    }
 }
 
 impl PartialEq for State {
@@ -76,127 +131,139 @@
 
 #[derive(Debug, Clone, PartialEq)]
 enum Action {
+    /// The time advances.
     Tick,
+    /// The record changes, and the root appends a purge.
     Change,
-    Renew(Who),
-    Push(Who),
-    Say,
+    /// The node requests a lease.
+    Renew(Node),
+    /// The process above pushes the commands that the node lacks.
+    Push(Node),
+    /// The parent reports its aggregated acknowledgement.
+    Report,
+    /// The message at this index arrives.
     Deliver(usize),
+    /// The front reads the record.
     Read,
-    Filled,
-    Restart(Who),
+    /// The answer arrives at the front, which caches it.
+    Fill,
+    /// The node restarts.
+    Restart(Node),
+    /// Another process of the root becomes the origin.
     TakeOver,
+    /// The front writes at the parent.
     Write,
 }
 
 struct Fleet {
-    guards: Safeguards,
+    safeguards: Safeguards,
     ticks: u64,
     changes: u64,
-    /// How often relay and front may live.
-    lives: [u64; 2],
-    in_flight: usize,
-    take_over: bool,
+    /// The number of incarnations of the parent and of the front.
+    incarnations: [u64; 2],
+    max_in_flight: usize,
+    may_take_over: bool,
 }
 
 fn terms() -> LeaseTerms {
     LeaseTerms { lease_ns: LEASE, clock_allowance: 0.0, lagging_after_ns: LEASE }
 }
 
-fn id(who: Who, life: u64) -> ChildId {
-    ChildId { name: format!("{who:?}"), incarnation: life }
+fn child_id(node: Node, incarnation: u64) -> ChildId {
+    ChildId { name: format!("{node:?}"), incarnation }
 }
 
 impl Fleet {
     fn origin(&self) -> AckAggregator {
-        let mut root = AckAggregator::new(terms(), self.guards);
+        let mut root = AckAggregator::new(terms(), self.safeguards);
         root.reset(LogTail::starting_at(LogPosition { log: LOG, index: 0 }, BTreeSet::new()));
         root.allow_grants_until(u64::MAX, LogPosition { log: LOG, index: 0 });
         root
     }
 
     /// Another process of the root becomes the origin.
-    fn take_over_root(&self, s: &mut State) {
-        let position = s.root.position();
-        s.root = self.origin();
-        s.root.reset(LogTail::starting_at(position, BTreeSet::new()));
-        s.root.allow_grants_until(u64::MAX, position);
-        // It has aggregated its own children all the while, and there were none.
-        s.root.aggregate(s.now);
-        s.root.become_origin(s.now);
-        s.taken_over = true;
+    fn take_over_root(&self, state: &mut State) {
+        let position = state.root.position();
+        state.root = self.origin();
+        state.root.reset(LogTail::starting_at(position, BTreeSet::new()));
+        state.root.allow_grants_until(u64::MAX, position);
+        // Before it became the origin it had no children, so that everything counted as acknowledged.
+        state.root.aggregate(state.now);
+        state.root.become_origin(state.now);
+        state.has_new_origin = true;
     }
 
-    fn deliver(&self, s: &mut State, message: Message) {
+    fn deliver(&self, state: &mut State, message: Message) {
         match message {
-            Message::Renew(who, life, asked, applied) => {
-                let to = if who == Who::Relay { &mut s.root } else { &mut s.relay.2 };
-                s.asked |= who == Who::Front;
-                let said = to.renew_lease(s.now, &id(who, life), who == Who::Front, applied, 1);
-                s.messages.push(Message::Answer(who, life, asked, said));
+            Message::Renew(node, incarnation, sent, position) => {
+                let granter = if node == Node::Parent { &mut state.root } else { &mut state.parent.children };
+                state.has_renewed |= node == Node::Front;
+                let id = child_id(node, incarnation);
+                let response = granter.renew_lease(state.now, &id, node == Node::Front, position, 1);
+                state.messages.push(Message::Response(node, incarnation, sent, response));
             }
-            Message::Answer(Who::Front, life, asked, response) if life == s.front.0 => {
-                match s.front.1.handle_response(asked, response) {
-                    LeaseUpdate::Commands(orders) => apply(s, &orders),
-                    // What is being read was read before this, and fills nothing.
-                    LeaseUpdate::Reset => (s.cached, s.reading) = (None, None),
+            Message::Response(Node::Front, incarnation, sent, response)
+                if incarnation == state.front.incarnation =>
+            {
+                match state.front.lease.handle_response(sent, response) {
+                    LeaseUpdate::Commands(commands) => state.apply_at_front(&commands),
+                    // An answer that is on its way was read before the reset and is not cached.
+                    LeaseUpdate::Reset => (state.cached, state.reading) = (None, None),
                     LeaseUpdate::Unchanged => {}
                 }
             }
-            Message::Answer(Who::Relay, life, asked, response) if life == s.relay.0 => {
-                let granted = match &response {
-                    Response::LeaseGranted { for_ns, position, .. } => Some((asked + for_ns, *position)),
-                    _ => None,
-                };
-                match s.relay.1.handle_response(asked, response) {
-                    LeaseUpdate::Commands(orders) => pass_on(s, orders),
-                    LeaseUpdate::Reset => {
-                        let position = s.relay.1.position().unwrap_or_default();
-                        s.relay.2.reset(LogTail::starting_at(position, BTreeSet::new()));
-                    }
-                    LeaseUpdate::Unchanged => {}
-                }
-                if let Some((until, needs)) = granted {
-                    s.relay.2.allow_grants_until(until, needs);
-                }
+            Message::Response(Node::Parent, incarnation, sent, response)
+                if incarnation == state.parent.incarnation =>
+            {
+                deliver_response_to_parent(state, sent, response);
+            }
+            Message::Commands(Node::Front, incarnation, commands)
+                if incarnation == state.front.incarnation =>
+            {
+                let next = state.front.lease.select_next_commands(LOG, commands).unwrap_or_default();
+                state.apply_at_front(&next);
+                let applied = state.front.lease.position().unwrap_or_default();
+                state.messages.push(Message::Applied(Node::Front, incarnation, applied));
             }
-            Message::Orders(Who::Front, life, orders) if life == s.front.0 => {
-                let next = s.front.1.select_next_commands(LOG, orders).unwrap_or_default();
-                apply(s, &next);
-                let upto = s.front.1.position().unwrap_or_default();
-                s.messages.push(Message::Applied(Who::Front, life, upto));
+            Message::Commands(Node::Parent, incarnation, commands)
+                if incarnation == state.parent.incarnation =>
+            {
+                let next = state.parent.lease.select_next_commands(LOG, commands).unwrap_or_default();
+                state.apply_at_parent(next);
+                let applied = state.parent.lease.position().unwrap_or_default();
+                state.messages.push(Message::Applied(Node::Parent, incarnation, applied));
             }
-            Message::Orders(Who::Relay, life, orders) if life == s.relay.0 => {
-                let next = s.relay.1.select_next_commands(LOG, orders).unwrap_or_default();
-                pass_on(s, next);
-                let upto = s.relay.1.position().unwrap_or_default();
-                s.messages.push(Message::Applied(Who::Relay, life, upto));
+            Message::Applied(Node::Front, incarnation, applied) => {
+                state.parent.children.record_applied(&child_id(Node::Front, incarnation), applied);
             }
-            Message::Applied(Who::Front, life, upto) => s.relay.2.record_applied(&id(Who::Front, life), upto),
-            Message::Applied(Who::Relay, life, upto) => s.root.record_applied(&id(Who::Relay, life), upto),
-            Message::Sum(life, upto) => {
-                let sum = AggregatedAck { acknowledged: upto, missing: Vec::new(), missing_count: 0 };
-                s.root.record_aggregated_ack(&id(Who::Relay, life), sum);
+            Message::Applied(Node::Parent, incarnation, applied) => {
+                state.root.record_applied(&child_id(Node::Parent, incarnation), applied);
             }
-            // Of a former life.
-            Message::Answer(..) | Message::Orders(..) => {}
+            Message::AggregatedAck(incarnation, acknowledged) => {
+                let ack = AggregatedAck { acknowledged, missing: Vec::new(), missing_count: 0 };
+                state.root.record_aggregated_ack(&child_id(Node::Parent, incarnation), ack);
+            }
+            // For a former incarnation.
+            Message::Response(..) | Message::Commands(..) => {}
         }
     }
 }
 
-/// The front applies orders: what they withdraw is gone, and what is being read was read before them.
-fn apply(s: &mut State, orders: &[FleetCommand]) {
-    for order in orders {
-        s.cached = s.cached.filter(|read| *read >= order.number);
-        s.reading = None;
-        s.front.1.record_applied(order);
+fn deliver_response_to_parent(state: &mut State, sent: u64, response: Response) {
+    let grant = match &response {
+        Response::LeaseGranted { for_ns, position, .. } => Some((sent + for_ns, *position)),
+        _ => None,
+    };
+    match state.parent.lease.handle_response(sent, response) {
+        LeaseUpdate::Commands(commands) => state.apply_at_parent(commands),
+        LeaseUpdate::Reset => {
+            let position = state.parent.lease.position().unwrap_or_default();
+            state.parent.children.reset(LogTail::starting_at(position, BTreeSet::new()));
+        }
+        LeaseUpdate::Unchanged => {}
     }
-}
-
-fn pass_on(s: &mut State, orders: Vec<FleetCommand>) {
-    for order in orders {
-        s.relay.1.record_applied(&order);
-        s.relay.2.append_command(s.now, order.action);
+    if let Some((until, required)) = grant {
+        state.parent.children.allow_grants_until(until, required);
     }
 }
 
@@ -207,162 +274,182 @@
     fn init_states(&self) -> Vec<State> {
         vec![State {
             now: 1,
-            truth: 0,
+            record_version: 0,
             root: self.origin(),
-            taken_over: false,
-            relay: (1, LeaseHolder::default(), AckAggregator::new(terms(), self.guards)),
-            front: (1, LeaseHolder::new(0)),
+            has_new_origin: false,
+            parent: Parent {
+                incarnation: 1,
+                lease: LeaseHolder::default(),
+                children: AckAggregator::new(terms(), self.safeguards),
+            },
+            front: Front { incarnation: 1, lease: LeaseHolder::new(0) },
             cached: None,
             reading: None,
             messages: Vec::new(),
             complete: 0,
-            wrote: false,
-            asked: false,
+            has_unfenced_write: false,
+            has_renewed: false,
         }]
     }
 
-    fn actions(&self, s: &State, actions: &mut Vec<Action>) {
-        if s.now < self.ticks {
+    fn actions(&self, state: &State, actions: &mut Vec<Action>) {
+        const NODES: [Node; 2] = [Node::Parent, Node::Front];
+        if state.now < self.ticks {
             actions.push(Action::Tick);
         }
-        if s.truth < self.changes {
+        if state.record_version < self.changes {
             actions.push(Action::Change);
         }
-        if s.messages.len() < self.in_flight {
-            let asks = |who| s.messages.iter().any(|m| matches!(m, Message::Renew(of, ..) if *of == who));
-            actions.extend([Who::Relay, Who::Front].into_iter().filter(|who| !asks(*who)).map(Action::Renew));
-            let pushed = |who| s.messages.iter().any(|m| matches!(m, Message::Orders(of, ..) if *of == who));
-            actions
-                .extend([Who::Relay, Who::Front].into_iter().filter(|who| !pushed(*who)).map(Action::Push));
-            actions.push(Action::Say);
+        if state.messages.len() < self.max_in_flight {
+            let renews = |node| {
+                state.messages.iter().any(|message| matches!(message, Message::Renew(of, ..) if *of == node))
+            };
+            actions.extend(NODES.into_iter().filter(|node| !renews(*node)).map(Action::Renew));
+            let is_pushed = |node| {
+                state
+                    .messages
+                    .iter()
+                    .any(|message| matches!(message, Message::Commands(to, ..) if *to == node))
+            };
+            actions.extend(NODES.into_iter().filter(|node| !is_pushed(*node)).map(Action::Push));
+            actions.push(Action::Report);
         }
-        actions.extend((0..s.messages.len()).map(Action::Deliver));
-        match s.reading {
-            None if s.cached.is_none() => actions.push(Action::Read),
-            Some(_) => actions.push(Action::Filled),
+        actions.extend((0..state.messages.len()).map(Action::Deliver));
+        match state.reading {
+            None if state.cached.is_none() => actions.push(Action::Read),
+            Some(_) => actions.push(Action::Fill),
             None => {}
         }
-        let [relay, front] = self.lives;
-        let lives = [(Who::Relay, s.relay.0, relay), (Who::Front, s.front.0, front)];
-        actions.extend(
-            lives.into_iter().filter(|(_, life, most)| life < most).map(|(w, ..)| Action::Restart(w)),
-        );
-        if self.take_over && !s.taken_over {
+        for (node, max_incarnation) in NODES.into_iter().zip(self.incarnations) {
+            if state.incarnation(node) < max_incarnation {
+                actions.push(Action::Restart(node));
+            }
+        }
+        if self.may_take_over && !state.has_new_origin {
             actions.push(Action::TakeOver);
         }
-        if !s.wrote {
+        if !state.has_unfenced_write {
             actions.push(Action::Write);
         }
     }
 
-    fn next_state(&self, before: &State, action: Action) -> Option<State> {
-        let mut s = before.clone();
+    fn next_state(&self, last_state: &State, action: Action) -> Option<State> {
+        let mut state = last_state.clone();
         match action {
-            Action::Tick => s.now += 1,
+            Action::Tick => state.now += 1,
             Action::Change => {
-                s.truth += 1;
-                s.root.append_command(s.now, CommandAction::Purge(vec![PurgeScope::All]));
+                state.record_version += 1;
+                state.root.append_command(state.now, CommandAction::Purge(vec![PurgeScope::All]));
             }
-            Action::Renew(Who::Relay) => {
-                s.messages.push(Message::Renew(Who::Relay, s.relay.0, s.now, s.relay.1.position()));
-            }
-            Action::Renew(Who::Front) => {
-                s.messages.push(Message::Renew(Who::Front, s.front.0, s.now, s.front.1.position()));
+            Action::Renew(node) => {
+                let position = match node {
+                    Node::Parent => state.parent.lease.position(),
+                    Node::Front => state.front.lease.position(),
+                };
+                let incarnation = state.incarnation(node);
+                state.messages.push(Message::Renew(node, incarnation, state.now, position));
             }
-            Action::Push(who) => {
-                let (from, life) = match who {
-                    Who::Relay => (&s.root, s.relay.0),
-                    Who::Front => (&s.relay.2, s.front.0),
+            Action::Push(node) => {
+                let sender = match node {
+                    Node::Parent => &state.root,
+                    Node::Front => &state.parent.children,
                 };
-                let missing = from.missing_commands(&id(who, life));
+                let incarnation = state.incarnation(node);
+                let missing = sender.missing_commands(&child_id(node, incarnation));
                 let missing = missing.filter(|missing| !missing.commands.is_empty())?;
-                s.messages.push(Message::Orders(who, life, missing.commands));
+                state.messages.push(Message::Commands(node, incarnation, missing.commands));
             }
-            Action::Say => {
-                let upto = s.relay.2.aggregate(s.now).acknowledged;
-                let message = Message::Sum(s.relay.0, upto);
-                if s.messages.contains(&message) {
+            Action::Report => {
+                let acknowledged = state.parent.children.aggregate(state.now).acknowledged;
+                let message = Message::AggregatedAck(state.parent.incarnation, acknowledged);
+                if state.messages.contains(&message) {
                     return None;
                 }
-                s.messages.push(message);
+                state.messages.push(message);
             }
-            Action::Deliver(at) => {
-                let message = s.messages.remove(at);
-                self.deliver(&mut s, message);
+            Action::Deliver(index) => {
+                let message = state.messages.remove(index);
+                self.deliver(&mut state, message);
             }
-            Action::Read => s.reading = Some(s.truth),
-            Action::Filled => s.cached = s.reading.take(),
-            Action::Restart(Who::Relay) => {
-                s.relay = (s.relay.0 + 1, LeaseHolder::default(), AckAggregator::new(terms(), self.guards));
-                s.asked = false;
+            Action::Read => state.reading = Some(state.record_version),
+            Action::Fill => state.cached = state.reading.take(),
+            Action::Restart(Node::Parent) => {
+                state.parent = Parent {
+                    incarnation: state.parent.incarnation + 1,
+                    lease: LeaseHolder::default(),
+                    children: AckAggregator::new(terms(), self.safeguards),
+                };
+                state.has_renewed = false;
             }
-            Action::Restart(Who::Front) => {
-                s.front = (s.front.0 + 1, LeaseHolder::new(0));
-                (s.cached, s.reading, s.asked) = (None, None, false);
+            Action::Restart(Node::Front) => {
+                state.front = Front { incarnation: state.front.incarnation + 1, lease: LeaseHolder::new(0) };
+                (state.cached, state.reading, state.has_renewed) = (None, None, false);
             }
-            Action::TakeOver => self.take_over_root(&mut s),
+            Action::TakeOver => self.take_over_root(&mut state),
             Action::Write => {
-                s.wrote = s.relay.2.accepts_writes_from(s.now, &id(Who::Front, s.front.0)) && !s.asked
+                let id = child_id(Node::Front, state.front.incarnation);
+                let is_accepted = state.parent.children.accepts_writes_from(state.now, &id);
+                state.has_unfenced_write = is_accepted && !state.has_renewed;
             }
         }
-        s.complete = s.complete.max(s.root.aggregate(s.now).acknowledged.index);
-        Some(s)
+        state.complete = state.complete.max(state.root.aggregate(state.now).acknowledged.index);
+        Some(state)
     }
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            Property::always("purged means gone", |_, s: &State| {
-                let serves = s.front.1.valid_until(s.now).is_ok();
-                !serves || s.cached.is_none_or(|read| read >= s.complete)
+            Property::always(NO_STALE_ANSWERS, |_, state: &State| {
+                let has_lease = state.front.lease.valid_until(state.now).is_ok();
+                !has_lease || state.cached.is_none_or(|read| read >= state.complete)
             }),
-            Property::always("who has not asked writes nothing", |_, s: &State| !s.wrote),
-            Property::sometimes("a purge is complete while the front has a lease", |_, s: &State| {
-                s.complete > 0 && s.front.1.valid_until(s.now).is_ok()
+            Property::always(NO_UNFENCED_WRITES, |_, state: &State| !state.has_unfenced_write),
+            Property::sometimes("a purge is complete while the front has a lease", |_, state: &State| {
+                state.complete > 0 && state.front.lease.valid_until(state.now).is_ok()
             }),
-            Property::sometimes("what is cached is used", |_, s: &State| {
-                s.cached.is_some() && s.front.1.valid_until(s.now).is_ok()
+            Property::sometimes("a cached answer is used", |_, state: &State| {
+                state.cached.is_some() && state.front.lease.valid_until(state.now).is_ok()
             }),
         ]
     }
 }
 
-fn explored(fleet: Fleet) -> impl Checker<Fleet> {
+fn explore(fleet: Fleet) -> impl Checker<Fleet> {
     let checker = fleet.checker().threads(2).spawn_bfs().join();
     println!("{} states", checker.unique_state_count());
     checker
 }
 
-fn small(guards: Safeguards) -> Fleet {
-    Fleet { guards, ticks: 3, changes: 1, lives: [1, 1], in_flight: 1, take_over: false }
+fn small_fleet(safeguards: Safeguards) -> Fleet {
+    Fleet { safeguards, ticks: 3, changes: 1, incarnations: [1, 1], max_in_flight: 1, may_take_over: false }
 }
 
 #[test]
 fn purged_answers_are_never_served_in_any_order_of_events() {
-    explored(small(Safeguards::default())).assert_properties();
+    explore(small_fleet(Safeguards::default())).assert_properties();
 }
 
 #[test]
 fn purged_answers_are_never_served_when_the_parent_restarts() {
-    explored(Fleet { lives: [2, 1], ..small(Safeguards::default()) }).assert_properties();
+    explore(Fleet { incarnations: [2, 1], ..small_fleet(Safeguards::default()) }).assert_properties();
 }
 
 #[test]
 fn purged_answers_are_never_served_when_the_front_restarts() {
-    explored(Fleet { lives: [1, 2], ..small(Safeguards::default()) }).assert_properties();
+    explore(Fleet { incarnations: [1, 2], ..small_fleet(Safeguards::default()) }).assert_properties();
 }
 
 #[test]
 fn purged_answers_are_never_served_when_another_process_becomes_the_origin() {
-    explored(Fleet { take_over: true, ..small(Safeguards::default()) }).assert_properties();
+    explore(Fleet { may_take_over: true, ..small_fleet(Safeguards::default()) }).assert_properties();
 }
 
-/// The model sees what it is there for.
+/// With a safeguard switched off, the model finds the violation that the safeguard prevents.
 #[test]
 fn model_finds_violations_when_a_safeguard_is_off() {
-    for (guards, property) in [
-        (Safeguards { acknowledgements: false, ..Safeguards::default() }, "purged means gone"),
-        (Safeguards { write_fencing: false, ..Safeguards::default() }, "who has not asked writes nothing"),
+    for (safeguards, property) in [
+        (Safeguards { acknowledgements: false, ..Safeguards::default() }, NO_STALE_ANSWERS),
+        (Safeguards { write_fencing: false, ..Safeguards::default() }, NO_UNFENCED_WRITES),
     ] {
-        assert!(explored(small(guards)).discovery(property).is_some(), "{property}");
+        assert!(explore(small_fleet(safeguards)).discovery(property).is_some(), "{property}");
     }
 }
