--- a/crates/lilacpitch-site/src/log/machine.rs
+++ b/crates/lilacpitch-site/src/log/machine.rs
@@ -1,6 +1,6 @@
-//! The state machine of the log library: applies entries to the [`SiteState`], writes snapshots of it to the disk, and
-//! installs those of the leader.
-// The log library's own error is large, and rare.
+//! The state machine of the Raft library: applies log entries to the [`SiteState`], writes snapshots of the
+//! state to the disk, and installs snapshots of the leader.
+// The error type of the Raft library is large, but errors are rare.
 #![allow(clippy::result_large_err)]
 
 use super::state::{SiteMetadata, SiteState};
@@ -27,11 +27,11 @@
     store: LogStore,
     last_applied: Option<LogId<u64>>,
     membership: StoredMembership<u64, openraft::BasicNode>,
-    /// The index of the last entry applied: reads wait for it.
+    /// The index of the last entry applied, for which reads wait.
     applied: watch::Sender<u64>,
 }
 
-/// The state at one moment, to be written as a snapshot.
+/// A copy of the state at one time, to be written as a snapshot.
 pub struct SnapshotBuilder {
     records: Vec<Records>,
     metadata: SiteMetadata,
@@ -39,7 +39,8 @@
     store: LogStore,
 }
 
-/// A snapshot as it is written. Records are serialized one by one: no second copy of them is made.
+/// A snapshot to be written. The records are serialized one by one, without another copy of them. The order
+/// of fields is that of the encoding on disk.
 #[derive(Serialize)]
 struct SnapshotRef<'a> {
     meta: &'a Meta,
@@ -56,7 +57,7 @@
     sequence.end()
 }
 
-/// A snapshot as it is read.
+/// A snapshot that was read. The order of fields is that of the encoding on disk.
 #[derive(Deserialize)]
 struct SnapshotData {
     meta: Meta,
@@ -65,11 +66,11 @@
 }
 
 impl StateMachine {
-    /// Starts from the snapshot on disk, if there is one; the log applies again what came after it. The second value
-    /// is the index of the last entry applied.
+    /// Restores the state from the snapshot on disk, if there is one. The Raft library then applies the later
+    /// entries of the log again. The second value is the index of the last entry applied.
     ///
     /// # Errors
-    /// [`StoreError`], where the snapshot can't be read.
+    /// [`StoreError`] if the snapshot can't be read.
     pub fn open(state: Arc<SiteState>, store: LogStore) -> Result<(Self, watch::Receiver<u64>), StoreError> {
         let (applied, applied_index) = watch::channel(0);
         let mut machine = StateMachine {
@@ -126,13 +127,11 @@
     }
 
     async fn get_snapshot_builder(&mut self) -> SnapshotBuilder {
-        // No entry is applied while this is taken: all shards are of one moment. Writing it out comes later.
-        let id = self.last_applied.map_or(String::new(), |last| format!("{}-{}", last.leader_id, last.index));
-        let meta = Meta {
-            last_log_id: self.last_applied,
-            last_membership: self.membership.clone(),
-            snapshot_id: id,
-        };
+        // No entry is applied during this copy, so all shards are consistent. The snapshot is written later.
+        let snapshot_id =
+            self.last_applied.map_or(String::new(), |last| format!("{}-{}", last.leader_id, last.index));
+        let meta =
+            Meta { last_log_id: self.last_applied, last_membership: self.membership.clone(), snapshot_id };
         let metadata = self.state.with_metadata(SiteMetadata::clone);
         SnapshotBuilder { records: self.state.records.snapshot(), metadata, meta, store: self.store.clone() }
     }
@@ -155,7 +154,7 @@
 
     async fn get_current_snapshot(&mut self) -> Result<Option<Snapshot<Types>>, StorageError<u64>> {
         let Some(bytes) = self.store.snapshot().map_err(storage_error)? else { return Ok(None) };
-        // Its head alone; the records stay encoded.
+        // Decodes only the metadata of the snapshot, not its records.
         let (meta, _) = postcard::take_from_bytes::<Meta>(&bytes).map_err(storage_error)?;
         Ok(Some(Snapshot { meta, snapshot: Box::new(Cursor::new(bytes)) }))
     }
--- a/crates/lilacpitch-site/src/log/mod.rs
+++ b/crates/lilacpitch-site/src/log/mod.rs
@@ -1,11 +1,11 @@
-//! The replicated log of a site: Raft by `openraft`, entries and votes on disk in `redb`, and the state that the entries
-//! build up.
+//! The replicated log of a site: Raft by `openraft`, with entries and votes on disk in `redb`, and the state
+//! that the entries build.
 //!
-//! **What is durable when.** A write is acknowledged once its entry is committed: synced on the disks of most of the
-//! site's processes. Votes are synced before they are given. Entries that were applied and are not in a snapshot yet are
-//! applied again after a start. A snapshot is a file, checked by a hash, that takes its place by renaming. With a new
-//! disk a process votes for nobody, and leads nobody, before it has everything that was acknowledged:
-//! `log_membership`.
+//! **Durability.** A write is acknowledged once its entry is committed, that is, synced to the disks of a
+//! quorum of the site's processes. Votes are synced before they are granted. Entries that were applied but
+//! are not in a snapshot yet are applied again after a restart. A snapshot is a file with a hash, which
+//! replaces the previous one by renaming. A process with a new disk neither votes nor leads before it has
+//! everything that was acknowledged; see `log_membership`.
 
 pub mod machine;
 pub mod network;
@@ -19,7 +19,7 @@
 use std::io::Cursor;
 
 openraft::declare_raft_types!(
-    /// The types of a site's log.
+    /// The type parameters of the Raft library.
     pub Types:
         D = Command,
         R = ApplyResult,
@@ -28,36 +28,38 @@
         SnapshotData = Cursor<Vec<u8>>,
 );
 
-/// A handle of the site's log.
+/// A handle to the site's log.
 pub type Raft = openraft::Raft<Types>;
 
-/// The command of a log entry. The order of variants and fields is that on disk.
+/// The command in a log entry. The order of variants and fields is that of the encoding on disk.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum Command {
-    /// Location records are upserted and withdrawn, by front.
+    /// Upserts and withdraws location records of some fronts.
     WriteRecords(Vec<RecordWrite>),
-    /// All records are removed that a front wrote in incarnations before this one.
+    /// Removes all records that a front wrote in incarnations before this one.
     RemoveOlderIncarnations(String, u64),
-    /// Changes up to this number are purged, the last by the command at this position.
+    /// Marks the changes up to this number as purged; the last purge is the command at this position.
     MarkPurged(u64, LogPosition),
-    /// The record store is created, empty, at this moment in milliseconds since 1970: what a former one held is lost.
+    /// Creates an empty record store at this time, in milliseconds since 1970. Records of a former store are
+    /// lost.
     CreateStore(u64),
-    /// All fronts with records here have had the time to write them again: a record that is not found does not exist.
+    /// Marks the store as complete: all fronts with records here have had the time to write them again.
     MarkReady,
     /// At the root: appends commands to the command log, in this order.
     AppendCommands(Vec<CommandAction>),
-    /// At the root: a new command log begins, with this number.
+    /// At the root: begins a new command log with this id.
     BeginLog(u64),
-    /// At the root: audit records of fronts.
+    /// At the root: appends audit records of fronts to the audit log.
     AppendAudit(Vec<AuditRecord>),
 }
 
-/// Changes of one front's records, as it numbered them.
+/// Changes of one front's records, which the front has numbered. The order of fields is that of the encoding
+/// on disk.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct RecordWrite {
-    /// The front.
+    /// The name of the front.
     pub front: String,
-    /// Its incarnation, in nanoseconds since 1970.
+    /// The incarnation of the front: when it started, in nanoseconds since 1970.
     pub incarnation: u64,
     /// The number of the first change, from 1.
     pub first_change: u64,
@@ -65,19 +67,19 @@
     pub changes: Vec<RecordChange>,
 }
 
-/// The result of applying an entry.
+/// The result of applying a log entry.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub enum ApplyResult {
-    /// Applied.
+    /// The entry was applied.
     #[default]
     Done,
-    /// Applied: the position of the last command appended.
+    /// Commands were appended; the position of the last one.
     Position(LogPosition),
-    /// Nothing was changed: the reason.
+    /// The entry, or part of it, was rejected for this reason.
     Rejected(String),
 }
 
-/// The settings of the log: heartbeats and elections in milliseconds, snapshots by entries.
+/// The settings of the Raft library: intervals and timeouts in milliseconds, snapshot thresholds in entries.
 pub fn config() -> Config {
     Config {
         cluster_name: "site".into(),
@@ -87,7 +89,7 @@
         install_snapshot_timeout: 5_000,
         snapshot_policy: SnapshotPolicy::LogsSinceLast(10_000),
         max_in_snapshot_log_to_keep: 2_000,
-        // So that a message of them stays below the longest frame.
+        // Keeps a message with entries below the maximum frame length.
         max_payload_entries: 32,
         snapshot_max_chunk_size: 1 << 20,
         ..Config::default()
--- a/crates/lilacpitch-site/src/log/network.rs
+++ b/crates/lilacpitch-site/src/log/network.rs
@@ -1,5 +1,5 @@
-//! Carries the messages of the log library over the connections between the processes of a site. They cross the wire in
-//! the library's own form, as bytes in [`LogMessage`].
+//! Sends the messages of the Raft library over the connections between the processes of a site. The library's
+//! types are encoded as the bytes in a [`LogMessage`].
 
 use super::Types;
 use lilacpitch_fleet::message::{LogMessage, Request, Response};
@@ -16,11 +16,11 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Connections to the processes of a site, by their index, which is their node id in the log.
+/// Connections to the processes of a site by index, which is their node id in the log.
 #[derive(Clone)]
 pub struct Network(pub Arc<[Arc<Dialer>]>);
 
-/// The connection to one of them.
+/// The connection to one process of the site.
 pub struct RaftPeer {
     node: u64,
     dialer: Arc<Dialer>,
@@ -30,7 +30,8 @@
     type Network = RaftPeer;
 
     async fn new_client(&mut self, target: u64, _node: &BasicNode) -> RaftPeer {
-        // Members are the site's processes: an index beyond them is never wanted, and the last is taken for it.
+        // The members of the log are the site's processes, so a larger index does not occur; it would be
+        // given the last process.
         let index = (target as usize).min(self.0.len() - 1);
         RaftPeer { node: target, dialer: self.0[index].clone() }
     }
@@ -38,14 +39,18 @@
 
 type PeerError<E> = RPCError<u64, BasicNode, RaftError<u64, E>>;
 
+/// The delay before the Raft library retries an unreachable process.
+const RETRY_DELAY: Duration = Duration::from_millis(100);
+
 impl RaftPeer {
+    /// Sends a message of the Raft library and decodes the response.
     async fn send<Req: Serialize, Resp: DeserializeOwned, E: DeserializeOwned + std::error::Error>(
         &self,
         wrap: impl Fn(Vec<u8>) -> LogMessage,
         rpc: Req,
         timeout: Duration,
     ) -> Result<Resp, PeerError<E>> {
-        let malformed = |e: postcard::Error| PeerError::<E>::Network(NetworkError::new(&e));
+        let malformed = |error: postcard::Error| PeerError::<E>::Network(NetworkError::new(&error));
         let bytes = postcard::to_allocvec(&rpc).map_err(malformed)?;
         match self.dialer.request(Request::Log(wrap(bytes)), timeout).await {
             Ok(Response::Log(Ok(bytes))) => postcard::from_bytes(&bytes).map_err(malformed),
@@ -54,7 +59,7 @@
                 Err(RPCError::RemoteError(RemoteError::new(self.node, error)))
             }
             Ok(other) => {
-                let error = std::io::Error::other(format!("answered {other:?}"));
+                let error = std::io::Error::other(format!("unexpected response: {other:?}"));
                 Err(RPCError::Network(NetworkError::new(&error)))
             }
             Err(error) => Err(RPCError::Unreachable(Unreachable::new(&error))),
@@ -88,6 +93,6 @@
     }
 
     fn backoff(&self) -> openraft::network::Backoff {
-        openraft::network::Backoff::new(std::iter::repeat(Duration::from_millis(100)))
+        openraft::network::Backoff::new(std::iter::repeat(RETRY_DELAY))
     }
 }
--- a/crates/lilacpitch-site/src/log/state.rs
+++ b/crates/lilacpitch-site/src/log/state.rs
@@ -1,5 +1,6 @@
-//! The state that a site's log builds up: location records, the numbers among them whose purge is not committed yet, and
-//! at the root the command log and the audit log. Equal entries give equal state on every process of the site.
+//! The state that a site's log builds: location records, the numbers whose purge is not committed yet, and at
+//! the root the command log and the audit log. Applying the entries is deterministic, so all processes of a
+//! site have the same state.
 
 use super::{ApplyResult, Command, RecordWrite};
 use lilacpitch_fleet::audit::{AuditLog, AuditRecord};
@@ -10,54 +11,55 @@
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Most pending numbers that a summary lists one by one.
+/// Most numbers with a pending purge that a summary lists.
 const MAX_LISTED_PENDING: usize = 256;
 
-/// The last change of a front's records that was applied.
+/// The position of the last applied change of a front's records.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WritePosition {
     /// The front's incarnation.
     pub incarnation: u64,
-    /// The number of the change in that incarnation.
+    /// The number of the change within the incarnation.
     pub change: u64,
 }
 
-/// The state beside the records. The order of fields is that of snapshots on disk.
+/// The state without the location records. The order of fields is that of the encoding in snapshots.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct SiteMetadata {
-    /// Numbers whose records changed and whose purge is not committed yet, by the number of the change.
+    /// The numbers that changed and whose purge is not committed yet, by the index of the change.
     pub pending_purges: BTreeMap<u64, Number>,
-    /// The number of the last change.
+    /// The index of the last change that needs a purge.
     pub last_change: u64,
     /// The position of the last purge command for this site's changes.
     pub purge_position: LogPosition,
-    /// At the root: the last commands.
+    /// At the root: the tail of the command log.
     pub command_log: LogTail,
     /// At the root: which front acted on which version.
     pub audit_log: AuditLog,
-    /// The last applied change of each front's records.
+    /// The position of the last applied change of each front's records, by the name of the front.
     pub applied_writes: BTreeMap<String, WritePosition>,
-    /// How often records of a front were removed: a front that is there writes them again.
+    /// How often records of a front were removed, by the name of the front. A front that is still running
+    /// writes its records again when this has changed.
     pub removal_counts: BTreeMap<String, u64>,
-    /// When this record store was created, in milliseconds since 1970; 0: not yet.
+    /// When this record store was created, in milliseconds since 1970; 0: not created yet.
     pub created_ms: u64,
-    /// All fronts with records here have had the time to write them.
+    /// Whether all fronts with records here have had the time to write them again.
     pub is_ready: bool,
 }
 
 /// Changes whose purge is not committed yet.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct UnpurgedChanges {
-    /// The number of the last of them.
+    /// The index of the last of these changes.
     pub last_change: u64,
-    /// The numbers that changed, each once.
+    /// The numbers that changed, without duplicates.
     pub numbers: BTreeSet<Number>,
 }
 
 /// The state of a site.
 ///
-/// **Locks.** The records are shared by threads, each shard under a lock of its own; the metadata have one lock. None
-/// is held while another is taken.
+/// **Locks.** Each shard of the records has a lock of its own, and the metadata have one. None is held while
+/// another is taken.
 #[derive(Debug)]
 pub struct SiteState {
     /// The location records.
@@ -69,12 +71,12 @@
     /// An empty state.
     ///
     /// # Errors
-    /// [`LocationError::Shards`], where there can't be so many shards.
+    /// [`LocationError::Shards`] if the number of shards is invalid.
     pub fn new(shards: usize) -> Result<Self, LocationError> {
         Ok(SiteState { records: LocationStore::new(shards)?, metadata: Mutex::default() })
     }
 
-    /// Reads the metadata, under their lock.
+    /// Reads the metadata while holding their lock.
     pub fn with_metadata<T>(&self, read: impl FnOnce(&SiteMetadata) -> T) -> T {
         read(&self.metadata.lock())
     }
@@ -118,7 +120,8 @@
         }
     }
 
-    /// Applies a front's changes, each once and in their order: one that a later one has overtaken is out of date.
+    /// Applies a front's changes, each once and in order. A change that arrives after a later one is outdated
+    /// and skipped.
     fn write_records(&self, write: RecordWrite) {
         let known = self.metadata.lock().applied_writes.get(&write.front).copied().unwrap_or_default();
         if known.incarnation > write.incarnation {
@@ -141,7 +144,7 @@
         }
     }
 
-    /// Applies one change; the key of the record, where it has changed.
+    /// Applies one change. Returns the key of the record if that has changed.
     fn apply_change(&self, change: RecordChange) -> Option<Key> {
         match change {
             RecordChange::Upsert(record) if self.contains(&record) => None,
@@ -168,7 +171,7 @@
         numbers.into_iter().for_each(|number| metadata.add_pending_purge(number));
     }
 
-    /// For summaries: the pending purges, and the position of the last one that was committed.
+    /// The pending purges and the position of the last committed purge, for the site's summary.
     pub fn summary_purges(&self) -> (PendingPurges, LogPosition) {
         let metadata = self.metadata.lock();
         let pending = match metadata.pending_purges.len() {
@@ -180,7 +183,7 @@
         (pending, metadata.purge_position)
     }
 
-    /// Up to `limit` changes whose purge is not committed yet; `None`: there are none.
+    /// Up to `limit` changes whose purge is not committed yet; `None` if there are none.
     pub fn unpurged_changes(&self, limit: usize) -> Option<UnpurgedChanges> {
         let metadata = self.metadata.lock();
         let last_change = *metadata.pending_purges.keys().take(limit).next_back()?;
@@ -188,16 +191,17 @@
         Some(UnpurgedChanges { last_change, numbers: changes.map(|(_, number)| number.clone()).collect() })
     }
 
-    /// The record store's id as a front is told it: once it changes, the front writes its records again.
+    /// The id of the record store that is sent to a front. When it changes, the front writes its records
+    /// again.
     pub fn store_id_for(&self, front: &str) -> u64 {
         let metadata = self.metadata.lock();
         metadata.created_ms.wrapping_add(metadata.removal_counts.get(front).copied().unwrap_or(0))
     }
 
-    /// Replaces everything by the contents of a snapshot.
+    /// Replaces the state by the content of a snapshot.
     ///
     /// # Errors
-    /// [`LocationError`], where the records can't be held; the metadata are not replaced then.
+    /// [`LocationError`] if the records can't be restored; the metadata are not replaced then.
     pub fn restore(&self, records: Vec<LocationRecord>, metadata: SiteMetadata) -> Result<(), LocationError> {
         self.records.restore(records)?;
         *self.metadata.lock() = metadata;
@@ -205,8 +209,8 @@
     }
 }
 
-/// The number that a change of a record has purged. Cached answers tell where numbers are reached: calls that begin and
-/// end change none of them.
+/// The number whose cached answers a change of a record makes outdated; `None` if there are none. Cached
+/// answers only contain where numbers can be reached, so the start or end of a call does not affect them.
 fn purged_number(key: Key) -> Option<Number> {
     (key.kind == Kind::Binding).then_some(key.number)
 }
@@ -218,9 +222,14 @@
     }
 
     fn append_commands(&mut self, actions: Vec<CommandAction>) -> ApplyResult {
-        let is_too_long = |action: &CommandAction| matches!(action, CommandAction::Purge(scopes) if scopes.len() > MAX_SCOPES);
+        let is_too_long = |action: &CommandAction| match action {
+            CommandAction::Purge(scopes) => scopes.len() > MAX_SCOPES,
+            CommandAction::Withdraw(_) | CommandAction::Reinstate(_) => false,
+        };
         if actions.iter().any(is_too_long) || self.command_log.position().log == 0 {
-            return ApplyResult::Rejected("an order with too many scopes, or no log to order in".into());
+            return ApplyResult::Rejected(
+                "a purge has too many scopes, or there is no command log yet".into(),
+            );
         }
         for action in actions {
             self.command_log.append(action);
@@ -228,7 +237,7 @@
         ApplyResult::Position(self.command_log.position())
     }
 
-    /// Appends all records that can be; the last error, where some could not.
+    /// Appends all records that are valid. Returns the last error if some are not.
     fn append_audit(&mut self, records: Vec<AuditRecord>) -> ApplyResult {
         let last_error = records.into_iter().filter_map(|record| self.audit_log.append(record).err()).last();
         last_error.map_or(ApplyResult::Done, |error| ApplyResult::Rejected(error.to_string()))
--- a/crates/lilacpitch-site/src/log/store.rs
+++ b/crates/lilacpitch-site/src/log/store.rs
@@ -1,6 +1,7 @@
-//! The disk of a process: log entries, the vote and other small values in a `redb` database, the snapshot in a file.
-//! Table names and keys are those of folders that are there already: they stay.
-// The log library's own error is large, and rare.
+//! The disk of a process: log entries, the vote and other small values in a `redb` database, and the snapshot
+//! in a file. Table names, keys and file names must not change, since they are those of existing data
+//! folders.
+// The error type of the Raft library is large, but errors are rare.
 #![allow(clippy::result_large_err)]
 
 use super::Types;
@@ -20,46 +21,46 @@
 use thiserror::Error;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Log entries by index.
+/// The table of log entries by index.
 const LOG: TableDefinition<u64, &[u8]> = TableDefinition::new("log");
-/// Single values by name.
+/// The table of single values by name.
 const META: TableDefinition<&str, &[u8]> = TableDefinition::new("meta");
-/// The name of the snapshot's file.
+/// The name of the snapshot file.
 const SNAPSHOT: &str = "snapshot";
 
-/// Why something on the disk could not be read or written. The process reports it as a [`LogError`], which tells an
-/// operator what to do.
+/// Why something on the disk could not be read or written. The process reports it as a [`LogError`], which
+/// has a help text for operators.
 #[derive(Debug, Error)]
 pub enum StoreError {
-    /// The database failed.
+    /// The database reported an error.
     #[error("{0}")]
     Database(Box<dyn std::error::Error + Send + Sync>),
-    /// A value can't be decoded.
+    /// A value in the database can't be decoded.
     #[error("{name}: {source}")]
     Value {
-        /// The value's name.
+        /// The name of the value.
         name: String,
-        /// The reason.
+        /// Why it can't be decoded.
         source: postcard::Error,
     },
     /// A file can't be read or written.
     #[error("{}: {source}", path.display())]
     File {
-        /// The file.
+        /// The path of the file.
         path: PathBuf,
-        /// The reason.
+        /// Why it can't be read or written.
         source: std::io::Error,
     },
-    /// A snapshot's file was written in part, or changed.
+    /// The snapshot file was written only in part, or was changed: its hash does not match.
     #[error("{}: torn or changed: its hash is another", path.display())]
     SnapshotHash {
-        /// The file.
+        /// The path of the file.
         path: PathBuf,
     },
-    /// A snapshot can't be decoded.
+    /// The snapshot can't be decoded.
     #[error("snapshot: {0}")]
     Snapshot(postcard::Error),
-    /// A snapshot's records can't be held.
+    /// The records of the snapshot can't be restored.
     #[error(transparent)]
     Records(#[from] LocationError),
 }
@@ -70,25 +71,26 @@
     }
 }
 
-/// The disk of one process.
+/// The data folder of one process.
 #[derive(Clone)]
 pub struct LogStore {
     log: Arc<Database>,
     folder: PathBuf,
 }
 
-/// An error of the disk in the log library's form: the process stops on it, and reports it.
+/// Converts a disk error to the error type of the Raft library, which stops on it. The process then fails
+/// with the error.
 pub fn storage_error(error: impl Display) -> StorageError<u64> {
     let error = std::io::Error::other(error.to_string());
     StorageError::IO { source: StorageIOError::write(&error) }
 }
 
 impl LogStore {
-    /// Opens or creates a process's folder; `owner` names the process and its site.
+    /// Opens or creates the data folder of a process; `owner` names the process and its site.
     ///
     /// # Errors
-    /// [`LogError::Foreign`] where the folder has another owner, [`LogError::Damaged`] where it can't be read, and
-    /// [`LogError::Disk`] where it can't be written.
+    /// [`LogError::Foreign`] if the folder has another owner, [`LogError::Damaged`] if it can't be read, and
+    /// [`LogError::Disk`] if it can't be written.
     pub fn open(folder: &Path, owner: &str) -> Result<Self, LogError> {
         let disk_error = |error: std::io::Error| LogError::Disk(format!("{}: {error}", folder.display()));
         std::fs::create_dir_all(folder).map_err(disk_error)?;
@@ -141,31 +143,31 @@
         })
     }
 
-    /// Whether this disk holds everything that its process ever acknowledged or voted for.
+    /// Whether the disk holds everything that this process ever acknowledged or voted for.
     ///
     /// # Errors
-    /// [`StoreError`], where that can't be read.
+    /// [`StoreError`] if the value can't be read.
     pub fn has_joined(&self) -> Result<bool, StoreError> {
         Ok(self.read::<bool>("joined")?.unwrap_or(false))
     }
 
-    /// Notes that it does from now on.
+    /// Records that the disk holds everything that this process acknowledges or votes for from now on.
     ///
     /// # Errors
-    /// The log library's error, where that can't be written.
+    /// The error of the Raft library, if the value can't be written.
     pub fn save_joined(&self) -> Result<(), StorageError<u64>> {
         self.write("joined", &true)
     }
 
-    /// The incarnation that begins now, by the wall clock in nanoseconds since 1970, and always later than the one
-    /// before: the wall clock may have been set back.
+    /// Begins an incarnation and returns it: the time by the wall clock, in nanoseconds since 1970, but
+    /// always later than the former incarnation, since the wall clock may have been set back.
     ///
     /// # Errors
-    /// [`LogError::Disk`], where the former one can't be read or this one not be written.
-    pub fn begin_incarnation(&self, wall_ns: u64) -> Result<u64, LogError> {
+    /// [`LogError::Disk`] if the former incarnation can't be read or the new one can't be written.
+    pub fn begin_incarnation(&self, wall_clock_ns: u64) -> Result<u64, LogError> {
         let disk_error = |error: &dyn Display| LogError::Disk(format!("{}: {error}", self.folder.display()));
         let former: u64 = self.read("life").map_err(|error| disk_error(&error))?.unwrap_or(0);
-        let incarnation = wall_ns.max(former + 1);
+        let incarnation = wall_clock_ns.max(former + 1);
         self.write("life", &incarnation).map_err(|error| disk_error(&error))?;
         Ok(incarnation)
     }
@@ -174,11 +176,10 @@
         self.folder.join(SNAPSHOT)
     }
 
-    /// The bytes of the snapshot on disk; `None`: there is none.
+    /// Reads the snapshot on disk; `None` if there is none.
     ///
-    /// # Errors
-    /// [`StoreError::SnapshotHash`] where it was written in part or changed, [`StoreError::File`] where it can't be
-    /// read.
+    /// # Errors [`StoreError::SnapshotHash`] if the file was written only in part or was changed, and
+    /// [`StoreError::File`] if it can't be read.
     pub fn snapshot(&self) -> Result<Option<Vec<u8>>, StoreError> {
         let path = self.snapshot_path();
         let bytes = match std::fs::read(&path) {
@@ -192,10 +193,10 @@
         }
     }
 
-    /// Replaces the snapshot on disk: whole and synced, or not at all.
+    /// Replaces the snapshot on disk atomically, and syncs it.
     ///
     /// # Errors
-    /// [`StoreError::File`], where it can't be written.
+    /// [`StoreError::File`] if it can't be written.
     pub fn save_snapshot(&self, bytes: &[u8]) -> Result<(), StoreError> {
         let (path, new_path) = (self.snapshot_path(), self.folder.join("snapshot.new"));
         let write = || {
@@ -220,7 +221,7 @@
         Ok(entries)
     }
 
-    /// Removes entries from the log.
+    /// Removes the entries in a range of indexes.
     fn remove_entries(&self, range: (Bound<u64>, Bound<u64>)) -> Result<(), StorageError<u64>> {
         run_blocking(|| {
             let transaction = self.log.begin_write().map_err(storage_error)?;
@@ -233,7 +234,7 @@
     }
 }
 
-/// Writes to the disk on this thread, once the runtime has moved its other tasks to other threads.
+/// Runs a blocking write on this thread, after the runtime has moved its other tasks to other threads.
 fn run_blocking<T>(write: impl FnOnce() -> T) -> T {
     match tokio::runtime::Handle::try_current() {
         Ok(handle) if handle.runtime_flavor() == tokio::runtime::RuntimeFlavor::MultiThread => {
@@ -292,10 +293,10 @@
                     log.insert(entry.log_id.index, &*bytes).map_err(storage_error)?;
                 }
             }
-            // Synced when this returns.
+            // The entries are synced when this returns.
             transaction.commit().map_err(storage_error)
         });
-        let result = written.as_ref().copied().map_err(|e| std::io::Error::other(e.to_string()));
+        let result = written.as_ref().copied().map_err(|error| std::io::Error::other(error.to_string()));
         callback.log_io_completed(result);
         written
     }
@@ -304,8 +305,8 @@
         self.remove_entries((Bound::Included(from.index), Bound::Unbounded))
     }
 
-    async fn purge(&mut self, upto: LogId<u64>) -> Result<(), StorageError<u64>> {
-        self.write("purged", &upto)?;
-        self.remove_entries((Bound::Unbounded, Bound::Included(upto.index)))
+    async fn purge(&mut self, last: LogId<u64>) -> Result<(), StorageError<u64>> {
+        self.write("purged", &last)?;
+        self.remove_entries((Bound::Unbounded, Bound::Included(last.index)))
     }
 }
