--- a/crates/lilacpitch-site/src/admin_pages.rs
+++ b/crates/lilacpitch-site/src/admin_pages.rs
@@ -1,5 +1,5 @@
-//! The operator's pages: metrics, the audit, how far purges are, and commands by POST. Each is one HTTP/1.1 request on a
-//! connection of its own.
+//! The HTTP pages for operators: metrics, the audit, the progress of purges, and commands by POST. Each
+//! connection serves one HTTP/1.1 request.
 
 use crate::clock::now;
 use crate::process::Process;
@@ -17,14 +17,15 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 
-/// How long one request may take, and the delay before the next accept after one failed.
+/// The timeout of a request, and the delay before the next accept after one failed.
 const TIMEOUT: Duration = Duration::from_secs(5);
 /// Longest name of an owner in a purge, in bytes.
 const MAX_OWNER_BYTES: usize = 64;
+/// The list of all pages, which is the text of the 404 page.
 const PAGES: &str = "GET /metrics, /audit?at=MS, /purges; POST /purge?number=N|prefix=P|holder=NAME|all, \
                      /withdraw?settings=HEX, /reinstate?settings=HEX\n";
 
-/// Why a POST names no command.
+/// Why a POST request is not a valid command.
 #[derive(Debug, Error)]
 enum CommandError {
     #[error(transparent)]
@@ -35,7 +36,7 @@
     Unknown { path: String, query: String },
 }
 
-/// Serves requests, each on a task of its own.
+/// Serves the pages; each connection is handled by a task of its own.
 pub(crate) async fn serve(process: Arc<Process>, listener: TcpListener) {
     loop {
         match listener.accept().await {
@@ -53,13 +54,14 @@
     }
 }
 
+/// Serves one request; `None` if the connection failed.
 async fn serve_connection(mut stream: TcpStream, process: Arc<Process>) -> Option<()> {
     let mut bytes = Vec::new();
     let response = loop {
         match http::request(&bytes) {
             Ok(Some((request, _))) => break respond(&process, &request).await,
             Ok(None) => match stream.read_buf(&mut bytes).await {
-                Ok(read) if read > 0 => {}
+                Ok(count) if count > 0 => {}
                 _ => return None,
             },
             Err(error) => break plain_response("400 Bad Request", "", &format!("{error}\n")),
@@ -74,7 +76,7 @@
     let ok = |body: String| plain_response("200 OK", "", &body);
     match (request.method.as_str(), path) {
         ("GET", "/metrics") => ok(metrics_page(process)),
-        ("GET", "/audit") => match parse_moment(query) {
+        ("GET", "/audit") => match parse_time(query) {
             Ok(at_ms) => ok(audit_page(process, at_ms)),
             Err(error) => plain_response("400 Bad Request", "", &format!("{error}\n")),
         },
@@ -99,6 +101,7 @@
     }
 }
 
+/// The 503 page for a request that was not carried out.
 fn unavailable(response: &Response) -> Vec<u8> {
     let reason = match response {
         Response::Rejected(reason) => reason.to_string(),
@@ -107,7 +110,7 @@
     plain_response("503 Service Unavailable", "", &format!("{reason}\n"))
 }
 
-/// The command that a path and its query name.
+/// Parses the command in the path and the query of a POST request.
 fn parse_command(path: &str, query: &str) -> Result<CommandAction, CommandError> {
     let (field, value) = query.split_once('=').unwrap_or((query, ""));
     let digest = || u64::from_str_radix(value, 16).map_err(|_| CommandError::SettingsDigest(value.into()));
@@ -129,8 +132,9 @@
     }
 }
 
-/// The moment that a query names, in milliseconds since 1970; `None`: the latest.
-fn parse_moment(query: &str) -> Result<Option<u64>, AuditError> {
+/// Parses the time in the query of the audit page, in milliseconds since 1970; `None` for the latest
+/// versions.
+fn parse_time(query: &str) -> Result<Option<u64>, AuditError> {
     match query.strip_prefix("at=") {
         None if query.is_empty() => Ok(None),
         None => Err(AuditError::InvalidTime(query.into())),
@@ -138,8 +142,8 @@
     }
 }
 
-/// Which front acted on which version at a moment; without one, the latest of each incarnation, and by how many commands
-/// it lags.
+/// The versions that the fronts acted on at a time or, without a time, the latest version of each
+/// incarnation. Each line also shows by how many commands the front lagged.
 fn audit_page(process: &Process, at_ms: Option<u64>) -> String {
     let mut out = at_ms.map_or("# last said\n".into(), |at_ms| format!("# at {at_ms}\n"));
     let position = process.ack_aggregator.lock().position();
@@ -161,7 +165,7 @@
         true => position.index.saturating_sub(interval.moved_to).to_string(),
         false => "other-log".into(),
     };
-    // Writing to a String cannot fail.
+    // Writing to a String can't fail.
     let _ = writeln!(
         out,
         "{front}\tlife {incarnation}\tsettings {:016x}\tlist {:016x}\tbuild {}\tcaches {}\ttakes-calls {}\t\
@@ -185,7 +189,7 @@
     let (pending, purge_position) =
         process.state.with_metadata(|metadata| (metadata.pending_purges.len(), metadata.purge_position));
     let counters = &process.counters;
-    let all = [
+    let metrics = [
         ("rows", process.state.records.len() as u64),
         ("changes_not_ordered", pending as u64),
         ("changes_ordered", purge_position.index),
@@ -193,17 +197,17 @@
         ("children", children as u64),
         ("leads", u64::from(process.is_leader())),
         ("sites_unknown", process.catalogue.read().stale_sites(now()).len() as u64),
-        ("found_total", counters.found.load(Relaxed)),
-        ("full_total", counters.full.load(Relaxed)),
-        ("behind_total", counters.behind.load(Relaxed)),
-        ("written_total", counters.written.load(Relaxed)),
-        ("fenced_total", counters.fenced.load(Relaxed)),
-        ("granted_total", counters.granted.load(Relaxed)),
-        ("not_granted_total", counters.not_granted.load(Relaxed)),
-        ("summaries_refused_total", counters.summaries_refused.load(Relaxed)),
+        ("found_total", counters.queries_answered.load(Relaxed)),
+        ("full_total", counters.queries_overloaded.load(Relaxed)),
+        ("behind_total", counters.queries_behind.load(Relaxed)),
+        ("written_total", counters.changes_written.load(Relaxed)),
+        ("fenced_total", counters.writes_fenced.load(Relaxed)),
+        ("granted_total", counters.leases_granted.load(Relaxed)),
+        ("not_granted_total", counters.leases_not_granted.load(Relaxed)),
+        ("summaries_refused_total", counters.summaries_rejected.load(Relaxed)),
     ];
     let mut out = String::new();
-    for (name, value) in all {
+    for (name, value) in metrics {
         let kind = if name.ends_with("_total") { "counter" } else { "gauge" };
         let _ = write!(out, "# TYPE lilacpitch_site_{name} {kind}\nlilacpitch_site_{name} {value}\n");
     }
--- a/crates/lilacpitch-site/src/process.rs
+++ b/crates/lilacpitch-site/src/process.rs
@@ -1,7 +1,8 @@
-//! The state of one process of a site, shared by its tasks. [`crate::startup`] builds it and starts the tasks.
+//! The state of one process of a site, shared by its tasks. [`crate::startup`] builds it and starts the
+//! tasks.
 //!
-//! **Locks.** Each mutex below stands alone: none is held across an await, nor while another one is taken. What a task
-//! needs from two of them it reads one after the other.
+//! **Locks.** None of the locks below is held across an await or while another one is taken. A task that
+//! needs values behind two of them reads one after the other.
 
 use crate::log::state::SiteState;
 use crate::log::store::LogStore;
@@ -25,53 +26,55 @@
 use std::time::Duration;
 use tokio::sync::watch;
 
-/// How many of the settings' locate timeouts a request between processes may take where nothing else bounds it.
+/// The timeout of a request between processes without a timeout of its own, in multiples of the locate
+/// timeout.
 const REQUEST_TIMEOUT_FACTOR: u64 = 5;
 
-/// Counters of the metrics page, from the start of the process on.
+/// The counters of the metrics page, which begin at 0 when the process starts.
 #[derive(Debug, Default)]
 pub struct Counters {
-    /// Queries for location records answered.
-    pub found: AtomicU64,
-    /// Queries rejected as too many at once.
-    pub full: AtomicU64,
-    /// Queries rejected because this process lags behind its site.
-    pub behind: AtomicU64,
-    /// Record changes written to the site's log.
-    pub written: AtomicU64,
-    /// Writes rejected for want of a lease.
-    pub fenced: AtomicU64,
-    /// Leases granted to children.
-    pub granted: AtomicU64,
+    /// Queries for location records that were answered.
+    pub queries_answered: AtomicU64,
+    /// Queries that were rejected because too many were handled concurrently.
+    pub queries_overloaded: AtomicU64,
+    /// Queries that were rejected because this process lags behind its site.
+    pub queries_behind: AtomicU64,
+    /// Record changes that were written to the site's log.
+    pub changes_written: AtomicU64,
+    /// Writes that were rejected because the front has no lease.
+    pub writes_fenced: AtomicU64,
+    /// Leases that were granted to children.
+    pub leases_granted: AtomicU64,
     /// Lease requests of children that were not granted.
-    pub not_granted: AtomicU64,
+    pub leases_not_granted: AtomicU64,
     /// Summary updates that could not be decoded.
-    pub summaries_refused: AtomicU64,
+    pub summaries_rejected: AtomicU64,
 }
 
 /// The state of one process.
 pub struct Process {
-    /// The settings, as loaded at the start.
+    /// The settings, which were loaded at the start.
     pub(crate) settings: Site,
-    /// What this process calls itself on connections.
+    /// How this process identifies itself on connections.
     pub(crate) identity: LocalIdentity,
     /// Safeguards that the testbed may switch off.
     pub(crate) safeguards: Safeguards,
-    /// What the site's log has built up here.
+    /// The state that the site's log has built on this process.
     pub(crate) state: Arc<SiteState>,
-    /// The replicated log, once this process takes part in it.
+    /// The replicated log; empty until this process takes part in it.
     pub(crate) raft: OnceLock<Raft>,
-    /// The disk.
+    /// The log and the snapshot on disk.
     pub(crate) store: LogStore,
-    /// The disk holds everything that this process ever acknowledged or voted for, so it may vote.
+    /// Whether the disk holds everything that this process ever acknowledged or voted for, so that it may
+    /// vote.
     pub(crate) has_joined: AtomicBool,
-    /// With a new disk: the votes that the other processes hold.
+    /// After the loss of the disk: the votes that the other processes hold.
     pub(crate) disk_loss_recovery: Mutex<DiskLossRecovery>,
     /// The index of the last log entry applied here.
     pub(crate) applied: watch::Receiver<u64>,
-    /// The site's processes by index, this one's own index among them.
+    /// Connections to the processes of this site by index, including one for this process itself.
     pub(crate) siblings: Arc<[Arc<Dialer>]>,
-    /// The processes of the parent site; none at the root.
+    /// Connections to the processes of the parent site; none at the root.
     pub(crate) parents: Vec<Arc<Dialer>>,
     /// The leases of the children, and which commands they have acknowledged.
     pub(crate) ack_aggregator: Mutex<AckAggregator>,
@@ -79,31 +82,31 @@
     pub(crate) lease_holder: Mutex<LeaseHolder>,
     /// Summaries of all other sites.
     pub(crate) catalogue: RwLock<Catalogue>,
-    /// The connection of each child, by which commands are pushed to it.
+    /// The connection of each child, on which commands are pushed to it.
     pub(crate) children: Mutex<BTreeMap<ChildId, Arc<RpcConnection>>>,
-    /// Counts changes of the commands known here: tasks that push them wait for it.
+    /// Incremented when commands have arrived; the tasks that push commands wait for it.
     pub(crate) commands_changed: watch::Sender<u64>,
-    /// Counts everything that may change the aggregated acknowledgement.
+    /// Incremented when the aggregated acknowledgement may have changed.
     pub(crate) acks_changed: watch::Sender<u64>,
-    /// Which process of the parent site is in use.
+    /// The process of the parent site that is in use.
     pub(crate) upstream: Mutex<UpstreamSelection>,
     /// The terms of leases, the same in the whole fleet.
     pub(crate) terms: LeaseTerms,
-    /// The term in which this process was last confirmed to lead the root, and in which all who may hold leases of a
-    /// former leader are taken into account; 0: none.
+    /// The last term in which this process was confirmed as the root's leader, and in which it takes the
+    /// leases of a former leader into account; 0: none.
     pub(crate) origin_term: AtomicU64,
-    /// Reads that wait until this process has caught up.
+    /// Where reads wait until this process has caught up with its site.
     pub(crate) read_barrier: ReadBarrier,
-    /// Commands for the site's log.
+    /// Commands to be written to the site's log.
     pub(crate) write_queue: WriteQueue,
-    /// How many queries may be worked on at once.
+    /// Limits the number of concurrent queries.
     pub(crate) concurrency_limit: Mutex<ConcurrencyLimit>,
-    /// Counters of the metrics page.
+    /// The counters of the metrics page.
     pub(crate) counters: Counters,
 }
 
 impl Process {
-    /// The site's log; `None` until this process takes part in it.
+    /// The replicated log; `None` until this process takes part in it.
     pub(crate) fn raft(&self) -> Option<&Raft> {
         self.raft.get()
     }
@@ -131,7 +134,7 @@
         self.leader() == Some(self.settings.place)
     }
 
-    /// How long a response of another process is awaited where nothing else bounds it.
+    /// The timeout of requests to other processes that have no timeout of their own.
     pub(crate) fn request_timeout(&self) -> Duration {
         Duration::from_nanos(self.settings.terms.ask_ns * REQUEST_TIMEOUT_FACTOR)
     }
--- a/crates/lilacpitch-site/src/record_store/writes.rs
+++ b/crates/lilacpitch-site/src/record_store/writes.rs
@@ -1,4 +1,5 @@
-//! Writes the queued commands: while one log entry is on its way to the disks, the next batch fills up.
+//! Writes queued commands to the log. While one log entry is being committed, further commands are queued for
+//! the next.
 
 use crate::log::{ApplyResult, Command};
 use crate::process::Process;
@@ -8,13 +9,13 @@
 use std::sync::Arc;
 use tokio::sync::{mpsc, oneshot};
 
-/// Commands that go into one log entry.
+/// Commands that are merged into one log entry.
 struct Batch {
     command: Command,
     responders: Vec<oneshot::Sender<Response>>,
 }
 
-/// Writes what is queued, one log entry at a time, until the queue is closed.
+/// Writes queued commands, one log entry at a time, until the queue is closed.
 pub(crate) async fn run(process: Arc<Process>, mut queue: mpsc::Receiver<QueuedWrite>) {
     let mut overflow = None;
     loop {
@@ -31,7 +32,8 @@
     }
 }
 
-/// Merges what waits already; the second value is the command that did not merge, and begins the next batch.
+/// Merges the queued commands into a batch. The second value is the first command that could not be merged;
+/// it begins the next batch.
 fn fill_batch(first: QueuedWrite, queue: &mut mpsc::Receiver<QueuedWrite>) -> (Batch, Option<QueuedWrite>) {
     let mut batch = Batch { command: first.command, responders: vec![first.responder] };
     while let Ok(QueuedWrite { command, responder }) = queue.try_recv() {
@@ -43,15 +45,15 @@
     (batch, None)
 }
 
-/// Writes one entry and responds to all who wait for it. Without a log the responders are dropped, which their
-/// requesters take for 'no leader'.
+/// Writes one log entry and responds to all requesters. While this process takes no part in the log, the
+/// responders are dropped, and the requesters are rejected with [`RejectReason::NoLeader`].
 async fn write_batch(process: &Process, batch: Batch) {
     let changes = match &batch.command {
         Command::WriteRecords(writes) => change_count(writes) as u64,
         _ => 0,
     };
     let Some(raft) = process.raft() else { return };
-    let response = match raft.client_write(batch.command).await.map(|written| written.data) {
+    let response = match raft.client_write(batch.command).await.map(|response| response.data) {
         Ok(ApplyResult::Done) => Response::Written,
         Ok(ApplyResult::Position(position)) => Response::Committed(position),
         Ok(ApplyResult::Rejected(reason)) => Response::Rejected(RejectReason::Failed(reason)),
@@ -61,10 +63,10 @@
         Err(error) => Response::Rejected(RejectReason::Failed(error.to_string())),
     };
     if response == Response::Written {
-        process.counters.written.fetch_add(changes, Relaxed);
+        process.counters.changes_written.fetch_add(changes, Relaxed);
     }
     for responder in batch.responders {
-        // A requester that has gone needs no response.
+        // A requester that no longer waits needs no response.
         let _ = responder.send(response.clone());
     }
 }
--- a/crates/lilacpitch-site/src/request_handler.rs
+++ b/crates/lilacpitch-site/src/request_handler.rs
@@ -1,5 +1,6 @@
-//! Handles the requests of other processes: of children (fronts and the sites below), of siblings in the same site, and
-//! of the parent, which sends commands. What is for the root or for the site's leader is passed on.
+//! Handles the requests of other processes: children (fronts and processes of the sites below), siblings
+//! (processes of the same site) and the parent, which sends commands. Requests for the root or for the site's
+//! leader are forwarded.
 
 use crate::clock::now;
 use crate::log::Types;
@@ -16,7 +17,7 @@
 use std::sync::atomic::Ordering::Relaxed;
 use std::sync::Arc;
 
-/// When to retry a query that came while too many were worked on, in milliseconds.
+/// The retry delay for a query that is rejected as overload, in milliseconds.
 const RETRY_AFTER_MS: u32 = 20;
 
 impl RequestHandler for Process {
@@ -28,19 +29,19 @@
 /// A slot of the concurrency limit, released when this is dropped.
 struct QuerySlot {
     process: Arc<Process>,
-    urgent: bool,
+    is_urgent: bool,
 }
 
 impl QuerySlot {
-    fn try_acquire(process: &Arc<Process>, urgent: bool) -> Option<Self> {
-        let is_acquired = process.concurrency_limit.lock().try_acquire(urgent);
-        is_acquired.then(|| QuerySlot { process: process.clone(), urgent })
+    fn try_acquire(process: &Arc<Process>, is_urgent: bool) -> Option<Self> {
+        let is_acquired = process.concurrency_limit.lock().try_acquire(is_urgent);
+        is_acquired.then(|| QuerySlot { process: process.clone(), is_urgent })
     }
 }
 
 impl Drop for QuerySlot {
     fn drop(&mut self) {
-        self.process.concurrency_limit.lock().release(self.urgent);
+        self.process.concurrency_limit.lock().release(self.is_urgent);
     }
 }
 
@@ -70,7 +71,7 @@
             Request::Write { first, changes } => self.write_records(child, first, changes).await,
             Request::FindRecords { query, after, limit, urgent } => {
                 let Some(_slot) = QuerySlot::try_acquire(&self, urgent) else {
-                    self.counters.full.fetch_add(1, Relaxed);
+                    self.counters.queries_overloaded.fetch_add(1, Relaxed);
                     return rejected(RejectReason::Overloaded { wait_ms: RETRY_AFTER_MS });
                 };
                 self.find_records(query, after, limit).await
@@ -85,7 +86,7 @@
         }
     }
 
-    /// Requests that only a process of the same site may make.
+    /// Responds to a request that only a process of the same site may send.
     async fn respond_to_sibling(self: &Arc<Self>, from: &Arc<RpcConnection>, request: Request) -> Response {
         match request {
             Request::Forwarded(name, incarnation, request) => {
@@ -106,13 +107,13 @@
 
     async fn find_records(self: &Arc<Self>, query: Query, after: Option<Key>, limit: u32) -> Response {
         if self.safeguards.summary_age && !self.is_current().await {
-            self.counters.behind.fetch_add(1, Relaxed);
+            self.counters.queries_behind.fetch_add(1, Relaxed);
             return rejected(RejectReason::Behind);
         }
         let limit = (limit as usize).clamp(1, MAX_RECORDS);
         let page = match &query.target {
             QueryTarget::Number(_) => self.state.records.find(&query, after.as_ref(), limit),
-            // All shards are walked through: on a thread that nothing else waits for.
+            // A search visits all shards, so it runs on a thread for blocking work.
             QueryTarget::Prefix(_) => {
                 let process = self.clone();
                 let search = move || process.state.records.find(&query, after.as_ref(), limit);
@@ -122,7 +123,7 @@
                 }
             }
         };
-        self.counters.found.fetch_add(1, Relaxed);
+        self.counters.queries_answered.fetch_add(1, Relaxed);
         Response::Found { page, process: self.identity.name.clone() }
     }
 
@@ -137,25 +138,30 @@
         let response = self.ack_aggregator.lock().renew_lease(now(), &child, is_front, applied, store_id);
         match &response {
             Response::LeaseGranted { for_ns, .. } => {
-                let counter = if *for_ns > 0 { &self.counters.granted } else { &self.counters.not_granted };
+                let counter = if *for_ns > 0 {
+                    &self.counters.leases_granted
+                } else {
+                    &self.counters.leases_not_granted
+                };
                 counter.fetch_add(1, Relaxed);
                 self.register_child(child, from);
                 self.acks_changed.send_modify(|count| *count += 1);
             }
             Response::Rejected(RejectReason::Ahead) => {
-                self.counters.not_granted.fetch_add(1, Relaxed);
+                self.counters.leases_not_granted.fetch_add(1, Relaxed);
                 if self.is_root() && self.is_leader() {
                     tokio::spawn(crate::command_log::replace_lost_log(self.clone(), applied));
                 }
             }
             _ => {
-                self.counters.not_granted.fetch_add(1, Relaxed);
+                self.counters.leases_not_granted.fetch_add(1, Relaxed);
             }
         }
         response
     }
 
-    /// Has the root's leader respond to a request: this process if it is the one, else the next on the path to it.
+    /// Responds to a request for the root's leader: this process responds if it is the leader, and otherwise
+    /// forwards the request towards it.
     pub(crate) async fn submit_to_root(self: &Arc<Self>, request: Request) -> Response {
         if self.is_root() {
             return match self.leader() {
@@ -165,19 +171,19 @@
             };
         }
         let parent = self.parent();
-        // Twice the time of one request: the parent passes it on to its leader.
+        // Twice the timeout of one request, since the parent may forward it to its leader.
         parent
             .request(request, self.request_timeout() * 2)
             .await
             .unwrap_or_else(|error| rejected(RejectReason::Failed(error.to_string())))
     }
 
-    /// This process as its parent knows it.
+    /// The id of this process as a child of its parent.
     pub(crate) fn as_child(&self) -> ChildId {
         ChildId { name: self.identity.name.clone(), incarnation: self.identity.incarnation }
     }
 
-    /// Sends a request to the sibling of this index.
+    /// Sends a request to the sibling at this index.
     pub(crate) async fn request_sibling(&self, index: usize, request: Request) -> Response {
         let Some(sibling) = self.siblings.get(index) else { return rejected(RejectReason::NoLeader) };
         sibling
@@ -186,7 +192,7 @@
             .unwrap_or_else(|error| rejected(RejectReason::Failed(error.to_string())))
     }
 
-    /// Sends a request to a sibling, which leads, on behalf of a front or a process.
+    /// Forwards a request of a front or process to a sibling, which is the leader.
     pub(crate) async fn forward_to_sibling(
         &self,
         index: usize,
@@ -201,7 +207,7 @@
         match request {
             Request::Submit(action) => self.write_queue.append_command(action).await,
             Request::Audit(records) => self.write_queue.append_audit(records).await,
-            // A new leader knows of no children yet, or has not taken all commands from its log.
+            // A new leader may not know all children yet, or may not have taken all commands from the log.
             Request::Progress if !self.is_origin() || self.lags_command_log() => {
                 rejected(RejectReason::NoLeader)
             }
@@ -224,12 +230,12 @@
             return rejected(RejectReason::NoLeader);
         }
         match request {
-            // The sibling that received it has checked the records and the front's lease.
+            // The sibling that received the request has checked the records and the front's lease.
             Request::Write { first, changes } => {
                 self.write_queue.write_records(on_behalf_of, first, changes).await
             }
-            Request::RemoveOlderIncarnations(front, before) => {
-                self.write_queue.remove_older_incarnations(front, before).await
+            Request::RemoveOlderIncarnations(front, incarnation) => {
+                self.write_queue.remove_older_incarnations(front, incarnation).await
             }
             request if self.is_root() => self.respond_as_root(request).await,
             request => {
@@ -239,7 +245,7 @@
         }
     }
 
-    /// Writes a front's record changes, by way of the site's leader.
+    /// Writes a front's record changes through the site's leader.
     async fn write_records(
         self: &Arc<Self>,
         front: ChildId,
@@ -250,7 +256,7 @@
             return rejected(reason);
         }
         if !self.ack_aggregator.lock().accepts_writes_from(now(), &front) {
-            self.counters.fenced.fetch_add(1, Relaxed);
+            self.counters.writes_fenced.fetch_add(1, Relaxed);
             return rejected(RejectReason::Fenced);
         }
         match self.leader() {
@@ -269,7 +275,7 @@
                 Ok(rpc) => encode_result(raft.append_entries(rpc).await),
                 Err(reason) => rejected(reason),
             },
-            // On a former disk this process may have promised what such a vote would break.
+            // This process may have cast votes on a lost disk, which another vote could contradict.
             LogMessage::Vote(_) if !self.has_joined.load(Relaxed) => rejected(RejectReason::Behind),
             LogMessage::Vote(bytes) => match decode::<VoteRequest<u64>>(&bytes) {
                 Ok(rpc) => encode_result(raft.vote(rpc).await),
@@ -283,10 +289,14 @@
     }
 }
 
-/// Whether a front may make these changes: well-formed, not too many, and all of records that it owns.
+/// Checks that a front may make these changes: they must be well-formed, not too many, and concern records of
+/// this incarnation of the front.
 fn check_changes(front: &ChildId, changes: &[RecordChange]) -> Result<(), RejectReason> {
     if changes.len() > MAX_RECORDS {
-        return Err(RejectReason::Malformed(format!("{} rows, {MAX_RECORDS} at most", changes.len())));
+        return Err(RejectReason::Malformed(format!(
+            "{} record changes, at most {MAX_RECORDS} are allowed",
+            changes.len()
+        )));
     }
     for change in changes {
         let (key, malformed) = match change {
@@ -297,7 +307,10 @@
             return Err(RejectReason::Malformed(error.to_string()));
         }
         if key.owner.front != front.name || key.owner.incarnation != front.incarnation {
-            return Err(RejectReason::Malformed(format!("a row of {}", key.owner.front)));
+            return Err(RejectReason::Malformed(format!(
+                "record of another front or incarnation: {}",
+                key.owner.front
+            )));
         }
     }
     Ok(())
@@ -307,7 +320,7 @@
     postcard::from_bytes(bytes).map_err(|error| RejectReason::Malformed(error.to_string()))
 }
 
-/// The log library's response, or its error, as a message.
+/// Encodes the result of the Raft library as a response.
 fn encode_result<T: Serialize, E: Serialize>(result: Result<T, E>) -> Response {
     let bytes = match &result {
         Ok(response) => postcard::to_allocvec(response).map(Ok),
--- a/crates/lilacpitch-site/src/summaries.rs
+++ b/crates/lilacpitch-site/src/summaries.rs
@@ -1,5 +1,5 @@
-//! Summaries of location records: this site's own, given to who polls, and those of other sites, polled from the parent
-//! and from the sites below.
+//! Exchanges summaries of location records: responds to polls with updates, and polls the parent and the
+//! sites below for the summaries of other sites.
 
 use crate::clock::now;
 use crate::process::Process;
@@ -11,7 +11,7 @@
 use std::time::Duration;
 use tokio::task::JoinSet;
 
-/// Most requests to one process in one poll, for an update that does not fit into one response.
+/// Most requests to one process in one poll, if the updates do not fit into one response.
 const MAX_ROUNDS: usize = 64;
 
 impl Process {
@@ -29,14 +29,15 @@
         Response::Summaries(updates)
     }
 
-    /// The update of this site's own summary; none while this process can't tell whether it lags behind its site.
+    /// The update of this site's own summary; `None` while this process can't rule out that it lags behind
+    /// its site.
     async fn own_summary_since(&self, known: &KnownSummary) -> Option<SiteSummaryUpdate> {
         let requested_ns = now();
         if self.safeguards.summary_age && !self.is_current().await {
             return None;
         }
-        // The pending purges are read before the summary: a change that comes between the two is in the summary then,
-        // and if its purge comes between as well, the purge position is the older one.
+        // The pending purges are read before the summary. A change that is made in between is then contained
+        // in the summary; if its purge is committed in between as well, the purge position is the older one.
         let (pending, purge_position) = self.state.summary_purges();
         let records = &self.state.records;
         let total = records.versions().iter().sum();
@@ -65,7 +66,7 @@
     }
 }
 
-/// Polls the parent and the processes below at intervals, as long as this process runs.
+/// Polls the parent and the processes below at intervals while this process runs.
 pub(crate) async fn poll(process: Arc<Process>) {
     let interval = Duration::from_nanos(process.settings.terms.poll_ns);
     loop {
@@ -73,16 +74,16 @@
         for source in summary_sources(&process) {
             polls.spawn(poll_source(process.clone(), source));
         }
-        // One that does not respond must not hold back what the others send.
+        // A source that does not respond must not delay the next poll of the others.
         let _ = tokio::time::timeout(interval, async { while polls.join_next().await.is_some() {} }).await;
         polls.detach_all();
         tokio::time::sleep(interval).await;
     }
 }
 
-/// A process whose summaries are polled.
+/// A process that is polled for summaries.
 enum SummarySource {
-    /// The parent; at the root, its leader.
+    /// The parent; at the root, the leader.
     Upstream(Arc<Dialer>),
     /// A process of a site below.
     Child(Arc<RpcConnection>),
@@ -110,7 +111,7 @@
     sources
 }
 
-/// Polls one process until it has no more updates.
+/// Polls one process until it has no more updates, or for [`MAX_ROUNDS`].
 async fn poll_source(process: Arc<Process>, source: SummarySource) {
     for _ in 0..MAX_ROUNDS {
         let (requested_ns, known) = (now(), process.catalogue.read().known_summaries());
@@ -118,7 +119,7 @@
         let Ok(Response::Summaries(updates)) = response else { return };
         let applied = process.catalogue.write().apply_updates(requested_ns, updates);
         for error in applied.errors {
-            process.counters.summaries_refused.fetch_add(1, Relaxed);
+            process.counters.summaries_rejected.fetch_add(1, Relaxed);
             tracing::warn!(%error, "summary update rejected");
         }
         if !applied.has_more {
