--- a/crates/lilacpitch-site/src/cli.rs
+++ b/crates/lilacpitch-site/src/cli.rs
@@ -12,7 +12,7 @@
 use tokio::signal::unix::{signal, SignalKind};
 use tracing_subscriber::EnvFilter;
 
-/// A process of a site: part of the register of numbers.
+/// A process of a site, which stores where numbers can be reached.
 #[derive(Debug, Parser)]
 #[command(name = "lilacpitch-site", version)]
 struct Args {
@@ -22,13 +22,14 @@
 
 #[derive(Debug, Subcommand)]
 enum Command {
-    /// Run a process until SIGTERM or SIGINT. Prints one line once it listens: {"links":"ADDRESS","pages":"ADDRESS"}.
+    /// Run a process until SIGTERM or SIGINT. Once it listens, it prints one line:
+    /// {"links":"ADDRESS","pages":"ADDRESS"}.
     Run {
         /// The settings file.
         #[arg(long, value_name = "FILE")]
         config: PathBuf,
     },
-    /// Read the settings as a start would, and say what is wrong.
+    /// Check the settings and report errors, without starting.
     Check {
         /// The settings file.
         #[arg(long, value_name = "FILE")]
@@ -38,19 +39,20 @@
     Schema,
 }
 
-/// Runs the program. Exit codes: 0 done, 1 could not run or stopped by a fault, 2 wrong arguments or settings.
+/// Runs the program. Exit codes: 0 for success, 1 if the process could not start or failed, 2 for invalid
+/// arguments or settings.
 pub fn main(args: impl IntoIterator<Item = OsString>) -> ExitCode {
     main_with(args, Safeguards::default())
 }
 
-/// Runs the program with some safeguards switched off: for the testbed.
+/// Runs the program with these safeguards; the testbed switches some of them off.
 #[doc(hidden)]
 pub fn main_with(args: impl IntoIterator<Item = OsString>, safeguards: Safeguards) -> ExitCode {
     let args = match Args::try_parse_from(args) {
         Ok(args) => args,
         Err(error) => {
             let code = if error.use_stderr() { 2 } else { 0 };
-            // Where printing fails there is nowhere to report it.
+            // If printing fails, there is nowhere to report that.
             let _ = error.print();
             return ExitCode::from(code);
         }
@@ -73,7 +75,7 @@
 }
 
 fn print_line(line: &str) {
-    // The reader of standard output may have gone: no reason to fail.
+    // The reader of standard output may have exited, which is no reason to fail.
     let mut out = std::io::stdout().lock();
     let _ = writeln!(out, "{line}").and_then(|()| out.flush());
 }
@@ -93,13 +95,13 @@
         Err(error) => return report_settings_error(&error),
     };
     start_logging(&settings.log);
-    // One more than in the settings: a write to the disk holds one of them.
+    // One more than in the settings, since a write to the disk blocks one of them.
     let threads = settings.threads + 1;
     let runtime =
         match tokio::runtime::Builder::new_multi_thread().worker_threads(threads).enable_all().build() {
             Ok(runtime) => runtime,
             Err(error) => {
-                eprintln!("lilacpitch-site: no runtime: {error}");
+                eprintln!("lilacpitch-site: starting the runtime failed: {error}");
                 return ExitCode::FAILURE;
             }
         };
@@ -115,13 +117,14 @@
 
 fn start_logging(settings: &Log) {
     let filter = EnvFilter::try_new(&settings.level).unwrap_or_default();
-    let log = tracing_subscriber::fmt().with_env_filter(filter).with_writer(std::io::stderr).with_ansi(false);
+    let subscriber =
+        tracing_subscriber::fmt().with_env_filter(filter).with_writer(std::io::stderr).with_ansi(false);
     let result = match settings.format {
-        LogFormat::Text => log.try_init(),
-        LogFormat::Json => log.json().try_init(),
+        LogFormat::Text => subscriber.try_init(),
+        LogFormat::Json => subscriber.json().try_init(),
     };
     if let Err(error) = result {
-        eprintln!("lilacpitch-site: logging: {error}");
+        eprintln!("lilacpitch-site: starting the log output failed: {error}");
     }
 }
 
@@ -137,7 +140,7 @@
     startup::run(settings, safeguards, print_addresses, stop).await
 }
 
-/// The one line that `run` prints once it listens.
+/// Prints the addresses on which the process listens, as one line of JSON.
 fn print_addresses(addresses: ListenAddresses) {
     let pages = addresses.pages.map(|address| format!(",\"pages\":\"{address}\"")).unwrap_or_default();
     print_line(&format!("{{\"links\":\"{}\"{pages}}}", addresses.rpc));
--- a/crates/lilacpitch-site/src/clock.rs
+++ b/crates/lilacpitch-site/src/clock.rs
@@ -1,20 +1,20 @@
-//! The two clocks of a process: the steady one for every decision, the wall clock for what people read and for names
-//! that must differ between starts.
+//! The two clocks of a process. All decisions use the steady clock. The wall clock is used for times that
+//! people read, and for ids that must differ between starts.
 
 use lilacpitch_rpc::steady_ns;
 use std::time::{SystemTime, UNIX_EPOCH};
 
-/// The steady clock, in nanoseconds since the machine started.
+/// The time by the steady clock, in nanoseconds since the machine started.
 pub(crate) fn now() -> u64 {
     steady_ns()
 }
 
-/// The wall clock, in milliseconds since 1970; 0 where it is set before that.
+/// The time by the wall clock, in milliseconds since 1970; 0 if it is set to an earlier time.
 pub(crate) fn wall_clock_ms() -> u64 {
     SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |since| since.as_millis() as u64)
 }
 
-/// The wall clock, in nanoseconds since 1970; 1 where it is set before that.
+/// The time by the wall clock, in nanoseconds since 1970; 1 if it is set to an earlier time.
 pub(crate) fn wall_clock_ns() -> u64 {
     SystemTime::now().duration_since(UNIX_EPOCH).map_or(1, |since| since.as_nanos() as u64)
 }
--- a/crates/lilacpitch-site/src/command_log.rs
+++ b/crates/lilacpitch-site/src/command_log.rs
@@ -1,5 +1,6 @@
-//! The path of commands (purges, withdrawals of settings) through this process: from the root's log or from the parent
-//! into the aggregator's log tail, and from there to each child over its connection.
+//! Forwards commands (purges, withdrawals of settings) to the children. Commands arrive from the site's log
+//! at the root, and from the parent elsewhere. They are appended to the aggregator's log tail, and pushed to
+//! each child from there.
 
 use crate::clock::{now, wall_clock_ms};
 use crate::log::Command;
@@ -10,10 +11,10 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// How long a process of the root waits for its log to bring a command that it was told of, or an entry that is
-/// committed already.
+/// How long a process of the root waits until its log contains a command that the leader has sent, or until
+/// it has applied an entry that is committed already.
 const LOG_TIMEOUT: Duration = Duration::from_millis(500);
-/// The delay before commands are sent again to a child that applied none of them.
+/// The delay before commands are sent again to a child that has applied none of them.
 const RETRY_DELAY: Duration = Duration::from_millis(20);
 
 /// At the root: takes commands from the site's log as entries are applied.
@@ -24,14 +25,15 @@
     let mut applied = process.applied.clone();
     loop {
         applied.borrow_and_update();
-        take_new_commands(&process);
+        append_new_commands(&process);
         if applied.changed().await.is_err() {
             return;
         }
     }
 }
 
-fn take_new_commands(process: &Process) {
+/// Appends the commands of the site's log that are not in the aggregator's log tail yet.
+fn append_new_commands(process: &Process) {
     let known = process.ack_aggregator.lock().position();
     let (position, commands) = process.state.with_metadata(|metadata| {
         let log = &metadata.command_log;
@@ -56,8 +58,9 @@
     process.announce_commands();
 }
 
-/// At the root's leader, where a child has applied commands that this log does not have: the root has lost some. A new
-/// log begins, and everybody starts again from its position. Does nothing where the log has them by now.
+/// Begins a new command log if the root has lost commands, which shows when a child has applied commands that
+/// the log does not contain. All holders are then reset to the position of the new log. Called at the root's
+/// leader; does nothing if the log contains the commands by now.
 pub(crate) async fn replace_lost_log(process: Arc<Process>, child_position: Option<LogPosition>) {
     let Some(index) = process.read_index().await else { return };
     if !process.wait_applied(index, LOG_TIMEOUT).await {
@@ -76,20 +79,20 @@
 }
 
 impl Process {
-    /// Whether the site's log has commands that this process of the root has not taken from it yet.
+    /// At the root: whether the site's log contains commands that are not in the aggregator's log tail yet.
     pub(crate) fn lags_command_log(&self) -> bool {
         let position = self.state.with_metadata(|metadata| metadata.command_log.position());
         !self.ack_aggregator.lock().position().includes(position)
     }
 
-    /// Applies commands that the parent has sent, or the root's leader.
+    /// Handles commands that the parent, or the root's leader, has sent.
     pub(crate) async fn receive_commands(&self, log: u64, commands: Vec<FleetCommand>) -> Response {
         if self.is_root() {
-            // They come by the site's log: it is awaited, and the position reported.
-            let last = commands.last().map_or(0, |command| command.number);
+            // The site's log brings the commands: wait for them and report the position.
+            let last_number = commands.last().map_or(0, |command| command.number);
             let mut changed = self.commands_changed.subscribe();
-            let is_there = |_: &u64| self.ack_aggregator.lock().position().index >= last;
-            let _ = tokio::time::timeout(LOG_TIMEOUT, changed.wait_for(is_there)).await;
+            let has_arrived = |_: &u64| self.ack_aggregator.lock().position().index >= last_number;
+            let _ = tokio::time::timeout(LOG_TIMEOUT, changed.wait_for(has_arrived)).await;
             return Response::Applied(self.ack_aggregator.lock().position());
         }
         let next = self.lease_holder.lock().select_next_commands(log, commands);
@@ -100,8 +103,8 @@
         Response::Applied(self.lease_holder.lock().position().unwrap_or_default())
     }
 
-    /// Applies commands that are next. A site's process caches no answers: it passes the commands on, and moves its
-    /// position.
+    /// Applies the next commands. A process of a site caches no answers, so it only advances its position and
+    /// retains the commands for its children.
     pub(crate) fn apply_commands(&self, commands: Vec<FleetCommand>) {
         if commands.is_empty() {
             return;
@@ -119,7 +122,7 @@
         self.acks_changed.send_modify(|count| *count += 1);
     }
 
-    /// A child was granted a lease: commands are pushed to it over this connection from now on.
+    /// Begins to push commands to a child on this connection. Called when the child was granted a lease.
     pub(crate) fn register_child(self: &Arc<Self>, child: ChildId, connection: &Arc<RpcConnection>) {
         let mut children = self.children.lock();
         if children.get(&child).is_some_and(|known| Arc::ptr_eq(known, connection)) {
@@ -133,7 +136,7 @@
     }
 }
 
-/// Sends a child the commands that it lacks, as they come, until its connection ends.
+/// Pushes commands to a child as they arrive, until its connection ends.
 async fn push_commands(process: Arc<Process>, child: ChildId, connection: Arc<RpcConnection>) {
     let mut changed = process.commands_changed.subscribe();
     loop {
@@ -155,7 +158,7 @@
                 process.ack_aggregator.lock().record_applied(&child, position);
                 process.acks_changed.send_modify(|count| *count += 1);
                 if position == applied {
-                    // It applied none: it renews its lease, and what it lacks comes with the response.
+                    // The child applied none of them. It gets those that it lacks with its next lease.
                     tokio::time::sleep(RETRY_DELAY).await;
                 }
             }
--- a/crates/lilacpitch-site/src/lease_client.rs
+++ b/crates/lilacpitch-site/src/lease_client.rs
@@ -1,5 +1,6 @@
-//! Keeps this process's own lease in force: from the parent site, from the root's leader, or, where this process leads
-//! the root, by confirming its leadership. Children are granted leases no longer than that.
+//! Renews this process's own lease, which limits the leases that it grants to its children. The lease comes
+//! from the parent site or, at the root, from the leader. The leader of the root confirms its leadership
+//! instead.
 
 use crate::clock::{now, wall_clock_ms};
 use crate::log::Command;
@@ -14,16 +15,17 @@
 
 /// Where this process gets its lease.
 pub(crate) enum LeaseSource {
-    /// From nobody: it leads the root.
+    /// This process leads the root and needs no lease.
     Origin,
     /// From the root's leader.
     Leader(Arc<Dialer>),
     /// From a process of the parent site.
     Parent(Arc<Dialer>),
-    /// The root's leader is not known yet.
+    /// At the root: the leader is unknown.
     Unknown,
 }
 
+/// Where this process gets its lease at present.
 pub(crate) fn lease_source(process: &Process) -> LeaseSource {
     if !process.is_root() {
         return LeaseSource::Parent(process.parent());
@@ -35,7 +37,7 @@
     }
 }
 
-/// Renews the lease as long as the process runs.
+/// Renews the lease while the process runs.
 pub(crate) async fn run(process: Arc<Process>) {
     loop {
         let requested_ns = now();
@@ -59,7 +61,8 @@
     }
 }
 
-/// This process leads the root: as long as most of the root's processes confirm that, it may grant leases.
+/// Confirms with a quorum of the root that this process leads it, which allows it to grant leases for the
+/// length of one lease.
 async fn confirm_leadership(process: &Process, requested_ns: u64) {
     let Some(raft) = process.raft() else { return };
     let term = raft.metrics().borrow().current_term;
@@ -71,8 +74,9 @@
         process.origin_term.store(term, Relaxed);
         tracing::info!(term, "became leader of the root");
     }
-    // The log's position, and not that of the commands taken from it so far: a former leader may have reported all of
-    // them complete, so that nobody may be granted a lease from before it.
+    // The position of the log, not that of the commands taken from it so far: a former leader may have
+    // reported all commands of the log as complete, so that no lease may be granted before this process has
+    // all of them.
     let position = process.state.with_metadata(|metadata| metadata.command_log.position());
     if position.log == 0 {
         if let Err(error) = raft.client_write(Command::BeginLog(wall_clock_ms())).await {
@@ -84,6 +88,8 @@
     process.ack_aggregator.lock().allow_grants_until(requested_ns + lease_ns, position);
 }
 
+/// Renews the lease from the root's leader. Commands arrive in the site's log, so those in the response are
+/// ignored.
 async fn renew_from_leader(process: &Process, leader: &Dialer, requested_ns: u64) {
     let applied = process.ack_aggregator.lock().position();
     let response = leader.request(Request::RenewLease(Some(applied)), process.request_timeout()).await;
@@ -92,7 +98,7 @@
     }
 }
 
-/// Whether to renew again at once.
+/// Renews the lease from the parent. Returns whether to renew again at once.
 async fn renew_from_parent(process: &Process, parent: &Dialer, requested_ns: u64) -> bool {
     let applied = process.lease_holder.lock().position();
     match parent.request(Request::RenewLease(applied), process.request_timeout()).await {
@@ -113,7 +119,7 @@
     }
 }
 
-/// Handles the parent's response; whether to renew again at once.
+/// Handles the parent's response. Returns whether to renew again at once.
 fn handle_renewal(process: &Process, requested_ns: u64, response: Response) -> bool {
     let grant = match &response {
         Response::LeaseGranted { for_ns, position, .. } => Some((requested_ns + for_ns, *position)),
@@ -134,7 +140,7 @@
     !ack_aggregator.position().includes(required)
 }
 
-/// Begins again from the parent's position: what came before it is no longer to be had.
+/// Continues from the parent's position. The commands before it are no longer available.
 fn reset_command_log(process: &Process) {
     let (position, withdrawn) = {
         let lease_holder = process.lease_holder.lock();
@@ -146,8 +152,8 @@
 }
 
 impl Process {
-    /// Whether this process was confirmed to lead the root in the current term: its aggregated acknowledgement then
-    /// takes into account those whom a former leader may have granted leases.
+    /// Whether this process is confirmed as the root's leader in the current term. Its aggregated
+    /// acknowledgement then takes into account the leases that a former leader may have granted.
     pub(crate) fn is_origin(&self) -> bool {
         let term = self.raft().map_or(0, |raft| raft.metrics().borrow().current_term);
         self.is_leader() && term > 0 && self.origin_term.load(Relaxed) == term
--- a/crates/lilacpitch-site/src/lib.rs
+++ b/crates/lilacpitch-site/src/lib.rs
@@ -1,17 +1,25 @@
-//! A process of a site: it keeps the site's location records in a replicated log, grants leases to the fronts and the
-//! sites below, passes commands (purges, withdrawals of settings) on to them, and gets its own lease from above.
+//! A process of a site, which stores location records. Its processes replicate the records in a Raft log on
+//! disk. Each process grants leases to the fronts and the sites below, forwards commands (purges, withdrawals
+//! of settings) to them, and holds a lease from the site above.
 //!
-//! - [`startup`]: starts a process and its tasks; [`process`]: its state; [`cli`]: the command line.
-//! - [`log`]: the replicated log, on disk; [`log_membership`]: how a process takes part in it, with a new disk too.
-//! - [`request_handler`]: the requests of other processes; [`admin_pages`]: the operator's pages.
-//! - [`lease_client`]: its own lease; [`command_log`]: commands downstream; [`ack_reporter`]: acknowledgements upstream.
-//! - [`record_store`]: writes, reads, purges, creation and removal of records, behind [`write_queue`] and
-//!   [`read_barrier`]; [`summaries`]: which numbers a site has records of.
+//! - [`cli`]: the command line.
+//! - [`startup`]: starts a process and its tasks.
+//! - [`process`]: the state that the tasks share.
+//! - [`log`]: the replicated log and the state that it builds.
+//! - [`log_membership`]: joins the replicated log, also after the loss of the disk.
+//! - [`request_handler`]: handles the requests of other processes.
+//! - [`admin_pages`]: the HTTP pages for operators.
+//! - [`lease_client`]: renews this process's own lease.
+//! - [`command_log`]: forwards commands to the processes below.
+//! - [`ack_reporter`]: reports acknowledgements of commands to the process above.
+//! - [`record_store`]: tasks that write, read, purge, create and remove location records.
+//! - [`write_queue`], [`read_barrier`]: the queues of these tasks.
+//! - [`summaries`]: exchanges summaries of location records with other sites.
 //!
-//! Arrows go one way: `startup` -> tasks -> `process` -> `log` and the queues.
+//! Dependencies point in one direction: `startup`, then the tasks, then `process`, then `log` and the queues.
 //!
-//! **Locks.** [`process::Process`] and [`log::state::SiteState`] name theirs. None is held across an await, nor while
-//! another one is taken.
+//! **Locks.** The locks are those of [`process::Process`] and [`log::state::SiteState`]. None is held across
+//! an await or while another one is taken.
 #![forbid(unsafe_code)]
 
 mod ack_reporter;
--- a/crates/lilacpitch-site/src/main.rs
+++ b/crates/lilacpitch-site/src/main.rs
@@ -1,4 +1,4 @@
-//! The program `lilacpitch-site`.
+//! The `lilacpitch-site` program.
 #![forbid(unsafe_code)]
 
 fn main() -> std::process::ExitCode {
--- a/crates/lilacpitch-site/src/read_barrier.rs
+++ b/crates/lilacpitch-site/src/read_barrier.rs
@@ -1,11 +1,12 @@
-//! The queue of reads that wait until this process has applied everything its site had acknowledged before them.
+//! The queue of reads that wait until this process has applied everything that its site acknowledged before
+//! them.
 
 use tokio::sync::{mpsc, oneshot};
 
-/// Most reads that wait at once, and that are resolved by one look at the log.
+/// Most reads that may be queued, and most reads that share one read index.
 pub(crate) const QUEUE_CAPACITY: usize = 4_096;
 
-/// The sending end of the queue; [`crate::record_store::reads`] takes from it.
+/// The sender of the queue; [`crate::record_store::reads`] receives from it.
 pub(crate) struct ReadBarrier(mpsc::Sender<oneshot::Sender<bool>>);
 
 impl ReadBarrier {
@@ -14,8 +15,8 @@
         (ReadBarrier(sender), receiver)
     }
 
-    /// Returns once everything that the site had acknowledged before this call is applied here; `false` where that
-    /// can't be told.
+    /// Waits until everything that the site acknowledged before this call is applied here. Returns `false` if
+    /// that can't be established.
     pub(crate) async fn wait(&self) -> bool {
         let (responder, response) = oneshot::channel();
         self.0.send(responder).await.is_ok() && response.await.unwrap_or(false)
--- a/crates/lilacpitch-site/src/record_store/creation.rs
+++ b/crates/lilacpitch-site/src/record_store/creation.rs
@@ -1,5 +1,6 @@
-//! While this process leads its site: creates the record store where there is none, and marks it ready once every
-//! front that may have had records in a former one has surely learned of it, and has written them again.
+//! Runs at the leader of a site: creates the record store if there is none, and marks it as ready once every
+//! front that may have had records in a former store has had the time to learn of the new one and to write
+//! them again.
 
 use super::RETRY_DELAY;
 use crate::clock::wall_clock_ms;
@@ -8,7 +9,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Runs until the store is ready.
+/// Creates the store and returns once it is ready.
 pub(crate) async fn run(process: Arc<Process>) {
     let lease = Duration::from_nanos(process.settings.terms.lease_ns);
     loop {
@@ -17,7 +18,7 @@
         if is_ready {
             return;
         }
-        // Behind a barrier: what is on the disks may not be applied here yet.
+        // Waits for the read barrier, since the log may contain entries that are not applied here yet.
         let is_leader = process.is_leader() && process.read_barrier.wait().await;
         let (Some(raft), true) = (process.raft(), is_leader) else {
             tokio::time::sleep(RETRY_DELAY).await;
@@ -28,7 +29,7 @@
             tokio::time::sleep(lease).await;
         }
         if let Err(error) = raft.client_write(command).await {
-            tracing::debug!(%error, "creating the location store failed");
+            tracing::debug!(%error, "creating the record store or marking it as ready failed");
             tokio::time::sleep(RETRY_DELAY).await;
         }
     }
--- a/crates/lilacpitch-site/src/record_store/mod.rs
+++ b/crates/lilacpitch-site/src/record_store/mod.rs
@@ -1,9 +1,10 @@
-//! The tasks around a site's location records, which are kept by its replicated log.
+//! The tasks that maintain a site's location records, which are the state of its replicated log.
 //!
-//! - [`writes`]: batches of changes into the log; [`reads`]: reads that see everything acknowledged before them.
-//! - [`purges`]: has the root purge the numbers whose records have changed.
-//! - [`creation`]: creates an empty store and tells when it can be relied on; [`removal`]: removes the records of
-//!   fronts that are gone.
+//! - [`writes`]: writes batches of changes to the log.
+//! - [`reads`]: linearizable reads.
+//! - [`purges`]: submits purges of the numbers that have changed to the root.
+//! - [`creation`]: creates an empty store and marks it as ready.
+//! - [`removal`]: removes the records of fronts that no longer run.
 
 pub(crate) mod creation;
 pub(crate) mod purges;
@@ -13,5 +14,5 @@
 
 use std::time::Duration;
 
-/// The delay before a task of this module retries.
+/// The delay after which a task of this module retries.
 const RETRY_DELAY: Duration = Duration::from_millis(50);
--- a/crates/lilacpitch-site/src/record_store/reads.rs
+++ b/crates/lilacpitch-site/src/record_store/reads.rs
@@ -1,5 +1,5 @@
-//! Linearizable reads: a read waits until this process has applied everything that the site's leader had committed
-//! when the read came (Ongaro's thesis on Raft, section 6.4: the read index).
+//! Linearizable reads: a read waits until this process has applied everything that the site's leader had
+//! committed when the read arrived (the read index in section 6.4 of Ongaro's thesis on Raft).
 
 use crate::process::Process;
 use crate::read_barrier::QUEUE_CAPACITY;
@@ -8,12 +8,12 @@
 use std::time::Duration;
 use tokio::sync::{mpsc, oneshot};
 
-/// Resolves the reads that wait: one read index for all that came before it.
+/// Resolves the queued reads. All reads that are queued at the same time share one read index.
 pub(crate) async fn run(process: Arc<Process>, mut queue: mpsc::Receiver<oneshot::Sender<bool>>) {
     let mut waiting = Vec::new();
     while queue.recv_many(&mut waiting, QUEUE_CAPACITY).await > 0 {
         let reads = std::mem::take(&mut waiting);
-        // The next reads need not wait for these: they came later, and get an index of their own.
+        // Later reads get a read index of their own and need not wait for these.
         tokio::spawn(resolve(process.clone(), reads));
     }
 }
@@ -28,7 +28,7 @@
     }
 }
 
-/// The read index by the site's leader.
+/// Requests the read index from the site's leader; `None` if it can't be determined.
 async fn site_read_index(process: &Process) -> Option<u64> {
     if process.is_leader() {
         return process.read_index().await;
@@ -40,19 +40,22 @@
 }
 
 impl Process {
-    /// Whether this process can answer for its site: it has everything that was acknowledged before now, and nothing
-    /// was lost with a disk that the fronts have not had the time to write again.
+    /// Whether this process has all records of its site: it has applied everything that was acknowledged
+    /// before this call, and the fronts have had the time to write records again that were lost with a former
+    /// store.
     pub(crate) async fn is_current(&self) -> bool {
         self.read_barrier.wait().await && self.state.with_metadata(|metadata| metadata.is_ready)
     }
 
-    /// The log index up to which a read must wait; `None`: this process does not lead, or can't tell.
+    /// The log index that must be applied before a read; `None` if this process is not the leader, or can't
+    /// confirm that it is.
     pub(crate) async fn read_index(&self) -> Option<u64> {
-        let (read, _) = self.raft()?.get_read_log_id().await.ok()?;
-        Some(read.map_or(0, |id| id.index))
+        let (read_log_id, _) = self.raft()?.get_read_log_id().await.ok()?;
+        Some(read_log_id.map_or(0, |id| id.index))
     }
 
-    /// Waits until all entries up to an index are applied here; `false`: not within `timeout`.
+    /// Waits until all entries up to an index are applied here. Returns `false` if that takes longer than
+    /// `timeout`.
     pub(crate) async fn wait_applied(&self, index: u64, timeout: Duration) -> bool {
         let mut applied = self.applied.clone();
         let waited = tokio::time::timeout(timeout, applied.wait_for(|applied| *applied >= index)).await;
--- a/crates/lilacpitch-site/src/startup.rs
+++ b/crates/lilacpitch-site/src/startup.rs
@@ -1,5 +1,6 @@
-//! Starts a process: reads its keys, opens its disk, binds its addresses, builds its state, starts its tasks, and waits
-//! for the end. Nothing is listened on before the disk is known to be its own and sound.
+//! Starts a process: reads its keys, opens its disk, binds its addresses, builds its state, starts its tasks,
+//! and waits until it is stopped or fails. It does not listen before it has checked that the disk is its own
+//! and readable.
 
 use crate::clock::wall_clock_ns;
 use crate::log::machine::StateMachine;
@@ -36,23 +37,27 @@
 use tokio::sync::{mpsc, oneshot, watch};
 use tokio::task::JoinSet;
 
-/// How long connecting and the handshake may take, each.
+/// The timeout of connecting, and that of the handshake.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
-/// The delay before the next accept after one failed: out of file descriptors, most likely, and connections go on.
+/// The delay before the next accept after one failed. Most likely the file descriptors are exhausted;
+/// established connections continue.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(10);
 
-/// Why a process could not start, or stopped.
+/// Why a process could not start, or failed.
 #[derive(Debug, Error, Diagnostic)]
 pub enum RunError {
-    /// An address could not be listened on.
+    /// Listening on an address failed.
     #[error("listening on {0}: {1}")]
-    #[diagnostic(code(site::listen), help("see what else listens there, or set another address"))]
+    #[diagnostic(
+        code(site::listen),
+        help("check which program listens on that address, or set another address")
+    )]
     Listen(SocketAddr, std::io::Error),
     /// The key file could not be read.
     #[error("{0}: {1}")]
     #[diagnostic(code(site::keys), help("write one or two keys, each 64 hex digits on a line of its own"))]
     KeyFile(String, std::io::Error),
-    /// The key file does not hold keys.
+    /// The key file does not contain valid keys.
     #[error("{0}: {1}")]
     #[diagnostic(code(site::keys), help("write one or two keys, each 64 hex digits on a line of its own"))]
     Keys(String, KeyError),
@@ -64,22 +69,23 @@
     #[error(transparent)]
     #[diagnostic(transparent)]
     Log(#[from] LogError),
-    /// Signals could not be subscribed to.
-    #[error("signals: {0}")]
-    #[diagnostic(code(site::machine), help("see the limits that this process runs under"))]
+    /// Registering the signal handlers failed.
+    #[error("signal handlers: {0}")]
+    #[diagnostic(code(site::machine), help("check the resource limits of this process"))]
     Signals(std::io::Error),
 }
 
-/// Where a process that has started can be reached.
+/// The addresses on which a process listens.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ListenAddresses {
-    /// Connections of other processes.
+    /// The address for connections of other processes.
     pub rpc: SocketAddr,
-    /// The operator's pages, where the settings name an address for them.
+    /// The address of the operator's pages, if the settings contain one.
     pub pages: Option<SocketAddr>,
 }
 
-/// Handles requests on connections that are dialled before the process is built: they wait until then.
+/// Handles requests on outgoing connections. The dialers are built before the process, which is set later;
+/// requests that arrive before that get no response.
 #[derive(Default)]
 struct LateBoundHandler(OnceLock<Weak<Process>>);
 
@@ -92,41 +98,44 @@
     }
 }
 
-/// What the disk gives at a start.
-struct Disk {
+/// What is read from the disk at the start.
+struct DiskState {
     identity: LocalIdentity,
     store: LogStore,
     state: Arc<SiteState>,
     machine: StateMachine,
+    /// The index of the last log entry applied.
     applied: watch::Receiver<u64>,
     has_joined: bool,
 }
 
-/// The sockets of a process, bound.
+/// The bound sockets of a process.
 struct Listeners {
     rpc: TcpListener,
     pages: Option<TcpListener>,
     addresses: ListenAddresses,
 }
 
-/// Connections to the processes that this one sends requests to, made when they are first needed.
+/// Connections to the processes to which this one sends requests. They are opened when they are first needed.
 struct Dialers {
+    /// The processes of the same site by index, including this one.
     siblings: Arc<[Arc<Dialer>]>,
+    /// The processes of the parent site.
     parents: Vec<Arc<Dialer>>,
-    /// Handles the requests that come over them.
+    /// Handles the requests that arrive on these connections.
     handler: Arc<LateBoundHandler>,
 }
 
-/// The receiving ends of the queues whose sending ends are in the [`Process`].
+/// The receivers of the queues whose senders are in the [`Process`].
 struct Queues {
     reads: mpsc::Receiver<oneshot::Sender<bool>>,
     writes: mpsc::Receiver<QueuedWrite>,
 }
 
-/// Runs a process until `stop` completes, or until its log fails. `ready` is called once it listens.
+/// Runs a process until `stop` completes or its log fails. `ready` is called once the process listens.
 ///
 /// # Errors
-/// [`RunError`], where the process can't start or its log has failed.
+/// [`RunError`] if the process can't start or its log has failed.
 pub async fn run(
     settings: Site,
     safeguards: Safeguards,
@@ -163,7 +172,7 @@
     Keys::from_text(&text).map_err(|error| RunError::Keys(path.into(), error))
 }
 
-fn open_disk(settings: &Site, keys: Keys) -> Result<Disk, RunError> {
+fn open_disk(settings: &Site, keys: Keys) -> Result<DiskState, RunError> {
     let role = Role::Process(settings.site.clone(), settings.place as u32);
     let owner = format!("{}/{}/{}", settings.site, settings.place, settings.name);
     let store = LogStore::open(Path::new(&settings.data), &owner)?;
@@ -174,7 +183,7 @@
         |error: StoreError| LogError::Damaged { path: settings.data.clone(), reason: error.to_string() };
     let has_joined = store.has_joined().map_err(damaged)?;
     let (machine, applied) = StateMachine::open(state.clone(), store.clone()).map_err(damaged)?;
-    Ok(Disk { identity, store, state, machine, applied, has_joined })
+    Ok(DiskState { identity, store, state, machine, applied, has_joined })
 }
 
 impl Dialers {
@@ -212,7 +221,7 @@
 fn build_process(
     settings: Site,
     safeguards: Safeguards,
-    disk: Disk,
+    disk: DiskState,
     dialers: Dialers,
 ) -> (Arc<Process>, StateMachine, Queues) {
     let terms = LeaseTerms {
@@ -275,12 +284,12 @@
 async fn accept_connections(process: Arc<Process>, listener: TcpListener) {
     loop {
         match listener.accept().await {
-            Ok((stream, from)) => {
+            Ok((stream, peer)) => {
                 let process = process.clone();
                 tokio::spawn(async move {
                     let identity = process.identity.clone();
                     if let Err(error) = accept(stream, &identity, process, CONNECT_TIMEOUT).await {
-                        tracing::debug!(%from, %error, "handshake failed");
+                        tracing::debug!(from = %peer, %error, "handshake failed");
                     }
                 });
             }
@@ -292,7 +301,7 @@
     }
 }
 
-/// Takes part in the site's log until it fails; the reason.
+/// Takes part in the site's log until that fails. Returns the error.
 async fn run_log(process: &Arc<Process>, machine: StateMachine) -> RunError {
     let raft = match log_membership::join(process, machine).await {
         Ok(raft) => raft,
@@ -302,7 +311,7 @@
     let mut metrics = raft.metrics();
     let reason = match metrics.wait_for(|metrics| metrics.running_state.is_err()).await {
         Ok(metrics) => metrics.running_state.clone().err().map_or(String::new(), |error| error.to_string()),
-        Err(_) => "the log has ended".into(),
+        Err(_) => "the log has stopped".into(),
     };
     RunError::Log(LogError::Disk(reason))
 }
--- a/crates/lilacpitch-site/src/write_queue.rs
+++ b/crates/lilacpitch-site/src/write_queue.rs
@@ -1,4 +1,4 @@
-//! The queue of commands for the site's log. Commands of one kind that wait are merged into one log entry.
+//! The queue of commands for the site's log. Queued commands of the same kind are merged into one log entry.
 
 use crate::log::{Command, RecordWrite};
 use lilacpitch_fleet::ack_aggregator::ChildId;
@@ -6,20 +6,21 @@
 use lilacpitch_fleet::message::{CommandAction, RecordChange, RejectReason, Response};
 use tokio::sync::{mpsc, oneshot};
 
-/// A log entry takes no more once it holds so many record changes, purge commands or audit records.
+/// Once a log entry has this many record changes, purge commands or audit records, nothing more is merged
+/// into it.
 const MAX_BATCH: usize = 512;
-/// Most commands that may wait for the log.
+/// Most commands that may be queued.
 const QUEUE_CAPACITY: usize = 4_096;
-/// When to retry where the queue is full, in milliseconds.
+/// The retry delay that requesters are given when the queue is full, in milliseconds.
 const RETRY_AFTER_MS: u32 = 50;
 
-/// A command that waits to be written, and who waits for the response.
+/// A queued command, and where to send the response.
 pub(crate) struct QueuedWrite {
     pub(crate) command: Command,
     pub(crate) responder: oneshot::Sender<Response>,
 }
 
-/// The sending end of the queue; [`crate::record_store::writes`] takes from it.
+/// The sender of the queue; [`crate::record_store::writes`] receives from it.
 pub(crate) struct WriteQueue(mpsc::Sender<QueuedWrite>);
 
 impl WriteQueue {
@@ -36,7 +37,7 @@
         response.await.unwrap_or(Response::Rejected(RejectReason::NoLeader))
     }
 
-    /// Writes changes of a front's location records, numbered from `first_change` on.
+    /// Writes changes of a front's location records; the first one has the number `first_change`.
     pub(crate) async fn write_records(
         &self,
         front: ChildId,
@@ -57,13 +58,16 @@
         self.write(Command::AppendAudit(records)).await
     }
 
-    /// Removes the records of a front's incarnations before this one.
-    pub(crate) async fn remove_older_incarnations(&self, front: String, before: u64) -> Response {
-        self.write(Command::RemoveOlderIncarnations(front, before)).await
+    /// Removes the records that a front wrote in incarnations before this one.
+    pub(crate) async fn remove_older_incarnations(&self, front: String, incarnation: u64) -> Response {
+        self.write(Command::RemoveOlderIncarnations(front, incarnation)).await
     }
 }
 
-/// Merges a command into a batch; gives it back where it begins the next entry.
+/// Merges a command into a batch.
+///
+/// # Errors
+/// Returns the command if it can't be merged; it then begins the next entry.
 pub(crate) fn merge(batch: &mut Command, more: Command) -> Result<(), Command> {
     match (batch, more) {
         (Command::WriteRecords(batch), Command::WriteRecords(more)) if change_count(batch) < MAX_BATCH => {
@@ -80,7 +84,7 @@
     Ok(())
 }
 
-/// How many record changes a batch holds.
+/// The number of record changes in a batch.
 pub(crate) fn change_count(batch: &[RecordWrite]) -> usize {
     batch.iter().map(|write| write.changes.len()).sum()
 }
