--- a/crates/lilacpitch-site/tests/pinned_disk.rs
+++ b/crates/lilacpitch-site/tests/pinned_disk.rs
@@ -1,9 +1,10 @@
-//! Pins a site's disk: the log of entries, the keys beside it, and the snapshot. A disk outlives the build that wrote
-//! it, so no renaming and no reordering in the code may change how it is read.
+//! Pins the data folder of a process: the log entries, the single values beside them, and the snapshot. A
+//! disk outlives the build that wrote it, so renaming or reordering in the code must not change how it is
+//! read.
 //!
-//! `tests/data/disk/` was written by the build of version 0.2.0: `log.redb` with the entries 6 to 17 (those up to 5 are
-//! purged), and `snapshot` as it stood after entry 9. After a change of the format that is meant:
-//! `cargo test -p lilacpitch-site --test pinned_disk -- --ignored`.
+//! `tests/data/disk/` was written by the build of version 0.2.0. `log.redb` contains the entries 6 to 17
+//! (those up to 5 are purged), and `snapshot` is the state after entry 9. After an intended change of the
+//! format, write it again with `cargo test -p lilacpitch-site --test pinned_disk -- --ignored`.
 
 use lilacpitch_fleet::audit::{AuditLog, AuditRecord, Change, Version};
 use lilacpitch_fleet::error::LogError;
@@ -25,30 +26,31 @@
 use std::sync::Arc;
 use tempfile::TempDir;
 
+/// The files of the data folder.
 const FILES: [&str; 2] = ["log.redb", "snapshot"];
 const OWNER: &str = "root/0/root-0";
 const NODE: u64 = 1;
 const TERM: u64 = 2;
 const SHARDS: usize = 4;
-const STORE_LIFE: u64 = 1_700_000_000_000;
+const INCARNATION: u64 = 1_700_000_000_000;
 const LAST_PURGED: u64 = 5;
 const LAST_IN_SNAPSHOT: u64 = 9;
 const LAST_IN_LOG: u64 = 17;
 
-const BEGUN_MS: u64 = 1_700_000_000_001;
+const STORE_CREATED_MS: u64 = 1_700_000_000_001;
 const LOG: u64 = 1_700_000_002;
 const NEXT_LOG: u64 = 1_700_000_003;
-const EDGE_1_LIFE: u64 = 1_700_000_011;
-const EDGE_2_LIFE: u64 = 1_700_000_012;
-const EDGE_2_NEXT_LIFE: u64 = 1_700_000_013;
+const EDGE_1_INCARNATION: u64 = 1_700_000_011;
+const EDGE_2_INCARNATION: u64 = 1_700_000_012;
+const EDGE_2_NEXT_INCARNATION: u64 = 1_700_000_013;
 
 fn number(digits: &str) -> Number {
     Number::new(digits).unwrap()
 }
 
-fn row(digits: &str, kind: Kind, front: &str, life: u64, serial: u64) -> LocationRecord {
-    let holder = Owner { name: "server-3".into(), front: front.into(), incarnation: life, serial };
-    let key = Key { number: number(digits), kind, owner: holder };
+fn location_record(digits: &str, kind: Kind, front: &str, incarnation: u64, serial: u64) -> LocationRecord {
+    let owner = Owner { name: "server-3".into(), front: front.into(), incarnation, serial };
+    let key = Key { number: number(digits), kind, owner };
     LocationRecord {
         key,
         class: "emergency".into(),
@@ -57,43 +59,43 @@
     }
 }
 
-fn row_101() -> LocationRecord {
-    row("+4930101", Kind::Binding, "edge-1", EDGE_1_LIFE, 1)
+fn record_101() -> LocationRecord {
+    location_record("+4930101", Kind::Binding, "edge-1", EDGE_1_INCARNATION, 1)
 }
 
-fn row_102_standing() -> LocationRecord {
-    row("+4930102", Kind::ActiveCall, "edge-1", EDGE_1_LIFE, 2)
+fn active_call_102() -> LocationRecord {
+    location_record("+4930102", Kind::ActiveCall, "edge-1", EDGE_1_INCARNATION, 2)
 }
 
-fn row_103() -> LocationRecord {
-    row("+4930103", Kind::Binding, "edge-1", EDGE_1_LIFE, 3)
+fn record_103() -> LocationRecord {
+    location_record("+4930103", Kind::Binding, "edge-1", EDGE_1_INCARNATION, 3)
 }
 
-fn row_104_standing() -> LocationRecord {
-    row("+4930104", Kind::ActiveCall, "edge-1", EDGE_1_LIFE, 4)
+fn active_call_104() -> LocationRecord {
+    location_record("+4930104", Kind::ActiveCall, "edge-1", EDGE_1_INCARNATION, 4)
 }
 
-fn row_105() -> LocationRecord {
-    row("+4930105", Kind::Binding, "edge-1", EDGE_1_LIFE, 5)
+fn record_105() -> LocationRecord {
+    location_record("+4930105", Kind::Binding, "edge-1", EDGE_1_INCARNATION, 5)
 }
 
-fn row_201(life: u64) -> LocationRecord {
-    row("+4930201", Kind::Binding, "edge-2", life, 1)
+fn record_201(incarnation: u64) -> LocationRecord {
+    location_record("+4930201", Kind::Binding, "edge-2", incarnation, 1)
 }
 
-fn row_202() -> LocationRecord {
-    row("+4930202", Kind::Binding, "edge-2", EDGE_2_LIFE, 2)
+fn record_202() -> LocationRecord {
+    location_record("+4930202", Kind::Binding, "edge-2", EDGE_2_INCARNATION, 2)
 }
 
-fn written(front: &str, life: u64, first: u64, changes: Vec<RecordChange>) -> RecordWrite {
-    RecordWrite { front: front.into(), incarnation: life, first_change: first, changes }
+fn record_write(front: &str, incarnation: u64, first_change: u64, changes: Vec<RecordChange>) -> RecordWrite {
+    RecordWrite { front: front.into(), incarnation, first_change, changes }
 }
 
-fn at(log: u64, order: u64) -> LogPosition {
-    LogPosition { log, index: order }
+fn position(log: u64, index: u64) -> LogPosition {
+    LogPosition { log, index }
 }
 
-fn first_orders() -> Vec<CommandAction> {
+fn first_actions() -> Vec<CommandAction> {
     let scopes = vec![
         PurgeScope::Number(number("+4930101")),
         PurgeScope::Prefix("+49".into()),
@@ -103,7 +105,7 @@
     vec![CommandAction::Purge(scopes), CommandAction::Withdraw(401), CommandAction::Withdraw(402)]
 }
 
-fn later_orders() -> Vec<CommandAction> {
+fn later_actions() -> Vec<CommandAction> {
     vec![
         CommandAction::Purge(vec![PurgeScope::All]),
         CommandAction::Reinstate(402),
@@ -111,49 +113,44 @@
     ]
 }
 
-fn record(serial: u64, at_ms: u64, takes_calls: bool) -> AuditRecord {
-    let version = Version {
-        settings: 301,
-        endpoint_list: 302,
-        build: "b1".into(),
-        uses_cache: true,
-        accepts_calls: takes_calls,
-    };
-    let change = Change { serial, at_ms, version, position: at(LOG, 1), moved_to: 3 };
+fn audit_record(serial: u64, at_ms: u64, accepts_calls: bool) -> AuditRecord {
+    let version =
+        Version { settings: 301, endpoint_list: 302, build: "b1".into(), uses_cache: true, accepts_calls };
+    let change = Change { serial, at_ms, version, position: position(LOG, 1), moved_to: 3 };
     AuditRecord {
         front: "edge-1".into(),
-        incarnation: EDGE_1_LIFE,
+        incarnation: EDGE_1_INCARNATION,
         seen_ms: at_ms + 50,
         changes: vec![change],
     }
 }
 
-fn first_record() -> AuditRecord {
-    record(5, 1_700_000_005_000, false)
+fn first_audit_record() -> AuditRecord {
+    audit_record(5, 1_700_000_005_000, false)
 }
 
-fn later_record() -> AuditRecord {
-    record(6, 1_700_000_006_000, true)
+fn later_audit_record() -> AuditRecord {
+    audit_record(6, 1_700_000_006_000, true)
 }
 
 /// Entries 1 to 9.
 fn commands_before_snapshot() -> Vec<Command> {
     use RecordChange::{Upsert, Withdraw};
-    let edge_1 = vec![Upsert(row_101()), Upsert(row_102_standing())];
-    let edge_2 = vec![Upsert(row_201(EDGE_2_LIFE)), Upsert(row_202())];
-    let edge_1_later = vec![Upsert(row_103()), Withdraw(row_102_standing().key), Upsert(row_104_standing())];
+    let edge_1 = vec![Upsert(record_101()), Upsert(active_call_102())];
+    let edge_2 = vec![Upsert(record_201(EDGE_2_INCARNATION)), Upsert(record_202())];
+    let edge_1_later = vec![Upsert(record_103()), Withdraw(active_call_102().key), Upsert(active_call_104())];
     vec![
-        Command::CreateStore(BEGUN_MS),
+        Command::CreateStore(STORE_CREATED_MS),
         Command::BeginLog(LOG),
         Command::WriteRecords(vec![
-            written("edge-1", EDGE_1_LIFE, 1, edge_1),
-            written("edge-2", EDGE_2_LIFE, 1, edge_2),
+            record_write("edge-1", EDGE_1_INCARNATION, 1, edge_1),
+            record_write("edge-2", EDGE_2_INCARNATION, 1, edge_2),
         ]),
-        Command::AppendCommands(first_orders()),
-        Command::AppendAudit(vec![first_record()]),
-        Command::WriteRecords(vec![written("edge-1", EDGE_1_LIFE, 3, edge_1_later)]),
-        Command::MarkPurged(2, at(LOG, 1)),
-        Command::RemoveOlderIncarnations("edge-2".into(), EDGE_2_NEXT_LIFE),
+        Command::AppendCommands(first_actions()),
+        Command::AppendAudit(vec![first_audit_record()]),
+        Command::WriteRecords(vec![record_write("edge-1", EDGE_1_INCARNATION, 3, edge_1_later)]),
+        Command::MarkPurged(2, position(LOG, 1)),
+        Command::RemoveOlderIncarnations("edge-2".into(), EDGE_2_NEXT_INCARNATION),
         Command::MarkReady,
     ]
 }
@@ -161,20 +158,20 @@
 /// Entries 10 to 17: every command once.
 fn commands_after_snapshot() -> Vec<Command> {
     use RecordChange::{Upsert, Withdraw};
-    let edge_1 = vec![Upsert(row_105()), Withdraw(row_101().key)];
-    let edge_2 = vec![Upsert(row_201(EDGE_2_NEXT_LIFE))];
+    let edge_1 = vec![Upsert(record_105()), Withdraw(record_101().key)];
+    let edge_2 = vec![Upsert(record_201(EDGE_2_NEXT_INCARNATION))];
     vec![
         Command::WriteRecords(vec![
-            written("edge-1", EDGE_1_LIFE, 6, edge_1),
-            written("edge-2", EDGE_2_NEXT_LIFE, 1, edge_2),
+            record_write("edge-1", EDGE_1_INCARNATION, 6, edge_1),
+            record_write("edge-2", EDGE_2_NEXT_INCARNATION, 1, edge_2),
         ]),
-        Command::RemoveOlderIncarnations("edge-2".into(), EDGE_2_NEXT_LIFE),
-        Command::MarkPurged(6, at(LOG, 2)),
-        Command::CreateStore(BEGUN_MS + 1),
+        Command::RemoveOlderIncarnations("edge-2".into(), EDGE_2_NEXT_INCARNATION),
+        Command::MarkPurged(6, position(LOG, 2)),
+        Command::CreateStore(STORE_CREATED_MS + 1),
         Command::MarkReady,
         Command::BeginLog(NEXT_LOG),
-        Command::AppendCommands(later_orders()),
-        Command::AppendAudit(vec![later_record()]),
+        Command::AppendCommands(later_actions()),
+        Command::AppendAudit(vec![later_audit_record()]),
     ]
 }
 
@@ -197,24 +194,27 @@
     numbered.map(|(index, payload)| Entry { log_id: log_id(index), payload }).collect()
 }
 
-/// CommandAction the snapshot holds beside the rows.
-fn beside_in_snapshot() -> SiteMetadata {
-    let outbox = [(3, "+4930202"), (4, "+4930103"), (5, "+4930201"), (6, "+4930202")];
-    let mut window = LogTail::starting_at(at(LOG, 0), BTreeSet::new());
-    for order in first_orders() {
-        window.append(order);
+/// The metadata in the snapshot.
+fn metadata_in_snapshot() -> SiteMetadata {
+    let pending_purges = [(3, "+4930202"), (4, "+4930103"), (5, "+4930201"), (6, "+4930202")];
+    let mut command_log = LogTail::starting_at(position(LOG, 0), BTreeSet::new());
+    for action in first_actions() {
+        command_log.append(action);
     }
-    let mut ledger = AuditLog::default();
-    ledger.append(first_record()).unwrap();
+    let mut audit_log = AuditLog::default();
+    audit_log.append(first_audit_record()).unwrap();
     SiteMetadata {
-        pending_purges: outbox.map(|(change, digits)| (change, number(digits))).into(),
+        pending_purges: pending_purges.map(|(change, digits)| (change, number(digits))).into(),
         last_change: 6,
-        purge_position: at(LOG, 1),
-        command_log: window,
-        audit_log: ledger,
-        applied_writes: applied_writes([("edge-1", EDGE_1_LIFE, 5), ("edge-2", EDGE_2_LIFE, 2)]),
+        purge_position: position(LOG, 1),
+        command_log,
+        audit_log,
+        applied_writes: applied_writes([
+            ("edge-1", EDGE_1_INCARNATION, 5),
+            ("edge-2", EDGE_2_INCARNATION, 2),
+        ]),
         removal_counts: [("edge-2".into(), 1)].into(),
-        created_ms: BEGUN_MS,
+        created_ms: STORE_CREATED_MS,
         is_ready: true,
     }
 }
@@ -223,34 +223,38 @@
     writes.map(|(front, incarnation, change)| (front.into(), WritePosition { incarnation, change })).into()
 }
 
-/// The metadata once the whole log is applied.
-fn beside_at_end() -> SiteMetadata {
-    let outbox = [(7, "+4930105"), (8, "+4930101"), (9, "+4930201")];
-    let mut window = LogTail::starting_at(at(NEXT_LOG, 0), BTreeSet::from([401, 402]));
-    for order in later_orders() {
-        window.append(order);
+/// The metadata after the whole log is applied.
+fn metadata_at_end() -> SiteMetadata {
+    let pending_purges = [(7, "+4930105"), (8, "+4930101"), (9, "+4930201")];
+    let mut command_log = LogTail::starting_at(position(NEXT_LOG, 0), BTreeSet::from([401, 402]));
+    for action in later_actions() {
+        command_log.append(action);
     }
-    let mut ledger = AuditLog::default();
-    ledger.append(first_record()).unwrap();
-    ledger.append(later_record()).unwrap();
+    let mut audit_log = AuditLog::default();
+    audit_log.append(first_audit_record()).unwrap();
+    audit_log.append(later_audit_record()).unwrap();
     SiteMetadata {
-        pending_purges: outbox.map(|(change, digits)| (change, number(digits))).into(),
+        pending_purges: pending_purges.map(|(change, digits)| (change, number(digits))).into(),
         last_change: 9,
-        purge_position: at(LOG, 2),
-        command_log: window,
-        audit_log: ledger,
-        applied_writes: applied_writes([("edge-1", EDGE_1_LIFE, 7), ("edge-2", EDGE_2_NEXT_LIFE, 1)]),
+        purge_position: position(LOG, 2),
+        command_log,
+        audit_log,
+        applied_writes: applied_writes([
+            ("edge-1", EDGE_1_INCARNATION, 7),
+            ("edge-2", EDGE_2_NEXT_INCARNATION, 1),
+        ]),
         removal_counts: [("edge-2".into(), 1)].into(),
-        created_ms: BEGUN_MS,
+        created_ms: STORE_CREATED_MS,
         is_ready: true,
     }
 }
 
+/// The pinned data folder.
 fn fixture() -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/data/disk")
 }
 
-/// A copy of the pinned disk: opening one may write to it.
+/// A copy of the pinned data folder, since opening one writes to it.
 fn copied_disk() -> TempDir {
     let folder = tempfile::tempdir().unwrap();
     for file in FILES {
@@ -269,95 +273,99 @@
     (machine, state)
 }
 
-fn block_on<T>(task: impl Future<Output = T>) -> T {
-    tokio::runtime::Builder::new_multi_thread().worker_threads(1).build().unwrap().block_on(task)
+fn block_on<T>(future: impl Future<Output = T>) -> T {
+    tokio::runtime::Builder::new_multi_thread().worker_threads(1).build().unwrap().block_on(future)
 }
 
-fn rows(state: &SiteState) -> Vec<LocationRecord> {
+/// All records in key order.
+fn sorted_records(state: &SiteState) -> Vec<LocationRecord> {
     let shards = state.records.snapshot();
-    let mut rows: Vec<LocationRecord> = shards.iter().flat_map(|shard| shard.values()).cloned().collect();
-    rows.sort_by(|a, b| a.key.cmp(&b.key));
-    rows
+    let mut records: Vec<LocationRecord> = shards.iter().flat_map(|shard| shard.values()).cloned().collect();
+    records.sort_by(|a, b| a.key.cmp(&b.key));
+    records
 }
 
 #[test]
-fn the_log_of_a_pinned_disk_holds_the_same_entries() {
+fn reads_the_pinned_log_entries() {
     let folder = copied_disk();
     let mut store = open(&folder);
-    let found = block_on(store.try_get_log_entries(0..)).unwrap();
+    let read = block_on(store.try_get_log_entries(0..)).unwrap();
     let expected: Vec<_> = entries().into_iter().skip(LAST_PURGED as usize + 1).collect();
-    assert_eq!(found, expected);
+    assert_eq!(read, expected);
     let state = block_on(store.get_log_state()).unwrap();
     assert_eq!(state.last_purged_log_id, Some(log_id(LAST_PURGED)));
     assert_eq!(state.last_log_id, Some(log_id(LAST_IN_LOG)));
 }
 
 #[test]
-fn the_keys_of_a_pinned_disk_hold_the_same_vote_life_and_promise() {
+fn reads_the_pinned_vote_incarnation_and_joined_flag() {
     let folder = copied_disk();
     let mut store = open(&folder);
     assert_eq!(block_on(store.read_vote()).unwrap(), Some(Vote::new_committed(TERM + 1, NODE)));
     assert!(store.has_joined().unwrap());
-    assert_eq!(store.begin_incarnation(0).unwrap(), STORE_LIFE + 1);
+    assert_eq!(store.begin_incarnation(0).unwrap(), INCARNATION + 1);
 }
 
 #[test]
-fn a_pinned_disk_is_refused_to_another_owner() {
+fn rejects_the_pinned_disk_for_another_owner() {
     let folder = copied_disk();
-    let refused = LogStore::open(folder.path(), "root/0/root-1").err();
-    assert!(matches!(refused, Some(LogError::Foreign { found, .. }) if found == OWNER));
+    let error = LogStore::open(folder.path(), "root/0/root-1").err();
+    assert!(matches!(error, Some(LogError::Foreign { found, .. }) if found == OWNER));
 }
 
 #[test]
-fn a_machine_started_from_a_pinned_snapshot_holds_the_same_state() {
+fn restores_the_pinned_snapshot_to_the_same_state() {
     let folder = copied_disk();
     let (mut machine, state) = start(&open(&folder));
     let (last, members) = block_on(machine.applied_state()).unwrap();
     assert_eq!(last, Some(log_id(LAST_IN_SNAPSHOT)));
     assert_eq!(members, StoredMembership::new(Some(log_id(0)), membership()));
-    assert_eq!(rows(&state), [row_101(), row_103(), row_104_standing()]);
-    assert_eq!(state.with_metadata(SiteMetadata::clone), beside_in_snapshot());
+    assert_eq!(sorted_records(&state), [record_101(), record_103(), active_call_104()]);
+    assert_eq!(state.with_metadata(SiteMetadata::clone), metadata_in_snapshot());
 }
 
 #[test]
-fn a_pinned_snapshot_written_again_has_the_same_bytes() {
+fn writes_the_pinned_snapshot_with_the_same_bytes() {
     let folder = copied_disk();
     let (mut machine, _) = start(&open(&folder));
     block_on(async {
         let mut builder = machine.get_snapshot_builder().await;
         builder.build_snapshot().await.unwrap();
     });
-    let again = std::fs::read(folder.path().join("snapshot")).unwrap();
-    assert_eq!(again, std::fs::read(fixture().join("snapshot")).unwrap());
+    let written = std::fs::read(folder.path().join("snapshot")).unwrap();
+    assert_eq!(written, std::fs::read(fixture().join("snapshot")).unwrap());
 }
 
 #[test]
-fn a_machine_that_applies_the_pinned_log_after_its_snapshot_answers_the_same() {
+fn applies_the_pinned_log_after_its_snapshot_with_the_same_results() {
     let folder = copied_disk();
     let mut store = open(&folder);
     let (mut machine, state) = start(&store);
-    let rest = block_on(store.try_get_log_entries(LAST_IN_SNAPSHOT + 1..)).unwrap();
-    let answers = block_on(machine.apply(rest)).unwrap();
+    let later_entries = block_on(store.try_get_log_entries(LAST_IN_SNAPSHOT + 1..)).unwrap();
+    let results = block_on(machine.apply(later_entries)).unwrap();
     let mut expected = vec![ApplyResult::Done; commands_after_snapshot().len()];
-    expected[6] = ApplyResult::Position(at(NEXT_LOG, 3));
-    assert_eq!(answers, expected);
-    assert_eq!(rows(&state), [row_103(), row_104_standing(), row_105(), row_201(EDGE_2_NEXT_LIFE)]);
-    assert_eq!(state.with_metadata(SiteMetadata::clone), beside_at_end());
-    state.with_metadata(|beside| {
-        assert_eq!(beside.command_log.position(), at(NEXT_LOG, 3));
-        assert_eq!(*beside.command_log.withdrawn(), BTreeSet::from([401, 403]));
-        let acted: Vec<_> = beside.audit_log.active_at(1_700_000_005_500).collect();
-        assert_eq!(acted.len(), 1);
-        assert_eq!((acted[0].front, acted[0].incarnation), ("edge-1", EDGE_1_LIFE));
-        assert_eq!(*acted[0].version, first_record().changes[0].version);
-        assert_eq!((acted[0].interval.position, acted[0].interval.moved_to), (at(LOG, 1), 3));
+    expected[6] = ApplyResult::Position(position(NEXT_LOG, 3));
+    assert_eq!(results, expected);
+    assert_eq!(
+        sorted_records(&state),
+        [record_103(), active_call_104(), record_105(), record_201(EDGE_2_NEXT_INCARNATION)]
+    );
+    assert_eq!(state.with_metadata(SiteMetadata::clone), metadata_at_end());
+    state.with_metadata(|metadata| {
+        assert_eq!(metadata.command_log.position(), position(NEXT_LOG, 3));
+        assert_eq!(*metadata.command_log.withdrawn(), BTreeSet::from([401, 403]));
+        let active: Vec<_> = metadata.audit_log.active_at(1_700_000_005_500).collect();
+        assert_eq!(active.len(), 1);
+        assert_eq!((active[0].front, active[0].incarnation), ("edge-1", EDGE_1_INCARNATION));
+        assert_eq!(*active[0].version, first_audit_record().changes[0].version);
+        assert_eq!((active[0].interval.position, active[0].interval.moved_to), (position(LOG, 1), 3));
     });
 }
 
-/// Writes the pinned disk anew: see the top of this file for when and how.
+/// Overwrites the pinned data folder; see the top of this file for when and how.
 #[test]
-#[ignore = "writes the pinned disk anew"]
-fn write_the_pinned_disk() {
+#[ignore = "overwrites the pinned disk"]
+fn write_pinned_disk() {
     let folder = tempfile::tempdir().unwrap();
     block_on(write_disk(folder.path()));
     let mut log = redb::Database::open(folder.path().join("log.redb")).unwrap();
@@ -371,13 +379,13 @@
 
 async fn write_disk(folder: &Path) {
     let mut store = LogStore::open(folder, OWNER).unwrap();
-    store.begin_incarnation(STORE_LIFE).unwrap();
+    store.begin_incarnation(INCARNATION).unwrap();
     store.save_joined().unwrap();
     store.save_vote(&Vote::new_committed(TERM + 1, NODE)).await.unwrap();
     store.blocking_append(entries()).await.unwrap();
     let (mut machine, _) = start(&store);
-    let first = store.try_get_log_entries(..=LAST_IN_SNAPSHOT).await.unwrap();
-    machine.apply(first).await.unwrap();
+    let first_entries = store.try_get_log_entries(..=LAST_IN_SNAPSHOT).await.unwrap();
+    machine.apply(first_entries).await.unwrap();
     machine.get_snapshot_builder().await.build_snapshot().await.unwrap();
     store.purge(log_id(LAST_PURGED)).await.unwrap();
 }
