--- a/crates/lilacpitch-fleet/src/ack_aggregator.rs
+++ b/crates/lilacpitch-fleet/src/ack_aggregator.rs
@@ -29,6 +29,7 @@
     pub incarnation: u64,
 }
 
+/// What is known of one incarnation of a child.
 #[derive(Debug, Clone)]
 struct Child {
     /// Whether the child is a front, which acknowledges for itself alone. A process of a site acknowledges
--- a/crates/lilacpitch-fleet/src/cache.rs
+++ b/crates/lilacpitch-fleet/src/cache.rs
@@ -23,6 +23,7 @@
     insertion_order: VecDeque<Number>,
 }
 
+/// The scopes of recent purges, against which answers are checked before they are cached.
 #[derive(Debug, Default)]
 struct RecentPurges {
     /// When each purge was applied, and its scope, oldest first.
--- a/crates/lilacpitch-site/src/record_store/removal.rs
+++ b/crates/lilacpitch-site/src/record_store/removal.rs
@@ -17,22 +17,23 @@
 
 /// The removal of all records of a front's incarnations before `before`.
 struct Removal {
-    /// The incarnation that caused the removal. If the removal fails, its entries in [`Sweep`] are deleted.
+    /// The incarnation that caused the removal. If the removal fails, its entries in [`RequestedRemovals`]
+    /// are deleted.
     cause: ChildId,
     front: String,
     before: u64,
 }
 
-/// The removals that were requested already.
+/// The removals that were requested already, so that no sweep requests them again.
 #[derive(Default)]
-struct Sweep {
+struct RequestedRemovals {
     /// The latest known incarnation of each front; records of earlier ones are removed.
     latest: BTreeMap<String, u64>,
     /// Incarnations whose own records are removed, because they have not renewed for the retention time.
     expired: BTreeSet<ChildId>,
 }
 
-impl Sweep {
+impl RequestedRemovals {
     /// The removals that are due and were not requested yet.
     fn due_removals(&mut self, contacts: Vec<FrontContact>, retention_ns: u64) -> Vec<Removal> {
         let mut due = Vec::new();
@@ -65,15 +66,15 @@
 pub(crate) async fn run(process: Arc<Process>) {
     let terms = &process.settings.terms;
     let interval_ns = (terms.lease_ns / SWEEPS_PER_LEASE).max(MIN_SWEEP_INTERVAL_NS);
-    let mut sweep = Sweep::default();
+    let mut requested = RequestedRemovals::default();
     loop {
         tokio::time::sleep(Duration::from_nanos(interval_ns)).await;
         let now = now();
         let contacts = process.ack_aggregator.lock().front_contacts(now);
-        for removal in sweep.due_removals(contacts, terms.rows_kept_ns) {
+        for removal in requested.due_removals(contacts, terms.rows_kept_ns) {
             let response = remove(&process, removal.front, removal.before).await;
             if response != Response::Written {
-                sweep.forget(&removal.cause);
+                requested.forget(&removal.cause);
             }
         }
     }
--- a/crates/lilacpitch-site/src/record_store/writes.rs
+++ b/crates/lilacpitch-site/src/record_store/writes.rs
@@ -53,7 +53,7 @@
         _ => 0,
     };
     let Some(raft) = process.raft() else { return };
-    let response = match raft.client_write(batch.command).await.map(|response| response.data) {
+    let response = match raft.client_write(batch.command).await.map(|applied| applied.data) {
         Ok(ApplyResult::Done) => Response::Written,
         Ok(ApplyResult::Position(position)) => Response::Committed(position),
         Ok(ApplyResult::Rejected(reason)) => Response::Rejected(RejectReason::Failed(reason)),
