--- a/crates/lilacpitch-config/src/edge.rs
+++ b/crates/lilacpitch-config/src/edge.rs
@@ -1,4 +1,4 @@
-//! The settings of `lilacpitch-edge`, as `edge.cue` beside this file states them.
+//! Settings of `lilacpitch-edge`: the record for `#Edge` of `schema/edge.cue`.
 
 use crate::fleet::FleetOf;
 use crate::{de_duration, load, load_text, ConfigError, Loaded, Schema};
@@ -6,59 +6,59 @@
 use std::net::SocketAddr;
 use std::path::Path;
 
-/// The text of the schema of settings and pool lists.
+/// Source text of the schema of settings and pool lists.
 pub const EDGE_SCHEMA: &str = concat!(include_str!("schema/edge.cue"), include_str!("schema/fleet.cue"));
 
 pub(crate) fn schema() -> Result<Schema, ConfigError> {
     Schema::new("edge.cue", EDGE_SCHEMA)
 }
 
-/// A front's settings. Spans are nanoseconds.
+/// A front's settings. Durations are in nanoseconds.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 pub struct Edge {
-    /// The front's name.
+    /// The front's name, as servers and logs have it.
     pub name: String,
-    /// Where callers reach it.
+    /// The address it accepts callers on.
     pub listen: SocketAddr,
-    /// Where its metrics are read.
+    /// The address its metrics are served on, if they are.
     pub metrics: Option<SocketAddr>,
-    /// The file of the pool list.
+    /// Path of the pool list.
     pub pool_list: String,
-    /// How often it is looked at.
+    /// Interval between checks of the pool list for changes.
     #[serde(deserialize_with = "de_duration", rename = "look_at_pool_list_every")]
     pub look_ns: u64,
-    /// Pools that callers may name though no server of theirs is listed.
+    /// Pools that callers may name even while the pool list has no server of them.
     pub pools: Vec<String>,
-    /// Other fronts.
+    /// How it gossips with other fronts; `None`: it does not.
     pub peers: Option<PeersOf>,
-    /// The fleet's register.
+    /// How it takes part in the fleet's register; `None`: it does not.
     #[serde(default)]
     pub fleet: Option<FleetOf>,
-    /// Classes of calls, in the order that gives them their numbers.
+    /// Classes of calls; a class's index is its number in the protocol.
     pub classes: Vec<Class>,
-    /// Figures of the rules.
+    /// Parameters of the call rules.
     pub rules: Rules,
-    /// Spans.
+    /// Timeouts and intervals.
     pub timing: Timing,
-    /// Bounds.
+    /// Upper bounds on callers, calls and queues.
     pub limits: Limits,
-    /// Logging.
+    /// Settings of the log.
     pub log: Log,
 }
 
-/// Other fronts of the installation.
+/// Settings of the gossip among the fronts of an installation.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 pub struct PeersOf {
-    /// Where their datagrams come in.
+    /// The address datagrams of other fronts are received on.
     pub listen: SocketAddr,
-    /// Where some may be found.
+    /// Addresses of other fronts, contacted at the start.
     pub seeds: Vec<SocketAddr>,
-    /// Where the others reach it, if not where it listens.
+    /// The address it announces to other fronts, if not `listen`.
     #[serde(default)]
     pub reached_at: Option<SocketAddr>,
-    /// The file of keys.
+    /// Path of the file of keys that seal the datagrams.
     pub key_file: String,
-    /// About how many there are.
+    /// Approximate number of fronts.
     pub fronts: u32,
 }
 
@@ -67,111 +67,111 @@
 pub struct Class {
     /// Its name.
     pub name: String,
-    /// Wanted set-up time, in nanoseconds.
+    /// Target set-up time, in nanoseconds.
     #[serde(deserialize_with = "de_duration", rename = "aim")]
     pub aim_ns: u64,
-    /// How long a caller goes on trying, in nanoseconds.
+    /// How long a caller keeps trying, from its first try, in nanoseconds.
     #[serde(deserialize_with = "de_duration", rename = "give_up")]
     pub give_up_ns: u64,
-    /// What a call that stands in time is worth.
+    /// Worth of a call established within the target time.
     pub worth: f64,
-    /// The share of it that is left when it stands later.
+    /// Share of the worth that remains when the call is established later.
     pub late_worth: f64,
-    /// The pools that can take it; empty: any.
+    /// The pools that can take calls of the class; empty: any.
     pub pools: Vec<String>,
 }
 
-/// Figures of the five rules.
+/// Parameters of the five call rules.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 pub struct Rules {
-    /// Rest of a call after a time-out, reset or cancel, in nanoseconds.
+    /// Delay before a call's next attempt after a time-out, reset or cancel, in nanoseconds.
     #[serde(deserialize_with = "de_duration", rename = "release")]
     pub release_ns: u64,
-    /// Grace after a drain was told, in nanoseconds.
+    /// How long after it is listed as draining or gone a server may still get new set-ups, in nanoseconds.
     #[serde(deserialize_with = "de_duration", rename = "drain_grace")]
     pub drain_grace_ns: u64,
-    /// Share of its capacity that a server starts with at least.
+    /// Least share of its full capacity that a server has just after its start.
     pub cold_from: f64,
-    /// Warm after this, in nanoseconds.
+    /// Time after its start until a server reaches full capacity, in nanoseconds.
     #[serde(deserialize_with = "de_duration", rename = "cold_span")]
     pub cold_span_ns: u64,
-    /// Sent so many times what it can do, a cold server falls over.
+    /// A server that is warming up fails at a load of this multiple of its current capacity.
     pub tip_multiple: f64,
-    /// Attempts for one call.
+    /// Most attempts for one call.
     pub max_attempts: u32,
 }
 
-/// Spans, in nanoseconds.
+/// Timeouts and intervals, in nanoseconds.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 pub struct Timing {
-    /// Until an unanswered set-up is sent again.
+    /// Resend interval: an unanswered set-up is first sent again after this, then at doubling gaps.
     #[serde(deserialize_with = "de_duration", rename = "resend")]
     pub resend_ns: u64,
-    /// For making a connection.
+    /// Timeout for connecting to a server.
     #[serde(deserialize_with = "de_duration", rename = "connect")]
     pub connect_ns: u64,
-    /// First gap between tries to reach a server.
+    /// First interval between connection attempts to a server.
     #[serde(deserialize_with = "de_duration", rename = "reconnect_first")]
     pub reconnect_first_ns: u64,
-    /// Longest gap.
+    /// Longest interval between connection attempts to a server.
     #[serde(deserialize_with = "de_duration", rename = "reconnect_longest")]
     pub reconnect_longest_ns: u64,
-    /// Longest wait that a refused caller is told; 0: none.
+    /// Longest retry-after that a refused caller is sent; 0: none is sent.
     #[serde(deserialize_with = "de_duration", rename = "come_back_longest")]
     pub come_back_longest_ns: u64,
-    /// Until a caller not heard is asked for a sign.
+    /// Idle time after which a caller is pinged; idle for as long again, it is disconnected.
     #[serde(deserialize_with = "de_duration", rename = "quiet")]
     pub quiet_ns: u64,
-    /// What standing calls get when the front stops.
+    /// How long established calls may continue once the front shuts down.
     #[serde(deserialize_with = "de_duration", rename = "stop")]
     pub stop_ns: u64,
-    /// The clock's grain.
+    /// Resolution of the timers.
     #[serde(deserialize_with = "de_duration", rename = "tick")]
     pub tick_ns: u64,
 }
 
-/// Bounds.
+/// Upper bounds on callers, calls and queues.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 pub struct Limits {
-    /// Callers at once.
+    /// Callers connected at once.
     pub callers: usize,
-    /// Calls at once, standing ones too.
+    /// Calls at once, established ones included.
     pub calls: usize,
     /// Calls at once on one caller's connection.
     pub calls_per_caller: usize,
-    /// Messages that may wait for one reader.
+    /// Messages queued for one caller or server.
     pub queue: usize,
 }
 
-/// Logging.
+/// Settings of the log.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 pub struct Log {
-    /// The least level that is written.
+    /// Least severe level that is written.
     pub level: String,
-    /// How.
+    /// Format of the entries.
     pub format: LogFormat,
 }
 
-/// How a log is written.
+/// Format of log entries.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum LogFormat {
-    /// For people.
+    /// Plain text.
     Text,
-    /// One JSON object a line.
+    /// One JSON object per line.
     Json,
 }
 
 impl Edge {
-    /// Reads and checks a settings file. `pool_list` is taken from the file's own folder.
+    /// Reads and checks a settings file. Relative paths in it are resolved against the file's own folder.
     ///
     /// # Errors
-    /// A file that is unreadable, or a field that is wrong, by place and cause.
+    /// The cause if the file cannot be read; the place and cause of each field that is missing or wrong.
     pub fn load(path: &Path) -> Result<Loaded<Edge>, ConfigError> {
         let mut loaded = checked(load(&schema()?, "#Edge", path)?)?;
         if let Some(folder) = path.parent() {
-            let list = folder.join(&loaded.value.pool_list);
-            loaded.value.pool_list = list.display().to_string();
+            let pool_list = folder.join(&loaded.value.pool_list);
+            loaded.value.pool_list = pool_list.display().to_string();
             if let Some(peers) = &mut loaded.value.peers {
                 peers.key_file = folder.join(&peers.key_file).display().to_string();
             }
@@ -182,40 +182,40 @@
         Ok(loaded)
     }
 
-    /// Reads and checks settings from a text that errors call `name`.
+    /// Reads and checks settings from a text. Errors refer to the text as `name`.
     ///
     /// # Errors
-    /// A field that is missing or wrong, by place and cause.
+    /// The place and cause of each field that is missing or wrong.
     pub fn from_text(name: &str, text: &str) -> Result<Loaded<Edge>, ConfigError> {
         checked(load_text(&schema()?, "#Edge", name, text)?)
     }
 }
 
-/// What no field can be checked for by itself.
+/// Checks the rules that the schema cannot express: durations above 0 and rules that concern several fields.
 fn checked(loaded: Loaded<Edge>) -> Result<Loaded<Edge>, ConfigError> {
     let edge = &loaded.value;
     for (index, class) in edge.classes.iter().enumerate() {
-        let at = |field: &str| format!("classes[{index}].{field}");
+        let path = |field: &str| format!("classes[{index}].{field}");
         if class.aim_ns == 0 {
-            return Err(loaded.error_at(&at("aim"), "must be above 0"));
+            return Err(loaded.error_at(&path("aim"), "must be above 0"));
         }
         if class.give_up_ns < class.aim_ns {
-            return Err(loaded.error_at(&at("give_up"), "is shorter than aim"));
+            return Err(loaded.error_at(&path("give_up"), "is shorter than aim"));
         }
         if edge.classes[..index].iter().any(|c| c.name == class.name) {
-            return Err(loaded.error_at(&at("name"), format!("class {:?} is given twice", class.name)));
+            return Err(loaded.error_at(&path("name"), format!("class {:?} is given twice", class.name)));
         }
     }
     if let Some(peers) = &edge.peers {
         if peers.listen.ip().is_unspecified() && peers.reached_at.is_none() {
-            let why = "is any address of this machine: say in peers.reached_at where the others reach it";
-            return Err(loaded.error_at("peers.listen", why));
+            let message = "is unspecified: set peers.reached_at to the address other fronts can reach";
+            return Err(loaded.error_at("peers.listen", message));
         }
     }
     if let Some(fleet) = &edge.fleet {
-        fleet.check("fleet.").map_err(|(path, what)| loaded.error_at(&path, what))?;
+        fleet.check("fleet.").map_err(|error| loaded.error_at(&error.path, error.message))?;
     }
-    let spans = [
+    let durations = [
         ("look_at_pool_list_every", edge.look_ns),
         ("rules.cold_span", edge.rules.cold_span_ns),
         ("timing.resend", edge.timing.resend_ns),
@@ -224,15 +224,15 @@
         ("timing.quiet", edge.timing.quiet_ns),
         ("timing.tick", edge.timing.tick_ns),
     ];
-    if let Some((path, _)) = spans.iter().find(|(_, ns)| *ns == 0) {
+    if let Some((path, _)) = durations.iter().find(|(_, ns)| *ns == 0) {
         return Err(loaded.error_at(path, "must be above 0"));
     }
     if edge.timing.reconnect_longest_ns < edge.timing.reconnect_first_ns {
         return Err(loaded.error_at("timing.reconnect_longest", "is shorter than reconnect_first"));
     }
     if edge.look_ns > edge.rules.drain_grace_ns {
-        let what = "is longer than rules.drain_grace: a drain would be told too late to be kept";
-        return Err(loaded.error_at("look_at_pool_list_every", what));
+        let message = "is longer than rules.drain_grace: a drain would be noticed after its grace is over";
+        return Err(loaded.error_at("look_at_pool_list_every", message));
     }
     Ok(loaded)
 }
--- a/crates/lilacpitch-config/src/error.rs
+++ b/crates/lilacpitch-config/src/error.rs
@@ -1,26 +1,27 @@
-//! Errors that name file, line, field path, and what was found and wanted, with the line drawn.
+//! Errors in settings files: file, line, column, field path, and what was found and wanted. They can also be
+//! rendered with an excerpt of the source.
 
 use crate::value::Span;
 use miette::{Diagnostic, LabeledSpan, NamedSource, SourceCode};
 use std::fmt;
 
-/// One thing wrong in a file.
+/// One mistake in a file.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Problem {
-    /// The field, as `classes[0].aim`; empty where none is concerned.
+    /// Path of the field, such as `classes[0].aim`; empty if the mistake is not in a field.
     pub path: String,
-    /// What was found and wanted.
-    pub what: String,
-    /// Where, in bytes.
+    /// What was found and what was wanted.
+    pub message: String,
+    /// Its place in the file.
     pub span: Span,
 }
 
-/// Everything wrong in one file. Prints as one line a problem; `miette` draws it with the source.
+/// All mistakes found in one file. Displays as one line per mistake; [`ConfigError::drawn`] adds the source.
 #[derive(Debug)]
-pub struct ConfigError(Box<Inner>);
+pub struct ConfigError(Box<Report>);
 
 #[derive(Debug)]
-struct Inner {
+struct Report {
     name: String,
     source: NamedSource<String>,
     lines: Vec<String>,
@@ -35,13 +36,13 @@
             let line = 1 + before.iter().filter(|b| **b == b'\n').count();
             let column = 1 + before.iter().rev().take_while(|b| **b != b'\n').count();
             let path = if p.path.is_empty() { String::new() } else { format!("{}: ", p.path) };
-            format!("{name}:{line}:{column}: {path}{}", p.what)
+            format!("{name}:{line}:{column}: {path}{}", p.message)
         });
         let labels = problems.iter().map(|p| {
-            let (from, to) = (p.span.start.min(text.len()), p.span.end.min(text.len()));
-            LabeledSpan::new(Some(p.what.clone()), from, to.saturating_sub(from))
+            let (start, end) = (p.span.start.min(text.len()), p.span.end.min(text.len()));
+            LabeledSpan::new(Some(p.message.clone()), start, end.saturating_sub(start))
         });
-        ConfigError(Box::new(Inner {
+        ConfigError(Box::new(Report {
             name: name.into(),
             lines: lines.collect(),
             labels: labels.collect(),
@@ -50,24 +51,25 @@
         }))
     }
 
-    pub(crate) fn unread(name: &str, what: &str) -> Self {
-        let problem = Problem { path: String::new(), what: what.into(), span: Span::default() };
+    /// An error about a file whose text could not be read; it has no line or column.
+    pub(crate) fn unreadable(name: &str, cause: &str) -> Self {
+        let problem = Problem { path: String::new(), message: cause.into(), span: Span::default() };
         let mut error = Self::new(name, "", vec![problem]);
-        error.0.lines = vec![format!("{name}: {what}")];
+        error.0.lines = vec![format!("{name}: {cause}")];
         error
     }
 
-    /// What is wrong, one by one.
+    /// All mistakes found.
     pub fn problems(&self) -> &[Problem] {
         &self.0.problems
     }
 
-    /// The file.
+    /// Name of the file.
     pub fn file(&self) -> &str {
         &self.0.name
     }
 
-    /// The problems with the source lines and carets, for people.
+    /// The mistakes with the source lines they are in, marked, for people to read.
     pub fn drawn(&self) -> String {
         let mut out = String::new();
         let theme = miette::GraphicalTheme::unicode_nocolor();
--- a/crates/lilacpitch-config/src/fleet.rs
+++ b/crates/lilacpitch-config/src/fleet.rs
@@ -1,4 +1,5 @@
-//! The fleet in the settings: `#FleetOf` of an edge's, and `#Site`, the settings of `lilacpitch-site`.
+//! Settings of the fleet's register: `#FleetOf` in a front's settings, and `#Site`, the settings of
+//! `lilacpitch-site`.
 
 use crate::edge::{schema, Log};
 use crate::{de_duration, load, load_text, ConfigError, Loaded};
@@ -6,65 +7,66 @@
 use std::net::SocketAddr;
 use std::path::Path;
 
-/// A site, as one process reaches it.
+/// A site and the addresses of its processes.
 #[derive(Debug, Clone, PartialEq, Eq, Deserialize)]
 pub struct SiteAt {
-    /// Its name.
+    /// The site's name.
     pub name: String,
-    /// The site above; empty for the root.
+    /// Name of the parent site; empty for the root.
     pub parent: String,
-    /// Where its processes are reached, in their order.
+    /// Addresses of its processes, in the order of their positions.
     pub processes: Vec<SocketAddr>,
 }
 
-/// What the whole fleet agrees on. Spans are nanoseconds.
+/// Parameters that must be the same in the whole fleet. Durations are in nanoseconds.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 pub struct Terms {
-    /// A lease's length.
+    /// Duration of a lease.
     #[serde(deserialize_with = "de_duration", rename = "lease")]
     pub lease_ns: u64,
-    /// How much faster or slower clocks may run, as a share.
+    /// Largest drift of a clock from true time, as a share of the time elapsed.
     pub clock_allowance: f64,
-    /// Who has not applied an order for so long gets no further lease.
+    /// A lease holder that has not applied a purge for this long gets no further lease.
     #[serde(deserialize_with = "de_duration", rename = "straggler")]
     pub straggler_ns: u64,
-    /// A summary older than this rules nothing out.
+    /// Age after which a summary excludes no shard from a locate: a record is found by every locate that
+    /// begins this long after the record was acknowledged.
     #[serde(deserialize_with = "de_duration", rename = "settle")]
     pub settle_ns: u64,
-    /// The gap between questions for summaries.
+    /// Interval between requests for summaries.
     #[serde(deserialize_with = "de_duration", rename = "poll")]
     pub poll_ns: u64,
-    /// Wanted time of one process's answer.
+    /// Time in which one process should answer a request.
     #[serde(deserialize_with = "de_duration", rename = "ask")]
     pub ask_ns: u64,
-    /// How long the rows of a front without a lease are kept.
+    /// How long the location records of a front without a lease are kept.
     #[serde(deserialize_with = "de_duration", rename = "rows_kept")]
     pub rows_kept_ns: u64,
 }
 
-/// A front's side of the fleet.
+/// A front's settings of the fleet's register.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 pub struct FleetOf {
-    /// Its home site.
+    /// The site that the front writes its records to and gets purges from.
     pub home: String,
-    /// All sites.
+    /// All sites of the fleet.
     pub sites: Vec<SiteAt>,
-    /// The pool through which its callers are reached.
+    /// The pool through which the front's callers are reached, as its records name it.
     pub pool: String,
-    /// The file of keys.
+    /// Path of the file of keys.
     pub key_file: String,
-    /// A call waits for a locate no longer than this share of its budget,
+    /// Longest wait of a call for a locate, as a share of the call's budget.
     pub locate_share: f64,
-    /// and no longer than this, in nanoseconds.
+    /// Longest wait of a call for a locate, in nanoseconds.
     #[serde(deserialize_with = "de_duration", rename = "locate_longest")]
     pub locate_longest_ns: u64,
-    /// Numbers whose answers are kept.
+    /// Most numbers whose locate results are cached.
     pub cache: usize,
-    /// Questions under way at once.
+    /// Most requests in flight at once.
     pub questions: usize,
-    /// Threads of the agent.
+    /// Threads that serve the fleet's connections.
     pub threads: usize,
-    /// What the fleet agrees on.
+    /// Parameters that must be the same in the whole fleet.
     pub terms: Terms,
 }
 
@@ -73,102 +75,119 @@
 pub struct Site {
     /// The process's name.
     pub name: String,
-    /// Its site.
+    /// The site that the process belongs to.
     pub site: String,
-    /// Its place there.
+    /// Position of the process in its site, from 0.
     pub place: usize,
-    /// Where links come in.
+    /// The address that connections of fronts and other processes are accepted on.
     pub listen: SocketAddr,
-    /// Where its pages are read.
+    /// The address that the metrics and admin pages are served on, if they are.
     #[serde(default)]
     pub pages: Option<SocketAddr>,
-    /// Its folder.
+    /// Path of the data folder.
     pub data: String,
-    /// All sites.
+    /// All sites of the fleet.
     pub sites: Vec<SiteAt>,
-    /// The file of keys.
+    /// Path of the file of keys.
     pub key_file: String,
-    /// Shards of the register.
+    /// Number of shards of the register.
     pub shards: usize,
-    /// Threads.
+    /// Threads that serve connections.
     pub threads: usize,
-    /// Questions worked on at once.
+    /// Most requests processed at once; more are rejected.
     pub questions: usize,
-    /// What the fleet agrees on.
+    /// Parameters that must be the same in the whole fleet.
     pub terms: Terms,
-    /// Logging.
+    /// Settings of the log.
     pub log: Log,
 }
 
-type Wrong = (String, String);
+/// A field that breaks a rule.
+pub(crate) struct FieldError {
+    pub path: String,
+    pub message: String,
+}
+
+impl FieldError {
+    fn new(path: String, message: impl Into<String>) -> Self {
+        FieldError { path, message: message.into() }
+    }
+}
 
 impl FleetOf {
-    pub(crate) fn check(&self, at: &str) -> Result<(), Wrong> {
-        check_sites(&self.sites, at)?;
-        check_terms(&self.terms, at)?;
+    /// Checks the rules that concern several fields. `prefix` is put before the paths in errors.
+    pub(crate) fn check(&self, prefix: &str) -> Result<(), FieldError> {
+        check_sites(&self.sites, prefix)?;
+        check_terms(&self.terms, prefix)?;
         if !self.sites.iter().any(|site| site.name == self.home) {
-            return Err((format!("{at}home"), format!("site {:?} is not among the sites", self.home)));
+            let message = format!("site {:?} is not among the sites", self.home);
+            return Err(FieldError::new(format!("{prefix}home"), message));
         }
         Ok(())
     }
 }
 
-fn check_sites(sites: &[SiteAt], at: &str) -> Result<(), Wrong> {
-    let place = |index: usize, field: &str| format!("{at}sites[{index}].{field}");
+/// Checks that the sites form a tree with one root and that their names differ.
+fn check_sites(sites: &[SiteAt], prefix: &str) -> Result<(), FieldError> {
+    let path = |index: usize, field: &str| format!("{prefix}sites[{index}].{field}");
     for (index, site) in sites.iter().enumerate() {
         if sites[..index].iter().any(|other| other.name == site.name) {
-            return Err((place(index, "name"), format!("site {:?} is given twice", site.name)));
+            let message = format!("site {:?} is given twice", site.name);
+            return Err(FieldError::new(path(index, "name"), message));
         }
         if site.processes.len() > 63 {
-            return Err((place(index, "processes"), "more than 63 processes".into()));
+            return Err(FieldError::new(path(index, "processes"), "more than 63 processes"));
         }
-        // Upwards: the root is reached within as many steps as there are sites, or there is a ring.
-        let mut above = site;
+        // The root is reached within as many steps as there are sites, unless the parents form a cycle.
+        let mut ancestor = site;
         for _ in 0..=sites.len() {
-            if above.parent.is_empty() {
+            if ancestor.parent.is_empty() {
                 break;
             }
-            match sites.iter().find(|other| other.name == above.parent) {
-                Some(parent) => above = parent,
+            match sites.iter().find(|other| other.name == ancestor.parent) {
+                Some(parent) => ancestor = parent,
                 None => {
-                    let what = format!("site {:?} is not among the sites", above.parent);
-                    return Err((place(index, "parent"), what));
+                    let message = format!("site {:?} is not among the sites", ancestor.parent);
+                    return Err(FieldError::new(path(index, "parent"), message));
                 }
             }
         }
-        if !above.parent.is_empty() {
-            return Err((place(index, "parent"), "goes round in a ring".into()));
+        if !ancestor.parent.is_empty() {
+            return Err(FieldError::new(path(index, "parent"), "is part of a cycle"));
         }
     }
     match sites.iter().filter(|site| site.parent.is_empty()).count() {
         1 => Ok(()),
-        roots => Err((format!("{at}sites"), format!("{roots} sites without a parent, wanted one: the root"))),
+        roots => {
+            let message = format!("{roots} sites without a parent, wanted one: the root");
+            Err(FieldError::new(format!("{prefix}sites"), message))
+        }
     }
 }
 
-fn check_terms(terms: &Terms, at: &str) -> Result<(), Wrong> {
-    let spans = [
+fn check_terms(terms: &Terms, prefix: &str) -> Result<(), FieldError> {
+    let durations = [
         ("lease", terms.lease_ns),
         ("straggler", terms.straggler_ns),
         ("settle", terms.settle_ns),
         ("poll", terms.poll_ns),
         ("ask", terms.ask_ns),
     ];
-    if let Some((field, _)) = spans.iter().find(|(_, ns)| *ns == 0) {
-        return Err((format!("{at}terms.{field}"), "must be above 0".into()));
+    if let Some((field, _)) = durations.iter().find(|(_, ns)| *ns == 0) {
+        return Err(FieldError::new(format!("{prefix}terms.{field}"), "must be above 0"));
     }
     if terms.poll_ns > terms.settle_ns / 2 {
-        let what = "is longer than half of settle: summaries would be too old before new ones come";
-        return Err((format!("{at}terms.poll"), what.into()));
+        let message = "is longer than half of settle: summaries would expire before new ones arrive";
+        return Err(FieldError::new(format!("{prefix}terms.poll"), message));
     }
     Ok(())
 }
 
 impl Site {
-    /// Reads and checks a settings file; files and folders that it names are taken from its own folder.
+    /// Reads and checks a settings file. Relative paths in it are resolved against the file's own folder.
     ///
     /// # Errors
-    /// A file that is unreadable, or a field that is wrong, by place and cause.
+    /// The cause if the file cannot be read; the place and cause of each field that is missing or wrong.
     pub fn load(path: &Path) -> Result<Loaded<Site>, ConfigError> {
         let mut loaded = checked(load(&schema()?, "#Site", path)?)?;
         if let Some(folder) = path.parent() {
@@ -180,25 +199,26 @@
         Ok(loaded)
     }
 
-    /// Reads and checks settings from a text that errors call `name`.
+    /// Reads and checks settings from a text. Errors refer to the text as `name`.
     ///
     /// # Errors
-    /// A field that is missing or wrong, by place and cause.
+    /// The place and cause of each field that is missing or wrong.
     pub fn from_text(name: &str, text: &str) -> Result<Loaded<Site>, ConfigError> {
         checked(load_text(&schema()?, "#Site", name, text)?)
     }
 }
 
+/// Checks the rules that concern several fields.
 fn checked(loaded: Loaded<Site>) -> Result<Loaded<Site>, ConfigError> {
     let site = &loaded.value;
     let shared = check_sites(&site.sites, "").and_then(|()| check_terms(&site.terms, ""));
-    shared.map_err(|(path, what)| loaded.error_at(&path, what))?;
+    shared.map_err(|error| loaded.error_at(&error.path, error.message))?;
     let Some(own) = site.sites.iter().find(|other| other.name == site.site) else {
         return Err(loaded.error_at("site", format!("site {:?} is not among the sites", site.site)));
     };
     if site.place >= own.processes.len() {
-        let what = format!("site {:?} has {} processes", site.site, own.processes.len());
-        return Err(loaded.error_at("place", what));
+        let message = format!("site {:?} has {} processes", site.site, own.processes.len());
+        return Err(loaded.error_at("place", message));
     }
     Ok(loaded)
 }
--- a/crates/lilacpitch-config/src/lexer.rs
+++ b/crates/lilacpitch-config/src/lexer.rs
@@ -1,143 +1,153 @@
-//! Tokens. As in CUE, a line's end after a value or a closing bracket counts as a comma.
+//! Splits a text into tokens. As in CUE, the end of a line after a value or a closing bracket counts as a
+//! comma.
 
 use crate::error::Problem;
 use crate::value::Span;
 
 #[derive(Debug, Clone, PartialEq)]
 pub(crate) enum Token {
-    /// A name, `#` and `_` included.
+    /// A name; it may contain `#` and `_`.
     Ident(String),
     Str(String),
     Int(i64),
     Float(f64),
-    /// Punctuation and operators.
-    Sign(&'static str),
+    /// Punctuation or an operator.
+    Symbol(&'static str),
+    /// The end of the text.
     End,
 }
 
-const SIGNS: [&str; 18] =
+/// All symbols, each before those that are a prefix of it, since the first match is taken.
+const SYMBOLS: [&str; 18] =
     ["...", "=~", "!~", ">=", "<=", "!=", ">", "<", "{", "}", "[", "]", ":", ",", "?", "|", "&", "*"];
 
-pub(crate) fn tokens(text: &str) -> Result<Vec<(Token, Span)>, Problem> {
-    let (bytes, mut at, mut out) = (text.as_bytes(), 0, Vec::<(Token, Span)>::new());
-    while at < bytes.len() {
-        let start = at;
-        let rest = &text[at..];
-        match bytes[at] {
+/// Splits a text into tokens with their places. The last one is [`Token::End`].
+pub(crate) fn tokenize(text: &str) -> Result<Vec<(Token, Span)>, Problem> {
+    let (bytes, mut position, mut tokens) = (text.as_bytes(), 0, Vec::<(Token, Span)>::new());
+    while position < bytes.len() {
+        let start = position;
+        let remaining = &text[position..];
+        match bytes[position] {
             b'\n' => {
-                at += 1;
-                if out.last().is_some_and(|(token, _)| ends_a_value(token)) {
-                    out.push((Token::Sign(","), Span::new(start, start)));
+                position += 1;
+                if tokens.last().is_some_and(|(token, _)| ends_value(token)) {
+                    tokens.push((Token::Symbol(","), Span::new(start, start)));
                 }
                 continue;
             }
             b' ' | b'\t' | b'\r' => {
-                at += 1;
+                position += 1;
                 continue;
             }
-            b'/' if rest.starts_with("//") => {
-                at += rest.find('\n').unwrap_or(rest.len());
+            b'/' if remaining.starts_with("//") => {
+                position += remaining.find('\n').unwrap_or(remaining.len());
                 continue;
             }
             b'"' => {
-                let (value, end) = string(text, at)?;
-                at = end;
-                out.push((Token::Str(value), Span::new(start, at)));
+                let (value, end) = string(text, position)?;
+                position = end;
+                tokens.push((Token::Str(value), Span::new(start, position)));
             }
             b'0'..=b'9' | b'-' | b'+' => {
-                let more = |c: char| !(c.is_ascii_alphanumeric() || c == '_' || c == '.');
-                let mut end = at + 1 + rest[1..].find(more).unwrap_or(rest.len() - 1);
-                // An exponent's sign.
+                let ends_number = |c: char| !(c.is_ascii_alphanumeric() || c == '_' || c == '.');
+                let mut end = position + 1 + remaining[1..].find(ends_number).unwrap_or(remaining.len() - 1);
+                // An `e` may be followed by the sign of the exponent.
                 if bytes[end - 1].eq_ignore_ascii_case(&b'e') && matches!(bytes.get(end), Some(b'-' | b'+')) {
-                    end += 1 + text[end + 1..].find(more).unwrap_or(text.len() - end - 1);
+                    end += 1 + text[end + 1..].find(ends_number).unwrap_or(text.len() - end - 1);
                 }
-                at = end;
-                out.push((figure(&text[start..at], Span::new(start, at))?, Span::new(start, at)));
+                position = end;
+                let span = Span::new(start, position);
+                tokens.push((number(&text[start..position], span)?, span));
             }
             b if b.is_ascii_alphabetic() || b == b'_' || b == b'#' => {
-                let more = |c: char| !(c.is_ascii_alphanumeric() || c == '_');
-                at += 1 + rest[1..].find(more).unwrap_or(rest.len() - 1);
-                out.push((Token::Ident(text[start..at].to_string()), Span::new(start, at)));
+                let ends_name = |c: char| !(c.is_ascii_alphanumeric() || c == '_');
+                position += 1 + remaining[1..].find(ends_name).unwrap_or(remaining.len() - 1);
+                tokens.push((Token::Ident(text[start..position].to_string()), Span::new(start, position)));
             }
             _ => {
-                let Some(sign) = SIGNS.iter().find(|s| rest.starts_with(**s)) else {
-                    let what =
-                        format!("{:?} is outside of the subset of CUE that is read", rest.chars().next());
-                    return Err(problem(what, Span::new(start, start + 1)));
+                let Some(symbol) = SYMBOLS.iter().find(|s| remaining.starts_with(**s)) else {
+                    let character = remaining.chars().next();
+                    let message = format!("{character:?} is outside of the supported subset of CUE");
+                    return Err(problem(message, Span::new(start, start + 1)));
                 };
-                at += sign.len();
-                out.push((Token::Sign(sign), Span::new(start, at)));
+                position += symbol.len();
+                tokens.push((Token::Symbol(symbol), Span::new(start, position)));
             }
         }
     }
     let end = Span::new(text.len(), text.len());
-    if out.last().is_some_and(|(token, _)| ends_a_value(token)) {
-        out.push((Token::Sign(","), end));
+    if tokens.last().is_some_and(|(token, _)| ends_value(token)) {
+        tokens.push((Token::Symbol(","), end));
     }
-    out.push((Token::End, end));
-    Ok(out)
+    tokens.push((Token::End, end));
+    Ok(tokens)
 }
 
-fn ends_a_value(token: &Token) -> bool {
+/// Whether the end of a line after the token counts as a comma.
+fn ends_value(token: &Token) -> bool {
     match token {
-        Token::Sign(sign) => matches!(*sign, "}" | "]" | "..." | "?"),
+        Token::Symbol(symbol) => matches!(*symbol, "}" | "]" | "..." | "?"),
         Token::End => false,
         _ => true,
     }
 }
 
-fn figure(text: &str, span: Span) -> Result<Token, Problem> {
-    let plain = text.replace('_', "");
-    let digits = plain.trim_start_matches(['-', '+']);
-    let leading = digits.len() > 1 && digits.starts_with('0') && digits.as_bytes()[1].is_ascii_digit();
-    if !leading && !text.ends_with('_') && digits.bytes().all(|b| b.is_ascii_digit()) {
-        if let Ok(value) = plain.parse() {
+/// Parses an integer or a float; digits may be grouped with `_`.
+fn number(text: &str, span: Span) -> Result<Token, Problem> {
+    let ungrouped = text.replace('_', "");
+    let digits = ungrouped.trim_start_matches(['-', '+']);
+    let leading_zero = digits.len() > 1 && digits.starts_with('0') && digits.as_bytes()[1].is_ascii_digit();
+    if !leading_zero && !text.ends_with('_') && digits.bytes().all(|b| b.is_ascii_digit()) {
+        if let Ok(value) = ungrouped.parse() {
             return Ok(Token::Int(value));
         }
-    } else if !leading && digits.starts_with(|c: char| c.is_ascii_digit()) {
-        if let Some(value) = plain.parse::<f64>().ok().filter(|v| v.is_finite()) {
+    } else if !leading_zero && digits.starts_with(|c: char| c.is_ascii_digit()) {
+        if let Some(value) = ungrouped.parse::<f64>().ok().filter(|v| v.is_finite()) {
             return Ok(Token::Float(value));
         }
     }
-    Err(problem(format!("{text} is no number of 64 bits"), span))
+    Err(problem(format!("{text} is not a 64-bit number"), span))
 }
 
+/// Parses the string literal whose opening quote is at `start`. Returns its value and the offset after its
+/// closing quote.
 fn string(text: &str, start: usize) -> Result<(String, usize), Problem> {
-    let wrong = |what: &str, at: usize| Err(problem(what.to_string(), Span::new(start, at)));
+    let fail = |message: &str, end: usize| Err(problem(message.to_string(), Span::new(start, end)));
     if text[start..].starts_with("\"\"\"") {
-        return wrong("strings over several lines are outside of the subset of CUE that is read", start + 3);
+        return fail("multi-line strings are outside of the supported subset of CUE", start + 3);
     }
-    let mut out = String::new();
+    let mut value = String::new();
     let mut chars = text[start + 1..].char_indices();
     while let Some((offset, c)) = chars.next() {
-        let at = start + 1 + offset;
+        let position = start + 1 + offset;
         match c {
-            '"' => return Ok((out, at + 1)),
-            '\n' => return wrong("string not closed on its line", at),
+            '"' => return Ok((value, position + 1)),
+            '\n' => return fail("string not closed on its line", position),
             '\\' => match chars.next().map(|(_, c)| c) {
-                Some('n') => out.push('\n'),
-                Some('t') => out.push('\t'),
-                Some('r') => out.push('\r'),
-                Some(c @ ('"' | '\\' | '/')) => out.push(c),
+                Some('n') => value.push('\n'),
+                Some('t') => value.push('\t'),
+                Some('r') => value.push('\r'),
+                Some(c @ ('"' | '\\' | '/')) => value.push(c),
                 Some('u') => {
                     let hex: String = chars.by_ref().take(4).map(|(_, c)| c).collect();
                     let code = u32::from_str_radix(&hex, 16).ok().filter(|_| hex.len() == 4);
                     let Some(c) = code.and_then(char::from_u32) else {
-                        return wrong("\\u wants four hex digits that name a character", at);
+                        return fail("\\u must be followed by the four hex digits of a character", position);
                     };
-                    out.push(c);
+                    value.push(c);
                 }
                 Some('(') => {
-                    return wrong("interpolation is outside of the subset of CUE that is read", at + 2)
+                    return fail("interpolation is outside of the supported subset of CUE", position + 2)
                 }
-                _ => return wrong("unknown escape", at + 1),
+                _ => return fail("unknown escape", position + 1),
             },
-            c => out.push(c),
+            c => value.push(c),
         }
     }
-    wrong("string not closed", text.len())
+    fail("string not closed", text.len())
 }
 
-pub(crate) fn problem(what: String, span: Span) -> Problem {
-    Problem { path: String::new(), what, span }
+/// A mistake that belongs to no field.
+pub(crate) fn problem(message: String, span: Span) -> Problem {
+    Problem { path: String::new(), message, span }
 }
--- a/crates/lilacpitch-config/src/lib.rs
+++ b/crates/lilacpitch-config/src/lib.rs
@@ -1,10 +1,14 @@
-//! Settings as typed records. A file is CUE of a stated subset; it is unified with a schema that the program
-//! carries, and what comes out is concrete or an error that names file, line, field and what was wanted.
+//! Reads settings files into typed records.
+//!
+//! A file is written in a subset of CUE and unified with a schema built into the program. The result is a
+//! record in which every field has a value, or an error that names file, line and field, what was found and
+//! what was wanted.
 //!
 //! The subset (`docs/settings.md`): structs with `a: b: 1` for nesting, optional fields (`f?:`), definitions
-//! (`#Name:`, closed), patterns (`[string]: T`), lists (`[A, ...B]`), `null`, booleans, whole numbers, floats,
+//! (`#Name:`, closed), patterns (`[string]: T`), lists (`[A, ...B]`), `null`, booleans, integers, floats,
 //! strings, the types `string int float number bool _`, bounds (`>=1`, `!=""`), string patterns (`=~"..."`),
-//! conjunction `&`, disjunction `|` with a default `*`, comments. What is outside of it is refused by name.
+//! conjunction `&`, disjunction `|` with a default `*`, and comments. Any other construct is an error that
+//! names it.
 //!
 //! ```
 //! use lilacpitch_config::{load_text, Schema};
@@ -37,10 +41,10 @@
 use std::collections::BTreeMap;
 use std::path::Path;
 
-/// Longest file that is read, in bytes.
+/// Largest file that is read, in bytes.
 pub const MAX_FILE_BYTES: u64 = 16 << 20;
 
-/// Definitions to unify files with.
+/// Definitions that files are unified with.
 #[derive(Debug, Clone)]
 pub struct Schema {
     text: String,
@@ -48,100 +52,109 @@
 }
 
 impl Schema {
-    /// Reads a schema; its definitions may use each other.
+    /// Parses a schema. Its definitions may refer to each other.
     ///
     /// # Errors
-    /// A schema that does not parse, by place and cause.
+    /// The place and cause, if the schema does not parse.
     pub fn new(name: &str, text: &str) -> Result<Self, ConfigError> {
         let root = parser::parse(text, true).map_err(|p| ConfigError::new(name, text, vec![p]))?;
         Ok(Schema { text: text.into(), root })
     }
 
-    /// The text, as an operator may read it.
+    /// The source text of the schema.
     pub fn text(&self) -> &str {
         &self.text
     }
 }
 
-/// A record read from a file, and where each of its fields stands.
+/// A record read from a file, with the source location of each field.
 #[derive(Debug, Clone)]
 pub struct Loaded<T> {
     /// The record.
     pub value: T,
     name: String,
     text: String,
-    places: BTreeMap<String, value::Span>,
+    spans: BTreeMap<String, value::Span>,
 }
 
 impl<T> Loaded<T> {
-    /// An error about a field that types alone cannot find, placed where the field or its record stands.
-    pub fn error_at(&self, path: &str, what: impl Into<String>) -> ConfigError {
-        let problem = Problem { path: path.into(), what: what.into(), span: place(&self.places, path) };
+    /// An error about a field whose value has the right type but breaks a rule. It points at the field, or at
+    /// the closest enclosing record if the file does not contain the field.
+    pub fn error_at(&self, path: &str, message: impl Into<String>) -> ConfigError {
+        let problem =
+            Problem { path: path.into(), message: message.into(), span: span_of(&self.spans, path) };
         ConfigError::new(&self.name, &self.text, vec![problem])
     }
 
-    /// Replaces the record by what `make` makes of it, keeping the places.
-    pub fn map<U>(self, make: impl FnOnce(T) -> U) -> Loaded<U> {
-        Loaded { value: make(self.value), name: self.name, text: self.text, places: self.places }
+    /// Converts the record with `convert` and keeps the source locations.
+    pub fn map<U>(self, convert: impl FnOnce(T) -> U) -> Loaded<U> {
+        Loaded { value: convert(self.value), name: self.name, text: self.text, spans: self.spans }
     }
 }
 
-/// Where a field stands, or the record around it.
-fn place(places: &BTreeMap<String, value::Span>, path: &str) -> value::Span {
-    let mut at = path;
+/// The span of a field, or of the closest enclosing record that has one.
+fn span_of(spans: &BTreeMap<String, value::Span>, path: &str) -> value::Span {
+    let mut ancestor = path;
     loop {
-        match (places.get(at), at.rfind(['.', '['])) {
+        match (spans.get(ancestor), ancestor.rfind(['.', '['])) {
             (Some(span), _) => return *span,
-            (None, Some(cut)) => at = &at[..cut],
+            (None, Some(parent_end)) => ancestor = &ancestor[..parent_end],
             (None, None) => return value::Span::default(),
         }
     }
 }
 
-/// Reads a file and unifies it with the schema's definition `of`.
+/// Reads a file and unifies it with the named definition of the schema.
 ///
 /// # Errors
-/// A file that is unreadable, too long or not UTF-8, or a field that is wrong, by place and cause.
-pub fn load<T: DeserializeOwned>(schema: &Schema, of: &str, path: &Path) -> Result<Loaded<T>, ConfigError> {
+/// The file and cause if it cannot be read, is too large or is not UTF-8; the place and cause of each field
+/// that is missing or wrong.
+pub fn load<T: DeserializeOwned>(
+    schema: &Schema,
+    definition: &str,
+    path: &Path,
+) -> Result<Loaded<T>, ConfigError> {
     let name = path.display().to_string();
-    let unread = |e: std::io::Error| ConfigError::unread(&name, &e.to_string());
-    let length = std::fs::metadata(path).map_err(unread)?.len();
+    let unreadable = |e: std::io::Error| ConfigError::unreadable(&name, &e.to_string());
+    let length = std::fs::metadata(path).map_err(unreadable)?.len();
     if length > MAX_FILE_BYTES {
-        return Err(ConfigError::unread(&name, &format!("{length} bytes, {MAX_FILE_BYTES} at most")));
+        return Err(ConfigError::unreadable(&name, &format!("{length} bytes, {MAX_FILE_BYTES} at most")));
     }
-    let bytes = std::fs::read(path).map_err(unread)?;
+    let bytes = std::fs::read(path).map_err(unreadable)?;
     let text = String::from_utf8(bytes).map_err(|e| {
-        let at = e.utf8_error().valid_up_to();
-        ConfigError::unread(&name, &format!("not UTF-8 at byte {at}"))
+        let offset = e.utf8_error().valid_up_to();
+        ConfigError::unreadable(&name, &format!("not UTF-8 at byte {offset}"))
     })?;
-    load_text(schema, of, &name, &text)
+    load_text(schema, definition, &name, &text)
 }
 
-/// Unifies a text with the schema's definition `of`; `name` is what errors call it.
+/// Unifies a text with the named definition of the schema. Errors refer to the text as `name`.
 ///
 /// # Errors
-/// A field that is missing or wrong, by place and cause.
+/// The place and cause of each field that is missing or wrong.
 pub fn load_text<T: DeserializeOwned>(
     schema: &Schema,
-    of: &str,
+    definition: &str,
     name: &str,
     text: &str,
 ) -> Result<Loaded<T>, ConfigError> {
     let fail = |problems| ConfigError::new(name, text, problems);
     let file = parser::parse(text, false).map_err(|p| fail(vec![p]))?;
-    let (json, places) = eval::concrete(&schema.root, of, &file).map_err(fail)?;
+    let (json, spans) = eval::evaluate(&schema.root, definition, &file).map_err(fail)?;
     let value = serde_path_to_error::deserialize(json).map_err(|e| {
-        // What a pattern admits and the record does not: an address out of range, a span past all bounds.
+        // The schema's patterns admit some values that the record's types reject, such as an IP address out
+        // of range or a duration that overflows.
         let path = e.path().to_string();
-        fail(vec![Problem { what: e.inner().to_string(), span: place(&places, &path), path }])
+        fail(vec![Problem { message: e.inner().to_string(), span: span_of(&spans, &path), path }])
     })?;
-    Ok(Loaded { value, name: name.into(), text: text.into(), places })
+    Ok(Loaded { value, name: name.into(), text: text.into(), spans })
 }
 
-/// Reads a span such as `300ms` or `1.5s` as nanoseconds. `None`: not a span, or past 292 years.
+/// Parses a duration such as `300ms` or `1.5s` into nanoseconds. `None` if it does not parse or is longer
+/// than 292 years, the range of 64-bit signed nanoseconds.
 pub fn duration_ns(text: &str) -> Option<u64> {
-    let at = text.find(|c: char| !c.is_ascii_digit() && c != '.')?;
-    let (figure, unit) = text.split_at(at);
+    let unit_start = text.find(|c: char| !c.is_ascii_digit() && c != '.')?;
+    let (number, unit) = text.split_at(unit_start);
     let unit_ns = match unit {
         "ns" => 1.0,
         "us" => 1e3,
@@ -151,15 +164,15 @@
         "h" => 3600e9,
         _ => return None,
     };
-    let ns = figure.parse::<f64>().ok()? * unit_ns;
+    let ns = number.parse::<f64>().ok()? * unit_ns;
     (ns.is_finite() && ns < i64::MAX as f64).then_some(ns.round() as u64)
 }
 
-/// For fields that hold a span: read as nanoseconds.
+/// Deserializes a field that holds a duration into nanoseconds.
 ///
 /// # Errors
-/// Text that is no duration, or one past 292 years.
-pub fn de_duration<'de, D: serde::Deserializer<'de>>(d: D) -> Result<u64, D::Error> {
-    let text: String = serde::Deserialize::deserialize(d)?;
-    duration_ns(&text).ok_or_else(|| serde::de::Error::custom(format!("{text}: a span past 292 years")))
+/// The text, if [`duration_ns`] does not accept it.
+pub fn de_duration<'de, D: serde::Deserializer<'de>>(deserializer: D) -> Result<u64, D::Error> {
+    let text: String = serde::Deserialize::deserialize(deserializer)?;
+    duration_ns(&text).ok_or_else(|| serde::de::Error::custom(format!("{text}: longer than 292 years")))
 }
--- a/crates/lilacpitch-config/src/pools.rs
+++ b/crates/lilacpitch-config/src/pools.rs
@@ -1,4 +1,4 @@
-//! Pool lists, in the settings' form: `#Pools` of `edge.cue`.
+//! Pool lists: `#Pools` of the schema in `edge.cue`.
 
 use crate::edge::schema;
 use crate::{load, load_text, ConfigError, Loaded};
@@ -6,27 +6,27 @@
 use std::net::SocketAddr;
 use std::path::Path;
 
-/// A pool list.
+/// A pool list: the signalling servers a front may use.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 pub struct Pools {
-    /// Its servers.
+    /// The servers listed.
     pub servers: Vec<Server>,
 }
 
 /// A signalling server.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 pub struct Server {
-    /// Its name, never given to another machine.
+    /// Its name, never reused for another machine.
     pub name: String,
     /// The pool it is in.
     pub pool: String,
-    /// The zone it is in; may be empty.
+    /// The availability zone it is in; may be empty.
     pub zone: String,
-    /// Where it listens.
+    /// The address it listens on.
     pub address: SocketAddr,
     /// Whether it may be used.
     pub state: ServerState,
-    /// When it last started, in milliseconds since 1970; 0: long ago.
+    /// When it last started, in milliseconds of Unix time; 0: long ago.
     pub started_ms: u64,
 }
 
@@ -34,11 +34,11 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum ServerState {
-    /// Takes set-ups.
+    /// Accepts set-ups.
     Running,
-    /// Finishes what it has.
+    /// Finishes its calls and accepts no new ones.
     Draining,
-    /// Withdrawn.
+    /// Taken out of service.
     Gone,
 }
 
@@ -46,27 +46,28 @@
     /// Reads and checks a pool list.
     ///
     /// # Errors
-    /// A file that is unreadable, or a field that is wrong, by place and cause.
+    /// The cause if the file cannot be read; the place and cause of each field that is missing or wrong.
     pub fn load(path: &Path) -> Result<Loaded<Pools>, ConfigError> {
         checked(load(&schema()?, "#Pools", path)?)
     }
 
-    /// Reads and checks a pool list from a text that errors call `name`.
+    /// Reads and checks a pool list from a text. Errors refer to the text as `name`.
     ///
     /// # Errors
-    /// A field that is missing or wrong, by place and cause.
+    /// The place and cause of each field that is missing or wrong.
     pub fn from_text(name: &str, text: &str) -> Result<Loaded<Pools>, ConfigError> {
         checked(load_text(&schema()?, "#Pools", name, text)?)
     }
 }
 
+/// Checks the rules that concern more than one field.
 fn checked(loaded: Loaded<Pools>) -> Result<Loaded<Pools>, ConfigError> {
     let servers = &loaded.value.servers;
     let mut names = std::collections::BTreeSet::new();
     for (index, server) in servers.iter().enumerate() {
         if !names.insert(&server.name) {
-            let what = format!("server {:?} is listed twice", server.name);
-            return Err(loaded.error_at(&format!("servers[{index}].name"), what));
+            let message = format!("server {:?} is listed twice", server.name);
+            return Err(loaded.error_at(&format!("servers[{index}].name"), message));
         }
     }
     Ok(loaded)
--- a/crates/lilacpitch-config/src/unify.rs
+++ b/crates/lilacpitch-config/src/unify.rs
@@ -1,40 +1,50 @@
-//! Unification: the value that satisfies both sides, or what stands against it. Order does not matter.
+//! Unification of two values: the value that satisfies both, or the problems that prevent it. The operation
+//! is commutative.
 
 use crate::error::Problem;
 use crate::value::{Node, Record, Slot, Span, Type, Value};
 use std::collections::btree_map::Entry;
 
-/// Most alternatives that a product of disjunctions may have.
+/// Most alternatives that are kept of the product of two disjunctions.
 const MAX_ALTERNATIVES: usize = 256;
 
-/// Unifies two nodes; what is wrong goes to `problems`, with places in the file rather than in the schema.
+/// Longest prefix of names that is compared for a suggestion.
+const MAX_COMPARED_CHARS: usize = 40;
+
+/// Most edits between an unknown field and the known one that the error suggests.
+const MAX_HINT_DISTANCE: usize = 3;
+
+/// Unifies two nodes. Mistakes are added to `problems`, with places in the file rather than in the schema.
 pub(crate) fn unify(a: Node, b: Node, path: &str, problems: &mut Vec<Problem>) -> Node {
     let span = if a.span.in_schema { b.span } else { a.span };
     let value = match (a.value, b.value) {
         (Value::Type(Type::Any), other) | (other, Value::Type(Type::Any)) => other,
-        (Value::Or(any), other) => {
-            alternatives(any, Node { value: other, span: b.span }, span, path, problems)
+        (Value::Or(alternatives), other) => {
+            unify_alternatives(alternatives, Node { value: other, span: b.span }, span, path, problems)
+        }
+        (other, Value::Or(alternatives)) => {
+            unify_alternatives(alternatives, Node { value: other, span: a.span }, span, path, problems)
         }
-        (other, Value::Or(any)) => {
-            alternatives(any, Node { value: other, span: a.span }, span, path, problems)
+        (Value::Struct(first), Value::Struct(second)) => {
+            Value::Struct(unify_records(first, second, path, problems))
         }
-        (Value::Struct(one), Value::Struct(two)) => Value::Struct(records(one, two, path, problems)),
-        (Value::List(one, more_one), Value::List(two, more_two)) => {
-            let (one, two) = ((one, more_one), (two, more_two));
-            let (found, wanted) = if a.span.in_schema { (two, one) } else { (one, two) };
-            lists(found, wanted, span, path, problems)
+        (Value::List(items_a, further_a), Value::List(items_b, further_b)) => {
+            let list_a = List { items: items_a, further: further_a };
+            let list_b = List { items: items_b, further: further_b };
+            let (found, wanted) = if a.span.in_schema { (list_b, list_a) } else { (list_a, list_b) };
+            unify_lists(found, wanted, span, path, problems)
         }
-        (one, two) => match scalars(&one, &two) {
+        (first, second) => match unify_scalars(&first, &second) {
             Some(value) => value,
             None => {
-                // What the file says was found; what the schema says was wanted.
-                let (found, wanted) = if a.span.in_schema { (two, one) } else { (one, two) };
+                // The file's value is the one found, the schema's the one wanted.
+                let (found, wanted) = if a.span.in_schema { (second, first) } else { (first, second) };
                 problems.push(Problem {
                     path: path.into(),
-                    what: format!("found {found}, wanted {wanted}"),
+                    message: format!("found {found}, wanted {wanted}"),
                     span,
                 });
-                // Told once: what is left of it finishes without a further word.
+                // A concrete value, so that the field isn't reported a second time as missing.
                 Value::Null
             }
         },
@@ -42,24 +52,24 @@
     Node { value, span }
 }
 
-/// Neither a struct nor a list with its like, nor an alternative.
-fn scalars(a: &Value, b: &Value) -> Option<Value> {
+/// Unifies scalars and constraints on them. `None` if nothing satisfies both, as with a list and a struct.
+fn unify_scalars(a: &Value, b: &Value) -> Option<Value> {
     match (a, b) {
-        (Value::All(all), other) | (other, Value::All(all)) => {
+        (Value::All(constraints), other) | (other, Value::All(constraints)) => {
             if other.is_scalar() {
-                return all.iter().all(|c| satisfies(other, c)).then(|| other.clone());
+                return constraints.iter().all(|c| satisfies(other, c)).then(|| other.clone());
             }
             if matches!(other, Value::List(..) | Value::Struct(_)) {
                 return None;
             }
-            let mut all = all.clone();
+            let mut constraints = constraints.clone();
             match other {
-                Value::All(more) => all.extend(more.iter().cloned()),
-                other => all.push(other.clone()),
+                Value::All(others) => constraints.extend(others.iter().cloned()),
+                other => constraints.push(other.clone()),
             }
-            Some(Value::All(all))
+            Some(Value::All(constraints))
         }
-        (a, b) if a.is_scalar() && b.is_scalar() => same(a, b).then(|| a.clone()),
+        (a, b) if a.is_scalar() && b.is_scalar() => equal_scalars(a, b).then(|| a.clone()),
         (scalar, constraint) | (constraint, scalar) if scalar.is_scalar() => {
             satisfies(scalar, constraint).then(|| scalar.clone())
         }
@@ -75,7 +85,7 @@
     }
 }
 
-fn same(a: &Value, b: &Value) -> bool {
+fn equal_scalars(a: &Value, b: &Value) -> bool {
     match (a, b) {
         (Value::Null, Value::Null) => true,
         (Value::Bool(a), Value::Bool(b)) => a == b,
@@ -88,7 +98,7 @@
 
 /// Whether a scalar satisfies a constraint.
 fn satisfies(scalar: &Value, constraint: &Value) -> bool {
-    let figure = |value: &Value| match value {
+    let number = |value: &Value| match value {
         Value::Int(value) => Some(*value as f64),
         Value::Float(value) => Some(*value),
         _ => None,
@@ -102,42 +112,48 @@
             Type::Number => matches!(scalar, Value::Int(_) | Value::Float(_)),
             Type::Bool => matches!(scalar, Value::Bool(_)),
         },
-        Value::Bound("!=", by) => !same(scalar, by) && figure(scalar).is_some() == figure(by).is_some(),
-        Value::Bound(sign, by) => match (figure(scalar), figure(by)) {
-            (Some(value), Some(by)) => match *sign {
-                ">=" => value >= by,
-                "<=" => value <= by,
-                ">" => value > by,
-                _ => value < by,
+        Value::Bound("!=", operand) => {
+            !equal_scalars(scalar, operand) && number(scalar).is_some() == number(operand).is_some()
+        }
+        Value::Bound(operator, limit) => match (number(scalar), number(limit)) {
+            (Some(value), Some(limit)) => match *operator {
+                ">=" => value >= limit,
+                "<=" => value <= limit,
+                ">" => value > limit,
+                _ => value < limit,
             },
             _ => false,
         },
-        Value::Match(wanted, pattern) => {
-            matches!(scalar, Value::Str(text) if pattern.is_match(text) == *wanted)
+        Value::Match(must_match, pattern) => {
+            matches!(scalar, Value::Str(text) if pattern.is_match(text) == *must_match)
         }
-        Value::All(all) => all.iter().all(|c| satisfies(scalar, c)),
+        Value::All(constraints) => constraints.iter().all(|c| satisfies(scalar, c)),
         _ => false,
     }
 }
 
-type Items = (Vec<Node>, Option<Box<Node>>);
+/// The items of a list, and the constraint on any that follow them; `None` if none may.
+struct List {
+    items: Vec<Node>,
+    further: Option<Box<Node>>,
+}
 
-/// `one` was found, `two` wanted.
-fn lists(one: Items, two: Items, span: Span, path: &str, problems: &mut Vec<Problem>) -> Value {
-    let ((one, more_one), (two, more_two)) = (one, two);
-    let (found, wanted) = (one.len(), two.len());
-    if (found > wanted && more_two.is_none()) || (found < wanted && more_one.is_none()) {
-        let least = if more_two.is_some() { "at least " } else { "one of " };
-        let what = format!("found a list of {found}, wanted {least}{wanted}");
-        problems.push(Problem { path: path.into(), what, span });
+fn unify_lists(found: List, wanted: List, span: Span, path: &str, problems: &mut Vec<Problem>) -> Value {
+    let (found_length, wanted_length) = (found.items.len(), wanted.items.len());
+    let too_long = found_length > wanted_length && wanted.further.is_none();
+    let too_short = found_length < wanted_length && found.further.is_none();
+    if too_long || too_short {
+        let quantity = if wanted.further.is_some() { "at least " } else { "one of " };
+        let message = format!("found a list of {found_length}, wanted {quantity}{wanted_length}");
+        problems.push(Problem { path: path.into(), message, span });
         return Value::Null;
     }
-    let length = found.max(wanted);
-    let (mut one, mut two) = (one.into_iter(), two.into_iter());
+    let length = found_length.max(wanted_length);
+    let (mut found_items, mut wanted_items) = (found.items.into_iter(), wanted.items.into_iter());
     let items = (0..length).map(|index| {
         let path = format!("{path}[{index}]");
-        let a = one.next().or_else(|| more_one.as_deref().cloned());
-        let b = two.next().or_else(|| more_two.as_deref().cloned());
+        let a = found_items.next().or_else(|| found.further.as_deref().cloned());
+        let b = wanted_items.next().or_else(|| wanted.further.as_deref().cloned());
         match (a, b) {
             (Some(a), Some(b)) => unify(a, b, &path, problems),
             (Some(only), None) | (None, Some(only)) => only,
@@ -145,28 +161,28 @@
         }
     });
     let items = items.collect();
-    let more = match (more_one, more_two) {
+    let further = match (found.further, wanted.further) {
         (Some(a), Some(b)) => Some(Box::new(unify(*a, *b, path, &mut Vec::new()))),
         _ => None,
     };
-    Value::List(items, more)
+    Value::List(items, further)
 }
 
-fn records(one: Record, two: Record, path: &str, problems: &mut Vec<Problem>) -> Record {
-    let (open_one, open_two) = (one.open, two.open);
-    let mut out = Record { open: open_one && open_two, ..Record::default() };
-    let takes = |record: &Record, name: &str| {
+fn unify_records(first: Record, second: Record, path: &str, problems: &mut Vec<Problem>) -> Record {
+    let mut unified = Record { open: first.open && second.open, ..Record::default() };
+    let allows = |record: &Record, name: &str| {
         record.open || record.fields.contains_key(name) || !record.patterns.is_empty()
     };
-    for (this, other) in [(&one, &two), (&two, &one)] {
+    for (this, other) in [(&first, &second), (&second, &first)] {
         for (name, slot) in this.fields.iter().filter(|(_, slot)| !slot.optional) {
-            if !takes(other, name) {
-                let near = other.fields.keys().min_by_key(|k| distance(k, name));
-                let hint = near.filter(|k| distance(k, name) <= 3).map(|k| format!("; is `{k}` meant?"));
+            if !allows(other, name) {
+                let closest = other.fields.keys().min_by_key(|k| edit_distance(k, name));
+                let close = closest.filter(|k| edit_distance(k, name) <= MAX_HINT_DISTANCE);
+                let hint = close.map(|k| format!("; is `{k}` meant?"));
                 let names: Vec<&str> = other.fields.keys().map(String::as_str).collect();
                 problems.push(Problem {
                     path: join(path, name),
-                    what: format!(
+                    message: format!(
                         "no such field, there are {}{}",
                         names.join(", "),
                         hint.unwrap_or_default()
@@ -176,37 +192,39 @@
             }
         }
     }
-    let patterns = [one.patterns.clone(), two.patterns.clone()];
-    for (index, record) in [one, two].into_iter().enumerate() {
+    let patterns = [first.patterns.clone(), second.patterns.clone()];
+    for (index, record) in [first, second].into_iter().enumerate() {
         for (name, mut slot) in record.fields {
             let path = join(path, &name);
-            // The other side's patterns hold for this one's fields.
+            // The other record's patterns apply to this one's fields.
             for pattern in patterns[1 - index].iter().filter(|_| !slot.optional) {
                 slot.node = unify(slot.node, pattern.clone(), &path, problems);
             }
-            match out.fields.entry(name) {
+            match unified.fields.entry(name) {
                 Entry::Vacant(vacant) => {
                     vacant.insert(slot);
                 }
-                Entry::Occupied(mut known) => {
-                    let before = known.get().clone();
+                Entry::Occupied(mut occupied) => {
+                    let earlier = occupied.get().clone();
                     let name_span =
-                        if before.name_span.in_schema { slot.name_span } else { before.name_span };
-                    known.insert(Slot {
-                        optional: before.optional && slot.optional,
-                        node: unify(before.node, slot.node, &path, problems),
+                        if earlier.name_span.in_schema { slot.name_span } else { earlier.name_span };
+                    occupied.insert(Slot {
+                        optional: earlier.optional && slot.optional,
+                        node: unify(earlier.node, slot.node, &path, problems),
                         name_span,
                     });
                 }
             }
         }
     }
-    out.patterns = patterns.into_iter().flatten().collect();
-    out
+    unified.patterns = patterns.into_iter().flatten().collect();
+    unified
 }
 
-fn alternatives(
-    any: Vec<(bool, Node)>,
+/// Unifies each alternative with `other`, or with each of its alternatives if it has several, and keeps those
+/// that succeed.
+fn unify_alternatives(
+    alternatives: Vec<(bool, Node)>,
     other: Node,
     span: Span,
     path: &str,
@@ -216,42 +234,47 @@
         Value::Or(others) => others,
         value => vec![(false, Node { value, span: other.span })],
     };
-    let marked = |any: &[(bool, Node)]| any.iter().any(|(default, _)| *default);
-    let (mark_a, mark_b) = (marked(&any), marked(&others));
-    let (mut fit, mut first) = (Vec::new(), None);
-    for (default_a, a) in &any {
+    let has_default = |alternatives: &[(bool, Node)]| alternatives.iter().any(|(default, _)| *default);
+    let (has_default_a, has_default_b) = (has_default(&alternatives), has_default(&others));
+    let (mut unified, mut first_mismatch) = (Vec::new(), None);
+    for (default_a, a) in &alternatives {
         for (default_b, b) in &others {
-            let mut against = Vec::new();
-            let node = unify(a.clone(), b.clone(), path, &mut against);
-            if against.is_empty() {
-                let default = (mark_a || mark_b) && (*default_a || !mark_a) && (*default_b || !mark_b);
-                fit.push((default, node));
+            let mut mismatch = Vec::new();
+            let node = unify(a.clone(), b.clone(), path, &mut mismatch);
+            if mismatch.is_empty() {
+                let default = (has_default_a || has_default_b)
+                    && (*default_a || !has_default_a)
+                    && (*default_b || !has_default_b);
+                unified.push((default, node));
             } else if matches!(
                 (&a.value, &b.value),
                 (Value::Struct(_), Value::Struct(_)) | (Value::List(..), Value::List(..))
             ) {
-                // Of its kind, so this is what was meant: its own problems say most.
-                first.get_or_insert(against);
+                // The kinds agree, so this alternative was probably meant: its problems tell more than a list
+                // of all alternatives.
+                first_mismatch.get_or_insert(mismatch);
             }
         }
     }
-    fit.truncate(MAX_ALTERNATIVES);
-    match (fit.len(), fit.pop()) {
+    unified.truncate(MAX_ALTERNATIVES);
+    match (unified.len(), unified.pop()) {
         (1, Some((_, node))) => node.value,
         (0, _) | (_, None) => {
-            let (a, b) = (Value::Or(any), Value::Or(others));
+            let (a, b) = (Value::Or(alternatives), Value::Or(others));
             let (found, wanted) = if other.span.in_schema { (a, b) } else { (b, a) };
-            let what = format!("found {found}, wanted {wanted}");
-            problems.extend(first.unwrap_or_else(|| vec![Problem { path: path.into(), what, span }]));
+            let message = format!("found {found}, wanted {wanted}");
+            let mismatch = vec![Problem { path: path.into(), message, span }];
+            problems.extend(first_mismatch.unwrap_or(mismatch));
             Value::Null
         }
         (_, Some(last)) => {
-            fit.push(last);
-            Value::Or(fit)
+            unified.push(last);
+            Value::Or(unified)
         }
     }
 }
 
+/// Path of a field within the record at `path`.
 pub(crate) fn join(path: &str, name: &str) -> String {
     if path.is_empty() {
         name.into()
@@ -260,17 +283,17 @@
     }
 }
 
-/// Edits between two names.
-fn distance(a: &str, b: &str) -> usize {
-    let b: Vec<char> = b.chars().take(40).collect();
+/// Levenshtein distance of the first characters of two names.
+fn edit_distance(a: &str, b: &str) -> usize {
+    let b: Vec<char> = b.chars().take(MAX_COMPARED_CHARS).collect();
     let mut row: Vec<usize> = (0..=b.len()).collect();
-    for (i, ca) in a.chars().take(40).enumerate() {
-        let mut before = row[0];
+    for (i, char_a) in a.chars().take(MAX_COMPARED_CHARS).enumerate() {
+        let mut diagonal = row[0];
         row[0] = i + 1;
-        for (j, cb) in b.iter().enumerate() {
-            let cost = before + usize::from(ca != *cb);
-            before = row[j + 1];
-            row[j + 1] = cost.min(before + 1).min(row[j] + 1);
+        for (j, char_b) in b.iter().enumerate() {
+            let substituted = diagonal + usize::from(char_a != *char_b);
+            diagonal = row[j + 1];
+            row[j + 1] = substituted.min(diagonal + 1).min(row[j] + 1);
         }
     }
     row[b.len()]
--- a/crates/lilacpitch-config/src/value.rs
+++ b/crates/lilacpitch-config/src/value.rs
@@ -1,16 +1,17 @@
-//! Values and constraints, with where each came from.
+//! Values and constraints, each with its place in the source.
 
 use regex_lite::Regex;
 use std::collections::BTreeMap;
 use std::fmt;
 
-/// A place in a text, in bytes.
+/// A range of bytes in a source text.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct Span {
-    /// From here,
+    /// Offset of the first byte.
     pub start: usize,
-    /// to before here.
+    /// Offset after the last byte.
     pub end: usize,
+    /// Whether the text is the schema rather than the file.
     pub(crate) in_schema: bool,
 }
 
@@ -19,7 +20,7 @@
         Span { start, end, in_schema: false }
     }
 
-    /// From this one's start to the other's end.
+    /// The span from the start of this one to the end of `last`.
     pub(crate) fn to(self, last: Span) -> Self {
         Span { end: last.end.max(self.start), ..self }
     }
@@ -49,24 +50,25 @@
     Float(f64),
     Str(String),
     Type(Type),
-    /// A sign and what it bounds by: a figure, or for `!=` any scalar.
+    /// A comparison operator and its operand: a number, or for `!=` any scalar.
     Bound(&'static str, Box<Value>),
-    /// Whether strings must match it, or must not.
+    /// Whether strings must match the pattern (`=~`) or must not (`!~`).
     Match(bool, Regex),
-    /// Constraints that all hold, none of them concrete.
+    /// Constraints that must all hold; none of them is a concrete value.
     All(Vec<Value>),
+    /// Items, and the constraint on any that follow them; `None` if none may.
     List(Vec<Node>, Option<Box<Node>>),
     Struct(Record),
-    /// Alternatives; defaults are marked.
+    /// Alternatives, each with whether it is marked as the default.
     Or(Vec<(bool, Node)>),
 }
 
 #[derive(Debug, Clone, Default)]
 pub(crate) struct Record {
     pub fields: BTreeMap<String, Slot>,
-    /// The names' order in the file and the schema.
+    /// Constraints on every field, whatever its name.
     pub patterns: Vec<Node>,
-    /// Takes fields that it does not name.
+    /// Whether fields that the struct does not name are allowed.
     pub open: bool,
 }
 
@@ -74,7 +76,7 @@
 pub(crate) struct Slot {
     pub node: Node,
     pub optional: bool,
-    /// Where its name stands.
+    /// Place of the field's name.
     pub name_span: Span,
 }
 
@@ -84,10 +86,10 @@
     }
 }
 
-/// As it would be written, shortened where it is long: for errors.
+/// The value as CUE would have it, shortened where it is long, for error messages.
 impl fmt::Display for Value {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let joined = |parts: Vec<String>, by: &str| parts.join(by);
+        let joined = |parts: Vec<String>, separator: &str| parts.join(separator);
         match self {
             Value::Null => write!(f, "null"),
             Value::Bool(value) => write!(f, "{value}"),
@@ -105,14 +107,15 @@
                 Type::Number => "number",
                 Type::Bool => "bool",
             }),
-            Value::Bound(sign, by) => write!(f, "{sign}{by}"),
+            Value::Bound(operator, operand) => write!(f, "{operator}{operand}"),
             Value::Match(true, pattern) => write!(f, "=~\"{pattern}\""),
             Value::Match(false, pattern) => write!(f, "!~\"{pattern}\""),
             Value::All(all) => write!(f, "{}", joined(all.iter().map(|v| v.to_string()).collect(), " & ")),
             Value::List(..) => write!(f, "a list"),
             Value::Struct(_) => write!(f, "a struct"),
-            Value::Or(any) => {
-                write!(f, "{}", joined(any.iter().map(|(_, n)| n.value.to_string()).collect(), " | "))
+            Value::Or(alternatives) => {
+                let texts = alternatives.iter().map(|(_, node)| node.value.to_string());
+                write!(f, "{}", joined(texts.collect(), " | "))
             }
         }
     }
--- a/crates/lilacpitch-config/tests/pinned_settings.rs
+++ b/crates/lilacpitch-config/tests/pinned_settings.rs
@@ -1,6 +1,6 @@
-//! Pins what operators write: the schema of settings and pool lists as text, and the record, with all defaults,
-//! that comes out of minimal files. Files that were written for an earlier build must go on meaning the same,
-//! whatever the program's own types are called.
+//! Pins the format of settings files: the text of the schema, and the record with all defaults that results
+//! from minimal files. Files written for an earlier build must keep their meaning when types of the program
+//! are renamed.
 
 use lilacpitch_config::{load_text, Edge, Pools, Schema, Site, EDGE_SCHEMA};
 use serde_json::Value;
--- a/crates/lilacpitch-config/tests/settings.rs
+++ b/crates/lilacpitch-config/tests/settings.rs
@@ -1,4 +1,4 @@
-//! Settings: what is taken, and what each mistake is told as.
+//! Settings files: defaults, the error for each kind of mistake, and the semantics of unification.
 
 use lilacpitch_config::*;
 use proptest::prelude::*;
@@ -18,7 +18,7 @@
 "#;
 
 #[test]
-fn settings_are_taken_with_their_defaults() {
+fn front_settings_get_defaults_for_omitted_fields() {
     let edge = Edge::from_text("edge.cue", GOOD).unwrap().value;
     assert_eq!((edge.name.as_str(), edge.classes.len()), ("edge-1", 2));
     assert_eq!((edge.classes[0].aim_ns, edge.classes[0].late_worth), (2_000_000_000, 0.25));
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn each_mistake_is_told_with_line_field_found_and_wanted() {
+fn each_error_names_line_field_found_and_wanted_values() {
     let cases = [
         ("listen: \"127.0.0.1:7000\"", "listen: 7000", "edge.cue:3:9: listen: found 7000, wanted =~"),
         ("aim: \"2s\"", "aim: \"2 s\"", "edge.cue:7:35: classes[0].aim: found \"2 s\", wanted =~"),
@@ -49,7 +49,7 @@
         ("\"250ms\"", "\"0ms\"", "edge.cue:10:17: timing.resend: must be above 0"),
         ("127.0.0.1:7000", "999.0.0.1:80", "edge.cue:3:9: listen: invalid socket address syntax"),
         ("127.0.0.1:7000", "127.0.0.1:70000", "edge.cue:3:9: listen: found \"127.0.0.1:70000\", wanted =~"),
-        ("\"1.2s\"", "\"99999999999h\"", "classes[1].aim: 99999999999h: a span past 292 years"),
+        ("\"1.2s\"", "\"99999999999h\"", "classes[1].aim: 99999999999h: longer than 292 years"),
         (
             "timing: resend",
             "look_at_pool_list_every: \"1s\"\ntiming: resend",
@@ -58,21 +58,21 @@
         ("limits: {", "limits: {callers: 7, ", "edge.cue:11:22: callers: given twice: found 7, wanted 1000"),
         ("limits: {", "limits: {{", "edge.cue:11:10: found `{`, wanted a field, as `name: value`"),
         ("\"mobile\"", "\"mobile", "edge.cue:8:66: string not closed on its line"),
-        ("1_000", "007", "edge.cue:11:19: 007 is no number of 64 bits"),
-        ("\"mobile\"", "\"\\(x)\"", "interpolation is outside of the subset"),
+        ("1_000", "007", "edge.cue:11:19: 007 is not a 64-bit number"),
+        ("\"mobile\"", "\"\\(x)\"", "interpolation is outside of the supported subset"),
         ("pool_list:", "import \"time\"\npool_list:", "found `import`, wanted a field"),
-        ("#Usual: {", "#Usual: #Usual & {", "a definition that holds itself"),
+        ("#Usual: {", "#Usual: #Usual & {", "a definition that refers to itself"),
     ];
-    let mut wrong = Vec::new();
-    for (from, to, wanted) in cases {
-        assert!(GOOD.contains(from), "{from}");
-        let text = GOOD.replacen(from, to, 1);
-        let error = Edge::from_text("edge.cue", &text).err().unwrap_or_else(|| panic!("taken: {to}"));
-        if !error.to_string().contains(wanted) {
-            wrong.push(format!("{to}: {error}"));
+    let mut unexpected = Vec::new();
+    for (valid, invalid, message) in cases {
+        assert!(GOOD.contains(valid), "{valid}");
+        let text = GOOD.replacen(valid, invalid, 1);
+        let error = Edge::from_text("edge.cue", &text).err().unwrap_or_else(|| panic!("accepted: {invalid}"));
+        if !error.to_string().contains(message) {
+            unexpected.push(format!("{invalid}: {error}"));
         }
     }
-    assert!(wrong.is_empty(), "{wrong:#?}");
+    assert!(unexpected.is_empty(), "{unexpected:#?}");
     let error = Edge::from_text("edge.cue", "").err().unwrap().to_string();
     assert!(
         error.contains("classes: found") || error.contains("classes[0]") || error.contains("classes"),
@@ -81,17 +81,17 @@
 }
 
 #[test]
-fn all_mistakes_are_told_at_once_and_drawn() {
+fn one_error_reports_all_mistakes_with_source_lines() {
     let text = GOOD.replace("worth: 3", "worth: -3").replace("queue: 64", "queue: \"a\"");
     let error = Edge::from_text("edge.cue", &text).err().unwrap();
     assert_eq!(error.problems().len(), 2, "{error}");
     let drawn = error.drawn();
     assert!(drawn.contains("edge.cue:8") && drawn.contains("found -3, wanted number & >0"), "{drawn}");
-    assert!(drawn.contains("worth: -3, pools"), "the line itself: {drawn}");
+    assert!(drawn.contains("worth: -3, pools"), "source line missing: {drawn}");
 }
 
 #[test]
-fn pool_lists_are_checked() {
+fn pool_list_gets_defaults_and_rejects_mistakes() {
     let good = r#"servers: [
 	{name: "r1", pool: "mobile", address: "127.0.0.1:7101"},
 	{name: "r2", pool: "home", zone: "a", address: "127.0.0.1:7102", state: "draining", started_ms: 1700000000000},
@@ -110,14 +110,14 @@
         ("1700000000000", "-1", "servers[1].started_ms: found -1, wanted 0 | int & >=0"),
         ("servers", "server", "server: no such field"),
     ];
-    for (from, to, wanted) in cases {
-        let error = Pools::from_text("p", &good.replace(from, to)).err().unwrap().to_string();
-        assert!(error.contains(wanted), "{error}");
+    for (valid, invalid, message) in cases {
+        let error = Pools::from_text("p", &good.replace(valid, invalid)).err().unwrap().to_string();
+        assert!(error.contains(message), "{error}");
     }
 }
 
 #[test]
-fn unification_is_that_of_cue_in_the_subset() {
+fn unification_follows_cue_semantics() {
     let schema = Schema::new(
         "s",
         r#"#A: {n: int | *3 & int, f?: >1 & <2, l: [int, ...string], o: {...}, [string]: _}
@@ -126,8 +126,8 @@
 #D: k: 7"#,
     )
     .unwrap();
-    let read = |of: &str, text: &str| {
-        load_text::<serde_json::Value>(&schema, of, "f", text)
+    let read = |definition: &str, text: &str| {
+        load_text::<serde_json::Value>(&schema, definition, "f", text)
             .map(|l| l.value.to_string())
             .map_err(|e| e.to_string())
     };
@@ -181,17 +181,17 @@
         "1e999",
         "[string]:",
     ];
-    let soup =
+    let random_pieces =
         proptest::collection::vec(proptest::sample::select(pieces.to_vec()), 0..60).prop_map(|p| p.concat());
     let damaged = (0..GOOD.len(), any::<char>()).prop_map(|(at, c)| {
         let mut text = GOOD.to_string();
         text.replace_range(at..at + 1, &c.to_string());
         text
     });
-    let cut = (0..GOOD.len()).prop_map(|at| GOOD[..at].to_string());
+    let truncated = (0..GOOD.len()).prop_map(|length| GOOD[..length].to_string());
     let config = Config { cases: 1_500, failure_persistence: None, ..Config::default() };
     TestRunner::new_with_rng(config, TestRng::from_seed(RngAlgorithm::ChaCha, &[9; 32]))
-        .run(&prop_oneof![soup, damaged, cut], |text| {
+        .run(&prop_oneof![random_pieces, damaged, truncated], |text| {
             if let Err(error) = Edge::from_text("f", &text) {
                 prop_assert!(error.to_string().starts_with("f:"));
                 prop_assert!(!error.drawn().is_empty());
@@ -216,13 +216,13 @@
 "#;
 
 #[test]
-fn sites_are_taken_with_their_defaults_and_their_mistakes_are_told() {
+fn site_settings_get_defaults_and_reject_mistakes() {
     let site = Site::from_text("site.cue", SITE).unwrap().value;
     assert_eq!((site.terms.lease_ns, site.shards, site.sites.len()), (3_000_000_000, 64, 2));
     let cases = [
         ("site: \"root\"", "site: \"rot\"", "site.cue:2:7: site: site \"rot\" is not among the sites"),
         ("place: 0", "place: 1", "site.cue:3:8: place: site \"root\" has 1 processes"),
-        ("parent: \"root\"", "parent: \"leaf\"", "site.cue:9:25: sites[1].parent: goes round in a ring"),
+        ("parent: \"root\"", "parent: \"leaf\"", "site.cue:9:25: sites[1].parent: is part of a cycle"),
         ("parent: \"root\"", "parent: \"r\"", "site \"r\" is not among the sites"),
         ("parent: \"root\", ", "", "sites: 2 sites without a parent, wanted one: the root"),
         ("\"leaf\"", "\"root\"", "sites[1].name: site \"root\" is given twice"),
@@ -230,9 +230,10 @@
         ("place: 0", "place: 0\nterms: lease: \"0s\"", "terms.lease: must be above 0"),
         ("place: 0", "place: 0\nterms: clock_allowance: 2", "terms.clock_allowance: found 2, wanted"),
     ];
-    for (right, wrong, told) in cases {
-        let error = Site::from_text("site.cue", &SITE.replace(right, wrong)).expect_err(wrong).to_string();
-        assert!(error.contains(told), "{error}\nin place of {told}");
+    for (valid, invalid, message) in cases {
+        let error =
+            Site::from_text("site.cue", &SITE.replace(valid, invalid)).expect_err(invalid).to_string();
+        assert!(error.contains(message), "{error}\nin place of {message}");
     }
     let fleet = "fleet: {home: \"x\", pool: \"p\", key_file: \"k\", sites: [{name: \"y\", processes: [\"127.0.0.1:1\"]}]}\n";
     let error = Edge::from_text("edge.cue", &format!("{GOOD}{fleet}")).err().unwrap().to_string();
