--- a/crates/lilacpitch-location/src/error.rs
+++ b/crates/lilacpitch-location/src/error.rs
@@ -1,43 +1,45 @@
-//! What can be wrong with rows, questions and summaries, and what an operator can do about it.
+//! Errors in records, queries and summaries, each with a hint for the operator.
 
 use miette::Diagnostic;
 use thiserror::Error;
 
-/// Why a row, a question or a summary was refused. Nothing else is lost with it.
+/// Why a record, a query or a summary was rejected. The store is left as it was.
 #[derive(Debug, Clone, PartialEq, Eq, Error, Diagnostic)]
 pub enum LocationError {
-    /// Not a number that can be dialled.
-    #[error("number {0:?}: not 1 to 32 of 0-9 * #, a + before them at most")]
+    /// A text that is not a valid dialled number.
+    #[error("number {0:?}: not 1 to 32 of 0-9 * #, with a + before them at most")]
     #[diagnostic(
         code(register::number),
         help("correct the number where the caller or the operator gave it")
     )]
     Number(String),
-    /// A name that is too long or holds what no name may.
+    /// A name that is too long or contains a character that is not allowed.
     #[error("{field} {found:?}: not up to 64 visible ASCII characters")]
     #[diagnostic(
         code(register::name),
         help("rename the class, trunk group, front or server in its settings")
     )]
     Name {
-        /// Which field of the row.
+        /// The field of the record.
         field: &'static str,
-        /// What was found, cut short.
+        /// The name found, truncated.
         found: String,
     },
-    /// A summary's bits do not read as one.
+    /// A summary that cannot be decoded or contradicts itself.
     #[error("summary of shard {shard}: {what}")]
     #[diagnostic(
         code(register::summary),
-        help("none needed: its site is asked until a sound one comes; if it goes on, compare both builds")
+        help(
+            "nothing to do: a valid one is requested from the site; if this recurs, compare the two builds"
+        )
     )]
     Summary {
-        /// The shard.
+        /// Index of the shard.
         shard: u32,
-        /// What is wrong.
+        /// The mistake found.
         what: &'static str,
     },
-    /// A site has another number of shards than is allowed.
+    /// A number of shards outside the allowed range.
     #[error("{0} shards: wanted 1 to 65536")]
     #[diagnostic(code(register::shards), help("set `shards` in site.cue to a power of two up to 65536"))]
     Shards(usize),
--- a/crates/lilacpitch-location/src/lib.rs
+++ b/crates/lilacpitch-location/src/lib.rs
@@ -1,14 +1,14 @@
-//! The location service of a site (RFC 3261, section 10): records of where numbers are reached and which calls to them
-//! are active, without I/O.
+//! The location service of a site (RFC 3261, section 10): records of where numbers are reached and which
+//! calls to them are active, without I/O.
 //!
 //! - [`record`]: a number, where it is reached or which call to it is active, and since when.
-//! - [`query`]: a query for records, with a cursor where there are more than fit.
+//! - [`query`]: a query for records, and pages of results with a cursor.
 //! - [`store`]: records in shards by hash of the number, each shard under its own lock.
-//! - [`summary`]: which numbers may have records in a shard: a number outside it has none. [`golomb_coded_set`] is its
-//!   compact form.
+//! - [`summary`]: a set that contains every number with records in a shard, and some without;
+//!   [`golomb_coded_set`] is its compact form.
 //!
-//! **Order of locks.** No function here holds two shards' locks at once, so there is no order to keep; whoever
-//! holds a lock of its own may call in here, and nothing here calls out while a shard is locked.
+//! **Order of locks.** No function of this crate holds the locks of two shards at once, so they need no
+//! order. None calls foreign code while a shard is locked, so callers may hold locks of their own.
 #![forbid(unsafe_code)]
 
 pub mod error;
@@ -18,7 +18,7 @@
 pub mod store;
 pub mod summary;
 
-/// The locks of [`store`]; a test replaces them by locks that try all orders.
+/// The locks of [`store`]. `tests/orders.rs` replaces them by locks whose interleavings are explored.
 mod sync {
     pub(crate) use parking_lot::RwLock;
 }
--- a/crates/lilacpitch-location/src/query.rs
+++ b/crates/lilacpitch-location/src/query.rs
@@ -12,7 +12,7 @@
     Prefix(String),
 }
 
-/// A query. A condition that is `None` matches every record.
+/// A query for records. A condition that is `None` matches every record.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Query {
     /// The numbers.
@@ -23,7 +23,7 @@
     pub class: Option<String>,
     /// The trunk group.
     pub trunk_group: Option<String>,
-    /// The record began between these moments, both included, in milliseconds since 1970.
+    /// The first and the last start time of records, both included, in milliseconds of Unix time.
     pub since_ms: Option<(u64, u64)>,
 }
 
@@ -58,6 +58,6 @@
 pub struct Page {
     /// The records.
     pub records: Vec<LocationRecord>,
-    /// Continue behind this key: there may be more; `None`: there are none.
+    /// The key after which the next page begins; `None` if this is the last page.
     pub cursor: Option<Key>,
 }
--- a/crates/lilacpitch-location/src/record.rs
+++ b/crates/lilacpitch-location/src/record.rs
@@ -4,12 +4,12 @@
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
-/// Longest number, as in call control.
+/// Most digits of a number, the same as in the call protocol.
 const MAX_DIGITS: usize = 32;
-/// Longest name of a class, trunk group, front or server.
+/// Longest name of a class, trunk group, front or server, in bytes.
 const MAX_NAME_BYTES: usize = 64;
 
-/// A number as it is dialled: 1 to 32 of `0-9*#`, a `+` before them at most.
+/// A dialled number: 1 to 32 of `0-9*#`, with an optional `+` before them.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(try_from = "String", into = "String")]
 pub struct Number(Box<str>);
@@ -18,7 +18,7 @@
     /// Parses a number.
     ///
     /// # Errors
-    /// [`LocationError::Number`], where it is malformed.
+    /// [`LocationError::Number`] if it is malformed.
     pub fn new(text: &str) -> Result<Self, LocationError> {
         let digits = text.strip_prefix('+').unwrap_or(text);
         let is_valid = |b: u8| b.is_ascii_digit() || b == b'*' || b == b'#';
@@ -28,12 +28,13 @@
         Ok(Number(text.into()))
     }
 
-    /// Its digits.
+    /// The number as text.
     pub fn as_str(&self) -> &str {
         &self.0
     }
 
-    /// The same in every process and build: shards and summaries rest on it (XXH3, 64 bits).
+    /// The 64-bit XXH3 hash of the number. Shards and summaries depend on it, so it must be the same in every
+    /// process and build.
     pub fn hash64(&self) -> u64 {
         xxhash_rust::xxh3::xxh3_64(self.0.as_bytes())
     }
@@ -59,7 +60,7 @@
     }
 }
 
-/// What a record tells of its number.
+/// What a record states about its number.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Kind {
     /// A binding: a handset, console or driver is reached here.
@@ -69,7 +70,7 @@
 }
 
 impl Kind {
-    /// The name on the operator's pages.
+    /// The kind's name on the admin pages.
     pub fn as_str(self) -> &'static str {
         match self {
             Kind::Binding => "reached",
@@ -83,15 +84,15 @@
 pub struct Owner {
     /// The front's or the server's name.
     pub name: String,
-    /// The front that wrote the record: it is removed with that front's incarnation.
+    /// The front that wrote the record. Records of a front's older incarnations are removed together.
     pub front: String,
-    /// The incarnation of that front, in nanoseconds since 1970.
+    /// The incarnation of that front: its start time in nanoseconds of Unix time.
     pub incarnation: u64,
-    /// Distinguishes records of one owner for one number: the front's number of the connection or call.
+    /// Distinguishes the records of one owner for one number: the front's id of the connection or call.
     pub serial: u64,
 }
 
-/// The key of a record. The order of fields is that of the comparison and of the wire.
+/// The key of a record. The order of the fields determines the order of keys and the encoding.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Key {
     /// The number.
@@ -103,7 +104,7 @@
 }
 
 impl Key {
-    /// A key that is at or before all keys whose number begins with these digits.
+    /// The lower bound of all keys whose number begins with these digits.
     pub fn lowest_with_prefix(digits: &str) -> Self {
         let owner = Owner { name: String::new(), front: String::new(), incarnation: 0, serial: 0 };
         Key { number: Number(digits.into()), kind: Kind::Binding, owner }
@@ -119,7 +120,8 @@
     pub class: String,
     /// The trunk group: the pool through which it is reached or through which the call goes.
     pub trunk_group: String,
-    /// Since when, in milliseconds since 1970, by the clock of the front that wrote it.
+    /// Start of the binding or call, in milliseconds of Unix time by the clock of the front that wrote the
+    /// record.
     pub since_ms: u64,
 }
 
@@ -127,7 +129,7 @@
     /// Checks the names; the number was checked when it was parsed.
     ///
     /// # Errors
-    /// [`LocationError::Name`], naming the field.
+    /// [`LocationError::Name`] for the first field whose name is not valid.
     pub fn check(&self) -> Result<(), LocationError> {
         let names = [
             ("class", &self.class),
--- a/crates/lilacpitch-location/src/store.rs
+++ b/crates/lilacpitch-location/src/store.rs
@@ -1,5 +1,5 @@
-//! The location store: records in shards by hash of the number, each shard under its own lock, with a summary that
-//! tells which numbers have records.
+//! The location store: records in shards by hash of the number, each shard under its own lock and with a
+//! summary of the numbers that have records in it.
 
 use crate::error::LocationError;
 use crate::query::{Page, Query, QueryTarget};
@@ -9,7 +9,8 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// The records of one shard, in the order of their keys. Shared with a snapshot until the next write.
+/// The records of one shard, in the order of their keys. Shared with snapshots; a write copies it while it is
+/// shared.
 pub type Records = Arc<BTreeMap<Key, LocationRecord>>;
 
 /// Most shards of a store.
@@ -22,15 +23,16 @@
 }
 
 impl Shard {
-    fn has(&self, number: &Number) -> bool {
-        self.from(number.as_str()).next().is_some_and(|(key, _)| key.number == *number)
+    fn has_records(&self, number: &Number) -> bool {
+        self.records_from(number.as_str()).next().is_some_and(|(key, _)| key.number == *number)
     }
 
-    /// The records from the first one on whose number begins with these digits.
-    fn from(&self, digits: &str) -> impl Iterator<Item = (&Key, &LocationRecord)> {
+    /// The records from the first number with this prefix on, or from where it would be.
+    fn records_from(&self, digits: &str) -> impl Iterator<Item = (&Key, &LocationRecord)> {
         self.records.range(Key::lowest_with_prefix(digits)..)
     }
 
+    /// Builds a new base of the summary from the numbers that have records.
     fn rebase(&mut self) {
         let mut numbers: Vec<&Number> = self.records.keys().map(|key| &key.number).collect();
         numbers.dedup();
@@ -46,10 +48,10 @@
 }
 
 impl LocationStore {
-    /// An empty store of so many shards.
+    /// An empty store with the given number of shards.
     ///
     /// # Errors
-    /// [`LocationError::Shards`], where the number is 0 or over [`MAX_SHARDS`].
+    /// [`LocationError::Shards`] if the number is 0 or above [`MAX_SHARDS`].
     pub fn new(shards: usize) -> Result<Self, LocationError> {
         if !(1..=MAX_SHARDS).contains(&shards) {
             return Err(LocationError::Shards(shards));
@@ -57,7 +59,7 @@
         Ok(LocationStore { shards: (0..shards).map(|_| RwLock::default()).collect() })
     }
 
-    /// How many shards there are.
+    /// The number of shards.
     pub fn shards(&self) -> usize {
         self.shards.len()
     }
@@ -66,11 +68,11 @@
         &self.shards[shard_of(number.hash64(), self.shards.len())]
     }
 
-    /// Inserts a record, or replaces the one with its key; the one that it replaced.
+    /// Inserts a record. Returns the record with the same key that it replaced.
     pub fn upsert(&self, record: LocationRecord) -> Option<LocationRecord> {
         let mut shard = self.shard(&record.key.number).write();
-        // Where the number has records already, the summary contains it, and its version stays.
-        if !shard.has(&record.key.number) {
+        // A number that has records is in the summary already, whose version then stays the same.
+        if !shard.has_records(&record.key.number) {
             shard.changes.add(fingerprint(record.key.number.hash64()));
         }
         Arc::make_mut(&mut shard.records).insert(record.key.clone(), record)
@@ -81,17 +83,18 @@
         self.shard(&key.number).read().records.get(key).cloned()
     }
 
-    /// Removes the record with a key; the record.
+    /// Removes and returns the record with a key.
     pub fn withdraw(&self, key: &Key) -> Option<LocationRecord> {
         Arc::make_mut(&mut self.shard(&key.number).write().records).remove(key)
     }
 
-    /// Removes all records that a front wrote in incarnations before this one, a shard at a time; their keys.
+    /// Removes all records that a front wrote in incarnations before this one, one shard at a time. Returns
+    /// their keys.
     pub fn remove_older_incarnations(&self, front: &str, before: u64) -> Vec<Key> {
         let mut removed = Vec::new();
         for shard in &self.shards {
-            let old = |key: &Key| key.owner.front == front && key.owner.incarnation < before;
-            let keys: Vec<Key> = shard.read().records.keys().filter(|key| old(key)).cloned().collect();
+            let is_older = |key: &Key| key.owner.front == front && key.owner.incarnation < before;
+            let keys: Vec<Key> = shard.read().records.keys().filter(|key| is_older(key)).cloned().collect();
             if !keys.is_empty() {
                 let mut shard = shard.write();
                 let records = Arc::make_mut(&mut shard.records);
@@ -101,40 +104,42 @@
         removed
     }
 
-    /// Up to `limit` records that match a query, in the order of keys, behind the cursor `after`.
+    /// Up to `limit` records that match a query, in the order of keys, after the cursor `after`.
     pub fn find(&self, query: &Query, after: Option<&Key>, limit: usize) -> Page {
         match &query.target {
             QueryTarget::Number(number) => {
                 let shard = self.shard(number).read();
-                let matching = shard.from(number.as_str()).take_while(|(key, _)| key.number == *number);
+                let matching =
+                    shard.records_from(number.as_str()).take_while(|(key, _)| key.number == *number);
                 page(matching, query, after, limit)
             }
             QueryTarget::Prefix(prefix) => self.find_prefix(prefix, query, after, limit),
         }
     }
 
-    /// One shard's lock at a time: each gives its first records, and the first of all are retained.
+    /// Merges the first matching records of each shard into one page, locking one shard at a time.
     fn find_prefix(&self, prefix: &str, query: &Query, after: Option<&Key>, limit: usize) -> Page {
-        let mut all = Page::default();
+        let mut merged = Page::default();
         for shard in &self.shards {
             let shard = shard.read();
-            // From the cursor on, where that is further: a long search costs each record once.
-            let from = after.map_or(prefix, |key| prefix.max(key.number.as_str()));
-            let matching = shard.from(from).take_while(|(key, _)| key.number.as_str().starts_with(prefix));
-            let part = page(matching, query, after, limit);
+            // Starting at the cursor, a search over many pages visits each record once.
+            let start = after.map_or(prefix, |key| prefix.max(key.number.as_str()));
+            let matching =
+                shard.records_from(start).take_while(|(key, _)| key.number.as_str().starts_with(prefix));
+            let shard_page = page(matching, query, after, limit);
             drop(shard);
-            all.cursor = all.cursor.or(part.cursor);
-            all.records.extend(part.records);
+            merged.cursor = merged.cursor.or(shard_page.cursor);
+            merged.records.extend(shard_page.records);
         }
-        all.records.sort_unstable_by(|a, b| a.key.cmp(&b.key));
-        let cut = all.records.len() > limit;
-        all.records.truncate(limit);
-        all.cursor =
-            all.records.last().map(|record| record.key.clone()).filter(|_| cut || all.cursor.is_some());
-        all
+        merged.records.sort_unstable_by(|a, b| a.key.cmp(&b.key));
+        let truncated = merged.records.len() > limit;
+        merged.records.truncate(limit);
+        let has_more = truncated || merged.cursor.is_some();
+        merged.cursor = merged.records.last().map(|record| record.key.clone()).filter(|_| has_more);
+        merged
     }
 
-    /// How many records there are.
+    /// The number of records.
     pub fn len(&self) -> usize {
         self.shards.iter().map(|shard| shard.read().records.len()).sum()
     }
@@ -144,8 +149,9 @@
         self.len() == 0
     }
 
-    /// The records of all shards, taken one after the other without blocking writers: a write to a shard that was taken
-    /// copies it. A caller that needs one moment for all shards keeps its writers from writing meanwhile.
+    /// The records of all shards, taken one after the other without blocking writers: a write to a shard that
+    /// is in a snapshot copies the shard first. For a snapshot that is consistent across shards the caller
+    /// must prevent writes meanwhile.
     pub fn snapshot(&self) -> Vec<Records> {
         self.shards.iter().map(|shard| shard.read().records.clone()).collect()
     }
@@ -153,15 +159,16 @@
     /// Replaces all records by those of a snapshot.
     ///
     /// # Errors
-    /// [`LocationError`], where a record is malformed; nothing is replaced then.
+    /// [`LocationError`] if a record is malformed; nothing is replaced then.
     pub fn restore(&self, records: impl IntoIterator<Item = LocationRecord>) -> Result<(), LocationError> {
-        let mut parts: Vec<BTreeMap<Key, LocationRecord>> = vec![BTreeMap::new(); self.shards.len()];
+        let mut records_of_shards: Vec<BTreeMap<Key, LocationRecord>> =
+            vec![BTreeMap::new(); self.shards.len()];
         for record in records {
             record.check()?;
-            let at = shard_of(record.key.number.hash64(), self.shards.len());
-            parts[at].insert(record.key.clone(), record);
+            let index = shard_of(record.key.number.hash64(), self.shards.len());
+            records_of_shards[index].insert(record.key.clone(), record);
         }
-        for (shard, records) in self.shards.iter().zip(parts) {
+        for (shard, records) in self.shards.iter().zip(records_of_shards) {
             let mut shard = shard.write();
             shard.records = Arc::new(records);
             shard.rebase();
@@ -174,16 +181,17 @@
         self.shards.iter().map(|shard| shard.read().changes.version).collect()
     }
 
-    /// The update of a shard's summary since a version; `None`: there is none, or no such shard.
+    /// The update of a shard's summary since a version; `None` if nothing has changed or there is no such
+    /// shard.
     pub fn summary(&self, shard: usize, known: Option<u64>) -> Option<ShardUpdate> {
-        let at = self.shards.get(shard)?;
+        let lock = self.shards.get(shard)?;
         {
-            let state = at.read();
+            let state = lock.read();
             if !state.changes.base_is_due() {
                 return state.changes.since(shard as u32, known);
             }
         }
-        let mut state = at.write();
+        let mut state = lock.write();
         if state.changes.base_is_due() {
             state.rebase();
         }
@@ -191,17 +199,19 @@
     }
 }
 
+/// The first `limit` of the records that match a query and come after a cursor.
 fn page<'a>(
     records: impl Iterator<Item = (&'a Key, &'a LocationRecord)>,
     query: &Query,
     after: Option<&Key>,
     limit: usize,
 ) -> Page {
-    let past = |key: &&Key| after.is_none_or(|after| *key > after);
-    let mut found =
-        records.filter(|(key, record)| past(key) && query.matches(record)).map(|(_, record)| record);
-    let records: Vec<LocationRecord> = found.by_ref().take(limit).cloned().collect();
-    let more = found.next().is_some();
-    let cursor = records.last().map(|record| record.key.clone()).filter(|_| more);
+    let is_after_cursor = |key: &&Key| after.is_none_or(|after| *key > after);
+    let mut matching = records
+        .filter(|(key, record)| is_after_cursor(key) && query.matches(record))
+        .map(|(_, record)| record);
+    let records: Vec<LocationRecord> = matching.by_ref().take(limit).cloned().collect();
+    let has_more = matching.next().is_some();
+    let cursor = records.last().map(|record| record.key.clone()).filter(|_| has_more);
     Page { records, cursor }
 }
--- a/crates/lilacpitch-location/src/summary.rs
+++ b/crates/lilacpitch-location/src/summary.rs
@@ -1,22 +1,24 @@
-//! The summary of a shard: which numbers may have records there. The site's side counts changes in versions, the other
-//! side applies updates. A summary may contain a number without records, and never lacks one with records.
+//! The summary of a shard: a set that contains every number with records there, and possibly others. The site
+//! that stores the records counts changes in versions ([`ShardChanges`]); other processes follow it by
+//! applying updates ([`ShardSummary`]).
 
 use crate::error::LocationError;
 use crate::golomb_coded_set;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeSet;
 
-/// Which shard a number's hash falls into.
+/// Index of the shard that a number's hash falls into.
 pub fn shard_of(hash: u64, shards: usize) -> usize {
     (((hash >> 32) * shards as u64) >> 32) as usize
 }
 
-/// The fingerprint of a number in a summary: the half of the hash that its shard does not depend on.
+/// The fingerprint of a number in a summary: the half of its hash that doesn't determine its shard.
 pub fn fingerprint(hash: u64) -> u32 {
     hash as u32
 }
 
-/// A shard's summary on the site's side: a base, and the fingerprints added since, by version.
+/// The summary of a shard where its records are stored: a base, and the fingerprints added since, one per
+/// version.
 #[derive(Debug, Clone, Default)]
 pub struct ShardChanges {
     /// The newest version: it grows by one with each number added.
@@ -27,13 +29,15 @@
     added: Vec<u32>,
 }
 
-/// With more fingerprints beside the base than one in so many of it, a new base is smaller to send.
+/// A new base is due once the fingerprints added exceed the base's count divided by this: beyond that, a new
+/// base is smaller to send.
 const ADDED_PER_BASE: usize = 16;
-/// So many fingerprints are added before a new base at least.
+/// Fingerprints that are added before a new base is due, however small the base is.
 const MIN_ADDED_FOR_BASE: usize = 32;
 
 impl ShardChanges {
-    /// Adds a number that has a record now. A number that is withdrawn stays in until the next base.
+    /// Adds a number that now has a record. Numbers whose records are removed stay in the summary until the
+    /// next base.
     pub fn add(&mut self, fingerprint: u32) {
         self.version += 1;
         self.added.push(fingerprint);
@@ -46,7 +50,7 @@
 
     /// Replaces the base by the fingerprints of all numbers that have records, each once.
     pub fn rebase(&mut self, fingerprints: &[u32]) {
-        // More than a set can hold: an empty base with everything added would do, but a shard is never so large.
+        // A shard never has more numbers than one set can hold (`golomb_coded_set::MAX_VALUES`).
         self.version += 1;
         self.base_version = self.version;
         self.base = golomb_coded_set::encode(fingerprints);
@@ -54,11 +58,13 @@
         self.added.clear();
     }
 
-    /// The update for a process that knows a version; `known: None`: it knows none of this incarnation.
+    /// The update for a process that has the version `known`, or none of this incarnation. `None` if it needs
+    /// none.
     pub fn since(&self, shard: u32, known: Option<u64>) -> Option<ShardUpdate> {
         let version = self.version;
         match known {
-            // Who knows as much, or more from elsewhere, needs no update: a summary never goes back.
+            // A process with this version, or a newer one from another source, needs no update: versions
+            // never decrease.
             Some(known) if known >= version => None,
             Some(known) if known >= self.base_version => {
                 let missing = (version - known) as usize;
@@ -76,17 +82,17 @@
 /// An update of a shard's summary.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ShardUpdate {
-    /// The shard.
+    /// Index of the shard.
     pub shard: u32,
     /// The version of the summary once this is applied.
     pub version: u64,
-    /// A new base: how many values, and they.
+    /// A new base: the number of its values and the encoded set.
     pub base: Option<(u32, Vec<u8>)>,
-    /// Fingerprints added since that base, or since the version that was named in the request.
+    /// Fingerprints added since that base, or since the version given in the request.
     pub added: Vec<u32>,
 }
 
-/// The receiving side: a shard's summary by the updates received, to be queried and to be passed on.
+/// The summary of a shard built from updates, to be queried and to be passed on to other processes.
 #[derive(Debug, Clone, Default)]
 pub struct ShardSummary {
     changes: ShardChanges,
@@ -101,28 +107,31 @@
         self.changes.version
     }
 
-    /// The update for another process, as [`ShardChanges::since`].
+    /// The update for another process; see [`ShardChanges::since`].
     pub fn since(&self, shard: u32, known: Option<u64>) -> Option<ShardUpdate> {
         self.changes.since(shard, known)
     }
 
-    /// Applies an update that was requested with a version of this summary. What is known by now from elsewhere is passed
-    /// over, so that a summary never goes back; and so are changes that do not follow on what is known, where an update
-    /// of another incarnation came between request and response: the versions then tell that something is missing.
+    /// Applies an update that was requested with a version of this summary.
+    ///
+    /// Changes that have arrived from another source meanwhile are skipped, so that the version never
+    /// decreases. So are changes with a gap before them, which arise when an update of another incarnation
+    /// was applied between request and response; the version then stays behind, and the missing changes are
+    /// requested again.
     ///
     /// # Errors
-    /// [`LocationError::Summary`], where the update contradicts itself.
+    /// [`LocationError::Summary`] if the update contradicts itself.
     pub fn apply_update(&mut self, update: &ShardUpdate) -> Result<(), LocationError> {
-        let wrong = |what| LocationError::Summary { shard: update.shard, what };
+        let error = |what| LocationError::Summary { shard: update.shard, what };
         let first = update.version.checked_sub(update.added.len() as u64);
-        let first = first.ok_or(wrong("more changes than versions"))?;
+        let first = first.ok_or(error("more changes than versions"))?;
         if update.version <= self.version() {
             return Ok(());
         }
         let mut added = &update.added[..];
         if let Some((count, bytes)) = &update.base {
             let base = golomb_coded_set::decode(bytes, *count as usize);
-            self.base = base.ok_or(wrong("its bits are not the values it names"))?;
+            self.base = base.ok_or(error("its bits do not encode the stated number of values"))?;
             self.changes.base_version = first;
             self.changes.base = bytes.clone();
             self.changes.base_count = *count as usize;
@@ -139,13 +148,14 @@
         Ok(())
     }
 
-    /// Whether a number with this fingerprint may have a record. Never false for one that has one, by this version.
+    /// Whether a number with this fingerprint may have a record. True for every number that has one as of
+    /// this version.
     pub fn may_contain(&self, fingerprint: u32) -> bool {
         let value = golomb_coded_set::scale(fingerprint, self.base.len());
         self.added.contains(&fingerprint) || self.base.binary_search(&value).is_ok()
     }
 
-    /// About its size in messages, in bytes: the base and the fingerprints added.
+    /// Approximate encoded size in bytes: the base and the fingerprints added.
     pub fn bytes(&self) -> usize {
         self.changes.base.len() + 4 * self.changes.added.len()
     }
--- a/crates/lilacpitch-location/tests/orders.rs
+++ b/crates/lilacpitch-location/tests/orders.rs
@@ -1,9 +1,10 @@
-//! The register's own source under locks whose orders `shuttle` draws: a writer beside a router that follows summaries
-//! and a snapshot. A row that was entered before a summary was asked for is never ruled out by it.
+//! The store's own source compiled with `shuttle`'s locks, whose interleavings are explored: a writer runs
+//! concurrently with a router that follows summaries and with a snapshot. A summary must contain every record
+//! that was inserted before the summary was requested.
 
 use lilacpitch_location::{error, query, record, summary};
 
-/// In place of the crate's own locks.
+/// Replaces the crate's own locks.
 mod sync {
     #[derive(Debug, Default)]
     pub(crate) struct RwLock<T>(shuttle::sync::RwLock<T>);
@@ -30,55 +31,63 @@
 use store::LocationStore;
 use summary::{fingerprint, shard_of, ShardSummary};
 
-/// More than a summary takes beside its base: new bases come between.
-const ROWS: u64 = 36;
+/// Enough records that new bases of the summary are built while the threads run.
+const RECORDS: u64 = 36;
 const SHARDS: usize = 2;
 
 fn number(n: u64) -> Number {
     Number::new(&format!("1555{n:04}")).unwrap()
 }
 
-fn row(n: u64) -> LocationRecord {
-    let holder = Owner { name: "edge-1".into(), front: "edge-1".into(), incarnation: 1, serial: n };
-    let key = Key { number: number(n), kind: Kind::Binding, owner: holder };
+fn binding(n: u64) -> LocationRecord {
+    let owner = Owner { name: "edge-1".into(), front: "edge-1".into(), incarnation: 1, serial: n };
+    let key = Key { number: number(n), kind: Kind::Binding, owner };
     LocationRecord { key, class: String::new(), trunk_group: "p".into(), since_ms: n }
 }
 
-/// A router that looks how many rows there are before it asks for summaries, or, wrongly, after it.
-fn play(looks_first: bool) {
-    let register = Arc::new(LocationStore::new(SHARDS).unwrap());
-    let entered = Arc::new(AtomicU64::new(0));
+/// Runs the threads once. The router counts the records inserted before it requests summaries or, as a
+/// deliberate fault, after it has requested them.
+fn run_threads(counts_before_request: bool) {
+    let store = Arc::new(LocationStore::new(SHARDS).unwrap());
+    let inserted = Arc::new(AtomicU64::new(0));
     let writer = {
-        let (register, entered) = (register.clone(), entered.clone());
+        let (store, inserted) = (store.clone(), inserted.clone());
         thread::spawn(move || {
-            for n in 0..ROWS {
-                register.upsert(row(n));
-                entered.store(n + 1, Ordering::SeqCst);
+            for n in 0..RECORDS {
+                store.upsert(binding(n));
+                inserted.store(n + 1, Ordering::SeqCst);
             }
         })
     };
     let snapshot = {
-        let (register, entered) = (register.clone(), entered.clone());
+        let (store, inserted) = (store.clone(), inserted.clone());
         thread::spawn(move || {
-            let least = entered.load(Ordering::SeqCst);
-            let held: usize = register.snapshot().iter().map(|rows| rows.len()).sum();
-            assert!(held as u64 >= least, "{held} rows in a snapshot, {least} before it");
+            let inserted_before = inserted.load(Ordering::SeqCst);
+            let found: usize = store.snapshot().iter().map(|records| records.len()).sum();
+            assert!(
+                found as u64 >= inserted_before,
+                "{found} records in a snapshot, {inserted_before} before"
+            );
         })
     };
     let router = thread::spawn(move || {
-        let mut known: Vec<ShardSummary> = vec![ShardSummary::default(); SHARDS];
+        let mut summaries: Vec<ShardSummary> = vec![ShardSummary::default(); SHARDS];
         for _ in 0..3 {
-            let before = entered.load(Ordering::SeqCst);
-            for (shard, summary) in known.iter_mut().enumerate() {
-                if let Some(news) = register.summary(shard, Some(summary.version())) {
-                    summary.apply_update(&news).unwrap();
+            let inserted_before = inserted.load(Ordering::SeqCst);
+            for (shard, summary) in summaries.iter_mut().enumerate() {
+                if let Some(update) = store.summary(shard, Some(summary.version())) {
+                    summary.apply_update(&update).unwrap();
                 }
             }
-            let there = if looks_first { before } else { entered.load(Ordering::SeqCst) };
-            for n in 0..there {
+            let expected =
+                if counts_before_request { inserted_before } else { inserted.load(Ordering::SeqCst) };
+            for n in 0..expected {
                 let hash = number(n).hash64();
-                let summary = &known[shard_of(hash, SHARDS)];
-                assert!(summary.may_contain(fingerprint(hash)), "row {n} of {there} ruled out");
+                let summary = &summaries[shard_of(hash, SHARDS)];
+                assert!(
+                    summary.may_contain(fingerprint(hash)),
+                    "record {n} of {expected} is not in the summary"
+                );
             }
         }
     });
@@ -86,12 +95,12 @@
 }
 
 #[test]
-fn summary_never_rules_out_a_record_in_any_lock_order() {
-    shuttle::check_random(|| play(true), 1_000);
+fn summary_contains_every_record_inserted_before_its_request() {
+    shuttle::check_random(|| run_threads(true), 1_000);
 }
 
 #[test]
-fn detects_a_summary_that_is_read_too_late() {
-    let played = std::panic::catch_unwind(|| shuttle::check_random(|| play(false), 1_000));
-    assert!(played.is_err(), "the exploration would see it");
+fn detects_records_counted_after_the_summary_request() {
+    let explored = std::panic::catch_unwind(|| shuttle::check_random(|| run_threads(false), 1_000));
+    assert!(explored.is_err(), "the fault went undetected");
 }
