--- a/crates/lilacpitch-gossip/src/lib.rs
+++ b/crates/lilacpitch-gossip/src/lib.rs
@@ -1,13 +1,15 @@
 //! Gossip between the fronts of one installation, without I/O: bytes, time and randomness in, effects out.
 //!
-//! - [`member_id`]: who a front is. Membership is SWIM (Das, Gupta and Motivala, DSN 2002) with suspicion and
-//!   incarnations, by the `foca` library, which does no I/O itself.
-//! - [`server_report`]: what a front knows of a server, for a front that has just started; [`rumors`]: the same, spread
-//!   to all.
-//! - [`sealed_datagram`]: datagrams sealed with a shared key, so that one that is foreign, changed or old is rejected.
-//! - [`peers`]: the state machine of all of this.
+//! - [`member_id`]: the identity of a front. Membership is SWIM (Das, Gupta and Motivala, DSN 2002) with
+//!   suspicion and incarnations, implemented by the `foca` library, which does no I/O itself.
+//! - [`server_report`]: what a front knows of a server, sent on request to a front that has just started;
+//!   [`rumors`]: the same, spread to all fronts.
+//! - [`sealed_datagram`]: encryption and authentication of datagrams with a shared key, and protection
+//!   against replays.
+//! - [`peers`]: the state machine that combines these.
 //!
-//! Everything that comes in may be late, wrong or missing: it is bounded, checked, and counted where it is rejected.
+//! Incoming data may be late, wrong or missing. It is checked and limited in size and rate, and what is
+//! rejected is counted by reason.
 #![forbid(unsafe_code)]
 
 pub mod member_id;
--- a/crates/lilacpitch-gossip/src/peers.rs
+++ b/crates/lilacpitch-gossip/src/peers.rs
@@ -1,8 +1,10 @@
-//! One front among its peers: membership, requests for reports, and rumors, as a state machine without I/O. Bytes and
-//! time come in, effects go out; randomness is drawn from a seed.
+//! The gossip of one front with its peers: membership, requests for reports, and rumors, as a state machine
+//! without I/O. Its inputs are datagrams and the time, its outputs are effects; random numbers come from a
+//! seeded generator.
 //!
-//! - `membership`: SWIM, and how a front finds the others. `reports`: server reports and rumors.
-//! - `datagrams`: how all of it is sealed, checked and counted.
+//! - `membership`: SWIM, and the discovery of other fronts.
+//! - `reports`: server reports and rumors.
+//! - `datagrams`: sealing, checking and counting of datagrams.
 
 mod datagrams;
 mod membership;
@@ -22,55 +24,56 @@
 use std::net::SocketAddr;
 
 const MS: Nanos = 1_000_000;
-/// What the envelope may take beside its body, in bytes.
+/// Most bytes of an envelope without its body.
 const HEADER_BYTES: usize = 160;
-/// What a datagram's body may take, in bytes.
+/// Most bytes of a datagram's body.
 const DATAGRAM_CAPACITY_BYTES: usize = MAX_DATAGRAM_BYTES - OVERHEAD_BYTES - HEADER_BYTES;
-/// The interval between two batches of rumors, on average.
+/// Mean interval between two batches of rumors.
 const RUMOR_INTERVAL_NS: Nanos = 25 * MS;
 
-/// The settings of a front among its peers.
+/// The gossip settings of a front.
 #[derive(Debug, Clone)]
 pub struct Settings {
-    /// Its name.
+    /// The front's name.
     pub name: String,
     /// The address of its datagram socket, as peers reach it.
     pub address: SocketAddr,
-    /// Addresses of peers that may be there at the start; its own address is passed over.
+    /// Addresses of peers to contact at the start; the front's own address is ignored.
     pub seeds: Vec<SocketAddr>,
     /// The keys in force.
     pub keys: Keys,
-    /// About how many fronts there are: sets how often an update is sent and how long suspicion lasts.
+    /// Approximate number of fronts, which determines how often an update is sent and how long a suspicion
+    /// lasts.
     pub fronts: u32,
 }
 
-/// Who has requested reports.
+/// The sender of a request for reports.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Requester {
     peer: MemberId,
     request_id: u64,
 }
 
-/// What the shell or the front's core is to do.
+/// An action for the caller of [`Peers`] to carry out.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Effect {
     /// Send a datagram.
     Send(SocketAddr, Vec<u8>),
     /// A peer has joined.
     MemberJoined(MemberId),
-    /// A peer has left, or is taken to be dead.
+    /// A peer has left or was declared dead.
     MemberLeft(MemberId),
-    /// A peer requests reports: answer by [`Peers::answer_request`].
+    /// A peer requests reports; answer with [`Peers::answer_request`].
     ReportsRequested(Requester),
-    /// A peer has sent reports that were requested; their origin is its [`MemberId::origin`].
+    /// A peer has sent reports that this front requested; their origin is its [`MemberId::origin`].
     ReportsReceived(MemberId, Vec<ServerReport>),
-    /// This front's own reports are due: give them by [`Peers::publish_reports`].
+    /// This front's own reports are due; pass them to [`Peers::publish_reports`].
     ReportsWanted,
-    /// New reports of other fronts, by their origins.
+    /// New reports of other fronts, each with its origin.
     RumorsReceived(Vec<(u64, ServerReport)>),
 }
 
-/// Counters, from the start on.
+/// Counters since the start.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Counters {
     /// Datagrams sent.
@@ -83,17 +86,17 @@
     pub rejected: BTreeMap<DatagramError, u64>,
     /// Requests for reports sent to other members.
     pub requests_sent: u64,
-    /// Responses to them that were accepted, one a datagram.
+    /// Accepted datagrams of responses to these requests.
     pub responses_accepted: u64,
     /// Requests of other members answered.
     pub requests_answered: u64,
-    /// Rumor batches sent, one a receiver.
+    /// Batches of rumors sent, counted once per receiver.
     pub rumor_batches_sent: u64,
-    /// Rumors received that were new here.
+    /// Rumors received that were new to this front.
     pub new_rumors: u64,
 }
 
-/// What a timer is for.
+/// The action that is due when a timer expires.
 enum TimerEvent {
     Swim(Timer<MemberId>),
     RequestReports,
@@ -109,10 +112,10 @@
     rng: StdRng,
     now: Nanos,
     started_ns: Nanos,
-    /// By moment, and by a serial number where moments are equal.
+    /// Ordered by time, and by a serial number among equal times.
     timers: BTreeMap<(Nanos, u64), TimerEvent>,
     timer_serial: u64,
-    /// The number of datagrams sent by this identity.
+    /// Number of datagrams sent.
     sent_counter: u64,
     rumor_board: RumorBoard,
     replay_filter: ReplayFilter<SocketAddr>,
@@ -123,7 +126,7 @@
 }
 
 impl Peers {
-    /// A front that has not started. `now`: nanoseconds since 1970, which tell its incarnations apart.
+    /// A front that has not started yet. `now`, in nanoseconds of Unix time, identifies its incarnation.
     pub fn new(settings: Settings, now: Nanos, seed: u64) -> Self {
         let mut rng = StdRng::seed_from_u64(seed);
         let own_id = MemberId { name: settings.name.clone(), address: settings.address, epoch: now };
@@ -147,7 +150,7 @@
         }
     }
 
-    /// Announces itself to the seeds, and requests reports.
+    /// Announces the front to the seeds and requests reports.
     pub fn start(&mut self, now: Nanos, effects: &mut Vec<Effect>) {
         self.now = self.now.max(now);
         self.announce(effects);
@@ -155,7 +158,7 @@
         self.schedule(RUMOR_INTERVAL_NS, TimerEvent::PublishReports);
     }
 
-    /// Tells the members that it leaves, and stops all timers.
+    /// Announces to the members that the front leaves, and cancels all timers.
     pub fn begin_leave(&mut self, now: Nanos, effects: &mut Vec<Effect>) {
         self.now = self.now.max(now);
         self.with_swim(effects, |swim, out| swim.leave_cluster(out));
@@ -174,7 +177,7 @@
         members
     }
 
-    /// The members, in the protocol's order.
+    /// The members, in the order of the membership protocol.
     pub fn member_ids(&self) -> impl Iterator<Item = &MemberId> {
         self.swim.iter_members().map(|member| member.id())
     }
@@ -184,12 +187,12 @@
         &self.counters
     }
 
-    /// When [`handle_timeout`](Self::handle_timeout) is to be called next.
+    /// The time at which [`handle_timeout`](Self::handle_timeout) must be called next.
     pub fn next_timeout(&self) -> Option<Nanos> {
         self.timers.first_key_value().map(|((at, _), _)| *at)
     }
 
-    /// Handles all timers that are due by now.
+    /// Handles all timers that are due.
     pub fn handle_timeout(&mut self, now: Nanos, effects: &mut Vec<Effect>) {
         self.now = self.now.max(now);
         while let Some(entry) = self.timers.first_entry().filter(|entry| entry.key().0 <= self.now) {
--- a/crates/lilacpitch-gossip/src/peers/datagrams.rs
+++ b/crates/lilacpitch-gossip/src/peers/datagrams.rs
@@ -1,4 +1,4 @@
-//! Datagrams in and out: sealing, the envelope, and what is checked before a datagram's body is handled.
+//! Receiving and sending of datagrams: the envelope, its sealing, and the checks before a body is handled.
 
 use super::{Effect, Peers, MS};
 use crate::member_id::MemberId;
@@ -10,7 +10,7 @@
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-/// What is sealed in a datagram. The order of fields is that on the wire.
+/// The sealed content of a datagram. The order of the fields determines the encoding.
 #[derive(Serialize, Deserialize)]
 struct Envelope<'a> {
     from: MemberId,
@@ -20,7 +20,7 @@
     body: Body<'a>,
 }
 
-/// The order of variants and fields is that on the wire.
+/// The body of a datagram. The order of variants and fields determines the encoding.
 #[derive(Serialize, Deserialize)]
 pub(super) enum Body<'a> {
     /// A packet of the membership protocol.
@@ -29,15 +29,15 @@
     RequestReports { request_id: u64 },
     /// A part of the response to such a request.
     Reports { request_id: u64, part: u8, reports: Vec<ServerReport> },
-    /// Rumors, unrequested.
+    /// Rumors, which are sent without a request.
     Rumors(RumorBatch),
 }
 
 impl Peers {
-    /// Handles a datagram. One that is rejected is counted by its reason.
+    /// Handles a datagram. Rejected datagrams are counted by reason.
     ///
     /// # Errors
-    /// [`DatagramError`], why it was rejected.
+    /// The [`DatagramError`] for which the datagram was rejected.
     pub fn handle_datagram(
         &mut self,
         now: Nanos,
@@ -78,7 +78,7 @@
         }
     }
 
-    /// Seals a datagram and has it sent.
+    /// Seals a datagram and adds the effect of sending it.
     pub(super) fn send(&mut self, to: SocketAddr, body: Body, effects: &mut Vec<Effect>) {
         self.sent_counter += 1;
         let envelope =
--- a/crates/lilacpitch-gossip/src/peers/membership.rs
+++ b/crates/lilacpitch-gossip/src/peers/membership.rs
@@ -1,5 +1,5 @@
-//! Membership: the SWIM protocol of the `foca` library, and how this front makes itself known to seeds and members that
-//! do not know it.
+//! Membership: the SWIM protocol of the `foca` library, and the announcements by which this front becomes
+//! known to seeds and other members.
 
 use super::datagrams::Body;
 use super::{Effect, Peers, TimerEvent, DATAGRAM_CAPACITY_BYTES, MS};
@@ -13,35 +13,39 @@
 use std::num::{NonZeroU32, NonZeroU8, NonZeroUsize};
 use std::time::Duration;
 
-/// Each update of a member is sent at least so often, and so many times as often as the library does in a large
-/// installation. It sends one of three fronts' suspicions twice: where both are lost, the suspected one does not
-/// learn of it, and is taken for dead while it lives (measured: `docs/measurements.md`).
+/// Least number of times that each membership update is sent. Among three fronts the library would send a
+/// suspicion only twice; if both datagrams are lost, the suspected front can't refute it and is declared dead
+/// by mistake.
 const MIN_TRANSMISSIONS: NonZeroU8 = NonZeroU8::new(15).unwrap();
+/// Factor by which the library's number of transmissions is raised in a large installation.
 const TRANSMISSIONS_FACTOR: NonZeroU8 = NonZeroU8::new(2).unwrap();
-/// This front announces itself again to seeds that are not members: first after this delay, half of it drawn at random,
-/// doubled up to the longest. The first announcement may be lost, and halves of a split installation find each other by
-/// nothing else in time.
+/// First delay before this front announces itself again to seeds that are not members; half of it is random.
+/// The first announcement may be lost, and without later ones the halves of a healed partition would not find
+/// each other in time.
 pub(super) const FIRST_ANNOUNCE_DELAY_NS: Nanos = 1_000 * MS;
+/// Longest delay between announcements; the delay doubles up to it.
 const MAX_ANNOUNCE_DELAY_NS: Nanos = 8_000 * MS;
-/// The response to an announcement names some forty members, drawn at random: a front that has just started announces
-/// itself to so many more members each time, until it has learned of no new one so often in a row. Else it would know a
-/// large installation only as fast as the others come to probe it, one a second.
+/// Members, besides the seeds, that a front which has just started announces itself to in each round. A
+/// response lists some forty random members; without these announcements the front would get to know a large
+/// installation only at the rate at which other members probe it, one a second.
 const EXTRA_ANNOUNCEMENTS: usize = 3;
+/// Rounds in a row without a new member after which these additional announcements end.
 const MAX_ROUNDS_WITHOUT_GAIN: u32 = 4;
+/// Time after the start at which they end in any case.
 const DISCOVERY_DURATION_NS: Nanos = 60_000 * MS;
-/// Most members, seeds not counted.
+/// Number of members at which datagrams of fronts that are not members are rejected.
 const MAX_MEMBERS: usize = 1_000;
 
 pub(super) type Swim = Foca<MemberId, PostcardCodec, StdRng, NoCustomBroadcast>;
 
-/// How far the discovery of members has come.
+/// Progress of the discovery of members.
 #[derive(Debug)]
 pub(super) struct Discovery {
     /// The delay before the next announcement.
     delay_ns: Nanos,
-    /// The most members known at once so far.
+    /// Most members known at once so far.
     most_members: usize,
-    /// How often in a row an announcement brought no more.
+    /// Announcements in a row after which no more members were known.
     rounds_without_gain: u32,
 }
 
@@ -51,7 +55,7 @@
     }
 }
 
-/// What the library wants done, collected while it is in use.
+/// Effects of one call into the library, collected while it is borrowed.
 #[derive(Default)]
 pub(super) struct CollectedEffects {
     packets: Vec<(MemberId, Vec<u8>)>,
@@ -79,7 +83,7 @@
     }
 }
 
-/// The protocol of a front in an installation of about so many fronts.
+/// The membership protocol of a front in an installation of approximately `fronts` fronts.
 pub(super) fn new_swim(own_id: MemberId, fronts: u32, rng: &mut StdRng) -> Swim {
     let fronts = NonZeroU32::new(fronts.max(2)).unwrap_or(NonZeroU32::MIN);
     let lan = Config::new_lan(fronts);
@@ -92,12 +96,13 @@
 }
 
 impl Peers {
-    /// Announces this front to the seeds that are not members, and, soon after its start, to some members.
+    /// Announces this front to the seeds that are not members and, soon after its start, to some of the
+    /// members.
     pub(super) fn announce(&mut self, effects: &mut Vec<Effect>) {
         let mut to = self.seeds();
         to.retain(|address| !self.is_member(*address));
-        // Where all seeds are members the next announcement is as soon as at the start: one that goes may be the
-        // network's doing.
+        // While all seeds are members the delay is reset: if one is lost, perhaps to a network failure, it is
+        // contacted again soon.
         if to.is_empty() {
             self.discovery.delay_ns = FIRST_ANNOUNCE_DELAY_NS;
         }
@@ -118,6 +123,7 @@
         self.schedule(delay_ns, TimerEvent::Announce);
     }
 
+    /// Records whether more members are known than before.
     fn count_members(&mut self) {
         let members = self.swim.num_members();
         if members > self.discovery.most_members {
@@ -168,7 +174,8 @@
         self.swim.iter_members().any(|member| member.id().address == address)
     }
 
-    /// Lets the protocol act, then does what it wants. Its errors are caused by peers, and were counted by reason.
+    /// Calls into the membership protocol, then carries out the effects. The protocol's errors are caused by
+    /// peers and are ignored here; malformed packets are counted by the caller.
     pub(super) fn with_swim(
         &mut self,
         effects: &mut Vec<Effect>,
@@ -178,8 +185,8 @@
         let _ = act(&mut self.swim, &mut out);
         if let Some(own_id) = out.new_own_id.take() {
             self.own_id = own_id;
-            // Under its new identity it knows its peers but counts as alone, and would never probe one again: an
-            // update of nobody makes it check.
+            // With its new identity the library keeps the members but considers itself alone and would never
+            // probe again. An empty update makes it check for members.
             let _ = self.swim.apply_many(std::iter::empty(), false, &mut out);
         }
         for (timer, after) in out.timers {
--- a/crates/lilacpitch-gossip/src/peers/reports.rs
+++ b/crates/lilacpitch-gossip/src/peers/reports.rs
@@ -1,4 +1,5 @@
-//! Server reports between fronts: a front that has just started requests them from a few members; all spread rumors.
+//! Exchange of server reports: a front that has just started requests them from a few members, and all fronts
+//! spread them as rumors.
 
 use super::datagrams::Body;
 use super::{Effect, Peers, Requester, TimerEvent, DATAGRAM_CAPACITY_BYTES, MS};
@@ -11,27 +12,28 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
-/// Peers that are requested at a time: enough that one that is wrong is outvoted.
+/// Peers that are sent a request in one round: enough that a wrong one is outvoted.
 const REQUESTS_PER_ROUND: usize = 3;
 /// The delay before the second round of requests; it doubles with each round.
 const FIRST_REQUEST_DELAY_NS: Nanos = 300 * MS;
-/// So long after the start no reports are requested any more: the front has its own by then.
+/// Time after the start at which requests end: the front has observations of its own by then.
 const REQUEST_DURATION_NS: Nanos = 20_000 * MS;
-/// With so many peers that have responded, requests end.
+/// Number of peers after whose responses requests end.
 const ENOUGH_RESPONSES: usize = 3;
-/// Requests answered a second, and at once: fronts that start together must not overload their peers.
+/// Most requests answered per second, and in one burst: fronts that start together must not overload their
+/// peers.
 const MAX_ANSWERS_PER_S: u64 = 20;
-/// What one answer takes of the budget.
+/// Tokens that one answer takes from the budget.
 const NS_PER_S: u64 = 1_000_000_000;
-/// Rumors are sent to so many members, drawn at random.
+/// Random members that each batch of rumors is sent to.
 const RUMOR_RECEIVERS: usize = 3;
 
-/// The requests of this front for reports.
+/// State of this front's requests for reports.
 #[derive(Debug)]
 pub(super) struct ReportRequests {
-    /// The id of the requests; 0: none was made.
+    /// Id of the requests; 0 before the first.
     id: u64,
-    /// The parts of the response that each peer has sent.
+    /// The parts of the response that each peer has sent so far.
     received_parts: BTreeMap<MemberId, BTreeSet<u8>>,
     /// The delay before the next round.
     delay_ns: Nanos,
@@ -43,10 +45,10 @@
     }
 }
 
-/// Limits how many requests are answered: a token bucket.
+/// A token bucket that limits the rate of answers.
 #[derive(Debug)]
 pub(super) struct AnswerBudget {
-    /// Answers that may be given now, in billionths of one.
+    /// Answers allowed now, in billionths of an answer.
     tokens: u64,
     refilled_ns: Nanos,
 }
@@ -69,8 +71,8 @@
 }
 
 impl Peers {
-    /// Sends rumors to a few members, drawn at random: what this front has lately met at servers, and what it has
-    /// received of others.
+    /// Sends rumors to a few random members: this front's recent observations of servers and those it has
+    /// received from others.
     pub fn publish_reports(&mut self, now: Nanos, reports: &[ServerReport], effects: &mut Vec<Effect>) {
         self.now = self.now.max(now);
         let (now, origin) = (self.now, self.own_id.origin());
@@ -92,7 +94,7 @@
         }
     }
 
-    /// Answers a peer's request with what this front knows, the most important reports first.
+    /// Answers a peer's request. `reports` are in order of importance, the most important first.
     pub fn answer_request(
         &mut self,
         now: Nanos,
@@ -110,8 +112,8 @@
         }
     }
 
-    /// Requests reports from a few peers that have not responded yet, drawn from the members, or from the seeds while
-    /// there are none.
+    /// Requests reports from a few random peers that have not responded yet. They are members, or seeds while
+    /// there are no members.
     pub(super) fn request_reports(&mut self, effects: &mut Vec<Effect>) {
         let has_enough = self.report_requests.received_parts.len() >= ENOUGH_RESPONSES;
         if has_enough || self.now > self.started_ns + REQUEST_DURATION_NS {
@@ -129,11 +131,11 @@
             self.counters.requests_sent += 1;
             self.send(to, Body::RequestReports { request_id: self.report_requests.id }, effects);
         }
-        // Half of the delay is drawn at random: fronts that start together must not request in step.
+        // Half of the delay is random, so that fronts that start together don't send their requests in step.
         let delay_ns = self.report_requests.delay_ns;
-        let drawn_ns = delay_ns / 2 + self.rng.random_range(0..=delay_ns / 2);
+        let jittered_ns = delay_ns / 2 + self.rng.random_range(0..=delay_ns / 2);
         self.report_requests.delay_ns = delay_ns.saturating_mul(2);
-        self.schedule(drawn_ns, TimerEvent::RequestReports);
+        self.schedule(jittered_ns, TimerEvent::RequestReports);
     }
 
     pub(super) fn accept_request(
@@ -176,10 +178,10 @@
             return Err(DatagramError::Unsolicited);
         }
         if reports.len() > REPORTS_PER_DATAGRAM {
-            return Err(DatagramError::Malformed("too many facts"));
+            return Err(DatagramError::Malformed("too many reports"));
         }
         reports.iter().try_for_each(ServerReport::check)?;
-        // Each part once from each peer: one that sends more must not weigh more.
+        // Each part is accepted once from each peer, so that a peer that repeats itself doesn't count more.
         if !self.report_requests.received_parts.entry(from.clone()).or_default().insert(part) {
             return Err(DatagramError::Unsolicited);
         }
--- a/crates/lilacpitch-gossip/src/rumors.rs
+++ b/crates/lilacpitch-gossip/src/rumors.rs
@@ -1,10 +1,11 @@
-//! Rumors: what fronts met at servers in the last seconds, passed on from front to front.
+//! Rumors: observations of servers in the last seconds, passed on from front to front.
 //!
-//! Requests for reports suit a front that starts. Fronts with few calls each need what all of them see while it is fresh,
-//! so each sends rumors to a few others, drawn at random, several times a second, and passes on what it received: an
-//! epidemic protocol (Demers et al., "Epidemic algorithms for replicated database maintenance", PODC 1987). A rumor keeps
-//! its origin and ages on its path; the newest of an origin replaces the one before, and no more than the newest few
-//! rumors about a server are retained or passed on: a datagram does not grow with the number of fronts.
+//! Requests for reports serve a front that has just started. Fronts with few calls each also need the
+//! observations of all others while they are fresh. So each front sends rumors to a few random others several
+//! times a second and passes on those it has received: an epidemic protocol (Demers et al., "Epidemic
+//! algorithms for replicated database maintenance", PODC 1987). A rumor keeps its origin, and its age grows
+//! on its path. The newest rumor of an origin replaces the one before. Only the newest few rumors about a
+//! server are retained and passed on, so that datagrams do not grow with the number of fronts.
 
 use crate::sealed_datagram::DatagramError;
 use crate::server_report::ServerReport;
@@ -13,65 +14,68 @@
 use std::collections::BTreeMap;
 
 const MS: Nanos = 1_000_000;
-/// Most rumors about one server that are retained and passed on: the newest.
+/// Most rumors about one server that are retained and passed on. The oldest are dropped.
 pub const MAX_RUMORS_PER_SERVER: usize = 24;
 /// Most servers about which rumors are retained.
 pub const MAX_SERVERS: usize = 256;
-/// A rumor older than this is dropped, in nanoseconds.
+/// Age at which a rumor is dropped, in nanoseconds.
 pub const RUMOR_LIFETIME_NS: Nanos = 3_000 * MS;
-/// A rumor replaces one of its origin that is older by more than this: longer than a path through the installation.
+/// A rumor replaces one of the same origin only if it is newer by more than this. It is longer than the time
+/// a rumor takes through the installation, which is not part of its age.
 const MIN_NEWER_NS: Nanos = 20 * MS;
-/// Batches in which a front passes a rumor on, each to a few others: it reaches nearly all of them.
+/// Batches in which a front passes a rumor on, each to a few others; so it reaches nearly all fronts.
 pub const MAX_ROUNDS: u8 = 2;
-/// What the number of servers in a batch takes at most, in bytes.
+/// Most bytes that the number of servers takes in an encoded batch.
 const COUNT_BYTES: usize = 2;
 
-/// What one front knows of a server. The order of fields is that on the wire.
+/// One front's observation of a server. The order of the fields determines the encoding.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Rumor {
-    /// The front it comes from: [`crate::MemberId::origin`].
+    /// The front that made the observation: [`crate::MemberId::origin`].
     pub origin: u64,
-    /// How old its evidence is, in milliseconds.
+    /// Age of the observation, in milliseconds.
     pub age_ms: u32,
-    /// The wait that the front expects there, in milliseconds.
+    /// Wait that the front expects at the server, in milliseconds.
     pub wait_ms: u32,
-    /// The front's set-ups in flight there.
+    /// The front's set-ups in flight at the server.
     pub in_flight: u32,
-    /// The front's set-ups that succeeded there within the window.
+    /// The front's set-ups that succeeded at the server within the window.
     pub succeeded: u32,
-    /// The front takes the server to be unresponsive.
+    /// Whether the front considers the server unresponsive.
     pub is_unresponsive: bool,
-    /// For how long the server has been warming up, in milliseconds.
+    /// How long the server has been warming up, in milliseconds, if it is.
     pub warming_up_for_ms: Option<u32>,
 }
 
-/// Rumors as they cross the wire: by server.
+/// Rumors in the form in which they are sent: grouped by server name.
 pub type RumorBatch = Vec<(String, Vec<Rumor>)>;
 
-/// A rumor on the board.
+/// A rumor that a front retains.
 #[derive(Debug)]
 struct StoredRumor {
+    /// Time of the observation.
     as_of: Nanos,
     rumor: Rumor,
-    /// In how many batches it was passed on.
+    /// Number of batches in which it was passed on.
     rounds: u8,
 }
 
-/// The rumors that one front has.
+/// The rumors that one front retains.
 #[derive(Debug, Default)]
 pub struct RumorBoard {
-    /// By server and origin.
+    /// By server name and origin.
     rumors: BTreeMap<String, BTreeMap<u64, StoredRumor>>,
-    /// The server at which the next batch begins, so that all get their turn.
+    /// Name of the server at which the next batch begins; all servers take turns.
     next_server: String,
 }
 
 impl RumorBoard {
-    /// Records a batch that another front sent; returns what is new in it, by origin. `own_origin`: this front's origin,
-    /// whose rumors it does not accept from others.
+    /// Records a batch from another front. Returns the reports that were new, each with its origin. Rumors
+    /// whose origin is `own_origin`, that of this front, are ignored.
     ///
     /// # Errors
-    /// [`DatagramError::Malformed`], where the batch is too large or a report is impossible; nothing is recorded then.
+    /// [`DatagramError::Malformed`] if the batch is too large or contains an invalid report; nothing is
+    /// recorded then.
     pub fn receive(
         &mut self,
         now: Nanos,
@@ -79,7 +83,7 @@
         batch: RumorBatch,
     ) -> Result<Vec<(u64, ServerReport)>, DatagramError> {
         if batch.len() > MAX_SERVERS || batch.iter().any(|(_, rumors)| rumors.len() > MAX_RUMORS_PER_SERVER) {
-            return Err(DatagramError::Malformed("too much news"));
+            return Err(DatagramError::Malformed("too many rumors"));
         }
         let reports: Vec<(u64, ServerReport)> = batch
             .into_iter()
@@ -94,7 +98,7 @@
         Ok(reports.into_iter().filter(is_new).collect())
     }
 
-    /// Records what a front knows; whether it was new.
+    /// Records a report of a front. Returns whether it was new.
     pub fn record_report(&mut self, now: Nanos, origin: u64, report: &ServerReport) -> bool {
         let as_of = now.saturating_sub(Nanos::from(report.age_ms) * MS);
         if now - as_of > RUMOR_LIFETIME_NS {
@@ -104,7 +108,8 @@
             return false;
         }
         let server_rumors = self.rumors.entry(report.server.clone()).or_default();
-        // The time on its path is not part of its age: a rumor must not seem newer each time it comes round.
+        // The age of a rumor excludes the time in transit, so a rumor received again seems a little newer.
+        // The margin keeps it from replacing itself.
         if server_rumors.get(&origin).is_some_and(|known| as_of <= known.as_of + MIN_NEWER_NS) {
             return false;
         }
@@ -123,17 +128,17 @@
         true
     }
 
-    /// The next batch to send, of at most so many bytes, beginning with the server whose turn it is.
+    /// The next batch to send, of at most `capacity_bytes`, beginning with the server whose turn it is.
     pub fn next_batch(&mut self, now: Nanos, capacity_bytes: usize) -> RumorBatch {
         self.rumors.retain(|_, rumors| {
             rumors.retain(|_, stored| now.saturating_sub(stored.as_of) <= RUMOR_LIFETIME_NS);
             !rumors.is_empty()
         });
         let names: Vec<String> = self.rumors.keys().cloned().collect();
-        let from = names.iter().position(|name| *name >= self.next_server).unwrap_or(0);
+        let first = names.iter().position(|name| *name >= self.next_server).unwrap_or(0);
         let (mut batch, mut remaining_bytes) =
             (RumorBatch::new(), capacity_bytes.saturating_sub(COUNT_BYTES));
-        for name in names.iter().cycle().skip(from).take(names.len()) {
+        for name in names.iter().cycle().skip(first).take(names.len()) {
             let server_rumors = self.rumors.get_mut(name).into_iter().flat_map(BTreeMap::values_mut);
             let rumors: Vec<&mut StoredRumor> =
                 server_rumors.filter(|stored| stored.rounds < MAX_ROUNDS).collect();
@@ -141,13 +146,14 @@
                 continue;
             }
             let entry = (name.clone(), rumors.iter().map(|stored| stored.aged(now)).collect());
-            // By its actual size, not by its longest form: rumors about ten servers waited for datagrams half empty.
+            // The actual size, not an upper bound, which would leave datagrams half empty while rumors about
+            // some ten servers wait for the next batch.
             let size = postcard::experimental::serialized_size(&entry).ok();
-            let Some(rest_bytes) = size.and_then(|size| remaining_bytes.checked_sub(size)) else {
+            let Some(bytes_left) = size.and_then(|size| remaining_bytes.checked_sub(size)) else {
                 self.next_server.clone_from(name);
                 return batch;
             };
-            remaining_bytes = rest_bytes;
+            remaining_bytes = bytes_left;
             rumors.into_iter().for_each(|stored| stored.rounds += 1);
             batch.push(entry);
         }
@@ -156,6 +162,7 @@
 }
 
 impl StoredRumor {
+    /// The rumor with its age as of `now`.
     fn aged(&self, now: Nanos) -> Rumor {
         let age = now.saturating_sub(self.as_of).div_ceil(MS);
         Rumor { age_ms: u32::try_from(age).unwrap_or(u32::MAX), ..self.rumor }
--- a/crates/lilacpitch-gossip/src/sealed_datagram.rs
+++ b/crates/lilacpitch-gossip/src/sealed_datagram.rs
@@ -1,20 +1,21 @@
-//! Sealed datagrams: XChaCha20-Poly1305 with a key that all fronts share (RFC 8439, and the extended nonce of
-//! draft-irtf-cfrg-xchacha), a counter for each incarnation of a sender against replays, and the
-//! moment of sending.
+//! Sealed datagrams: XChaCha20-Poly1305 with a key that all fronts share (RFC 8439, with the extended nonce
+//! of draft-irtf-cfrg-xchacha). Replays are detected by a counter of each incarnation of a sender and by the
+//! time of sending.
 
 use chacha20poly1305::aead::{Aead, KeyInit, Payload};
 use chacha20poly1305::{XChaCha20Poly1305, XNonce};
 use std::collections::BTreeMap;
 use thiserror::Error;
 
-/// The version of the datagrams, their first byte.
+/// Version of the datagram format: the first byte of each datagram.
 pub const VERSION: u8 = 3;
-/// Longest datagram in bytes: what a path of 1,500 bytes carries over IPv6 and UDP.
+/// Longest datagram, in bytes: the payload of UDP over IPv6 at an MTU of 1,500 bytes.
 pub const MAX_DATAGRAM_BYTES: usize = 1_452;
-/// What sealing adds, in bytes: version, nonce, tag.
+/// Bytes that sealing adds: version, nonce and tag.
 pub const OVERHEAD_BYTES: usize = 1 + NONCE_BYTES + 16;
 const NONCE_BYTES: usize = 24;
-/// A datagram sent longer ago than this, by its sender's clock, or so far in the future is rejected.
+/// Largest difference between the time of sending, by the sender's clock, and the receiver's clock, in
+/// milliseconds.
 pub const MAX_SKEW_MS: u64 = 60_000;
 /// Most senders whose counters are retained.
 const MAX_SENDERS: usize = 1_024;
@@ -28,47 +29,47 @@
     /// Too short to be sealed.
     #[error("cut short")]
     TooShort,
-    /// Of another version: an older or a newer front.
+    /// Of another version of the format, from an older or a newer build.
     #[error("version {0} in place of {VERSION}")]
     Version(u8),
-    /// Sealed with no key in force, or changed on its way.
+    /// Not sealed with a key in force, or modified in transit.
     #[error("not sealed with a key in force")]
     Forged,
-    /// Sealed, but malformed.
+    /// Sealed correctly, but the content is invalid.
     #[error("malformed: {0}")]
     Malformed(&'static str),
-    /// Received before, or of a former incarnation of its sender.
+    /// Received before, or from a former incarnation of its sender.
     #[error("replayed")]
     Replayed,
-    /// Its sender's clock and this one are too far apart, or it is old.
+    /// Old, or the clocks of sender and receiver differ too much.
     #[error("sent over a minute ago or ahead, by its sender's clock")]
     Clock,
     /// From this front itself.
     #[error("from this front itself")]
     Own,
-    /// A response to no request of this front, or one that was received already.
-    #[error("not asked for")]
+    /// A response that this front did not request or has received already.
+    #[error("unsolicited response")]
     Unsolicited,
-    /// More requests than are answered.
-    #[error("asked too often")]
+    /// A request beyond the rate that is answered.
+    #[error("too many requests")]
     TooOften,
-    /// More senders than are retained, or more members.
+    /// From a new sender beyond the number of senders or members that are tracked.
     #[error("too many senders")]
     TooMany,
 }
 
-/// Why a key file can't be used.
+/// Why a key file was rejected.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum KeyError {
     /// A line is not a key.
     #[error("line {0}: not 64 hex digits")]
     Line(usize),
-    /// There is no key, or more than two.
+    /// The file contains no key or more than two.
     #[error("{0} keys, wanted one or two")]
     Count(usize),
 }
 
-/// The keys in force: the first seals, all open. Two during a change.
+/// The keys in force: the first seals, any of them opens. There are two during a change of keys.
 #[derive(Clone)]
 pub struct Keys(Vec<XChaCha20Poly1305>);
 
@@ -79,11 +80,11 @@
 }
 
 impl Keys {
-    /// Reads the text of a key file: one or two keys, each 64 hex digits on a line of its own; empty lines and lines that
-    /// begin with `#` are passed over.
+    /// Parses the text of a key file: one or two keys, each 64 hex digits on a line of its own. Empty lines
+    /// and lines that begin with `#` are ignored.
     ///
     /// # Errors
-    /// [`KeyError`], naming the line or the number of keys.
+    /// [`KeyError`] with the line that is not a key, or with the number of keys.
     pub fn from_text(text: &str) -> Result<Self, KeyError> {
         let mut keys = Vec::new();
         for (index, line) in text.lines().enumerate() {
@@ -105,23 +106,24 @@
         Keys(vec![XChaCha20Poly1305::new((&key).into())])
     }
 
-    /// Seals a datagram with the first key. The nonce must be drawn at random each time.
+    /// Seals a datagram with the first key. The nonce must be a new random one each time.
     pub fn seal(&self, plain: &[u8], nonce: [u8; NONCE_BYTES]) -> Vec<u8> {
-        let mut out = vec![VERSION];
-        out.extend(self.seal_for(&[VERSION], plain, nonce));
-        out
+        let mut datagram = vec![VERSION];
+        datagram.extend(self.seal_for(&[VERSION], plain, nonce));
+        datagram
     }
 
-    /// Seals for a purpose: what is sealed for one does not open for another.
+    /// Seals bytes with the first key, with `purpose` as associated data: they can be opened only for the
+    /// same purpose. The nonce must be a new random one each time.
     pub fn seal_for(&self, purpose: &[u8], plain: &[u8], nonce: [u8; NONCE_BYTES]) -> Vec<u8> {
         let payload = Payload { msg: plain, aad: purpose };
-        let mut out = nonce.to_vec();
-        // Encryption fails beyond 256 GiB only.
-        out.extend(self.0[0].encrypt(XNonce::from_slice(&nonce), payload).unwrap_or_default());
-        out
+        let mut sealed = nonce.to_vec();
+        // Encryption fails only for more than 256 GiB.
+        sealed.extend(self.0[0].encrypt(XNonce::from_slice(&nonce), payload).unwrap_or_default());
+        sealed
     }
 
-    /// Opens what was sealed for this purpose, with any of the keys.
+    /// Opens bytes that were sealed for this purpose, with any of the keys.
     ///
     /// # Errors
     /// [`DatagramError::TooShort`] or [`DatagramError::Forged`].
@@ -135,12 +137,12 @@
     /// Opens a datagram with any of the keys.
     ///
     /// # Errors
-    /// [`DatagramError`]: its size or version is wrong, or no key fits.
+    /// [`DatagramError`] if its size or version is wrong or no key opens it.
     pub fn open(&self, bytes: &[u8]) -> Result<Vec<u8>, DatagramError> {
         if bytes.len() > MAX_DATAGRAM_BYTES {
             return Err(DatagramError::TooLong);
         }
-        // The version first: what follows may mean something else in another.
+        // The version is checked first, since the rest may have another meaning in other versions.
         match bytes.first() {
             None => return Err(DatagramError::TooShort),
             Some(&VERSION) => {}
@@ -153,6 +155,7 @@
     }
 }
 
+/// Parses a key of 64 hex digits.
 fn hex(line: &str) -> Option<[u8; 32]> {
     let mut key = [0; 32];
     if line.len() != 64 || !line.bytes().all(|b| b.is_ascii_hexdigit()) {
@@ -164,7 +167,8 @@
     Some(key)
 }
 
-/// Rejects replays: for each sender its latest incarnation, which of its counters were received, and when the last was.
+/// Detects replays. For each sender it tracks the latest incarnation, the counters received from it, and the
+/// time of the last datagram.
 #[derive(Debug)]
 pub struct ReplayFilter<S: Ord>(BTreeMap<S, Sender>);
 
@@ -172,7 +176,7 @@
 struct Sender {
     epoch: u64,
     highest: u64,
-    /// Bit n: the counter n below the highest was received.
+    /// Bit n is set if the counter `highest - n` was received.
     seen: u128,
     last_ms: u64,
 }
@@ -187,13 +191,13 @@
     /// Records a counter of a sender's incarnation.
     ///
     /// # Errors
-    /// [`DatagramError::Replayed`] where it was received before or is too old to tell, [`DatagramError::TooMany`] where
-    /// there are too many senders.
+    /// [`DatagramError::Replayed`] if it was received before or is too old to tell;
+    /// [`DatagramError::TooMany`] if there are too many senders.
     pub fn accept(&mut self, sender: &S, epoch: u64, counter: u64, now_ms: u64) -> Result<(), DatagramError> {
         let first = Sender { epoch, highest: counter, seen: 1, last_ms: now_ms };
         let Some(known) = self.0.get_mut(sender) else {
             if self.0.len() >= MAX_SENDERS {
-                // What such a sender sent would be rejected for its age by now.
+                // Earlier datagrams of the senders that are forgotten would be rejected for their age.
                 self.0.retain(|_, s| now_ms.saturating_sub(s.last_ms) <= 2 * MAX_SKEW_MS);
             }
             if self.0.len() >= MAX_SENDERS {
--- a/crates/lilacpitch-gossip/src/server_report.rs
+++ b/crates/lilacpitch-gossip/src/server_report.rs
@@ -1,46 +1,46 @@
-//! A report about one server, as one front sends it to another: from data that may be wrong, and so is checked.
+//! A report about one server, as one front sends it to another. Received reports are checked.
 
 use crate::sealed_datagram::DatagramError;
 use serde::{Deserialize, Serialize};
 
-/// Most reports in one response: the servers that matter to a front that starts.
+/// Most reports in one response.
 pub const MAX_REPORTS: usize = 64;
-/// Most reports in one datagram, so that it stays below what every path carries.
+/// Most reports in one datagram, so that it stays below the MTU of every path.
 pub const REPORTS_PER_DATAGRAM: usize = 8;
-/// Longest server name in bytes, as in the endpoint list.
+/// Longest server name in bytes, the same as in the endpoint list.
 const MAX_NAME_BYTES: usize = 64;
-/// Longer ages and waits are rejected: an hour, in milliseconds.
+/// Longest age or wait that is valid, in milliseconds: an hour.
 const MAX_MS: u32 = 3_600_000;
-/// More set-ups in flight or succeeded at one server are rejected.
+/// Most set-ups in flight or succeeded at one server that are valid.
 pub const MAX_SETUPS: u32 = 1_000_000;
 
-/// What a front knows of a server. Servers are named, since ids are each front's own. The order of fields is that on the
-/// wire.
+/// What a front knows of a server. The server is identified by name, since its id differs from front to
+/// front. The order of the fields determines the encoding.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct ServerReport {
     /// The server's name in the endpoint list.
     pub server: String,
-    /// How old the newest evidence for this is, in milliseconds.
+    /// Age of the newest observation, in milliseconds.
     pub age_ms: u32,
-    /// The wait expected there, in milliseconds.
+    /// Wait expected at the server, in milliseconds.
     pub wait_ms: u32,
-    /// Set-ups of this front in flight there.
+    /// Set-ups of the reporting front in flight at the server.
     pub in_flight: u32,
-    /// Set-ups of this front that succeeded there within the window.
+    /// Set-ups of the reporting front that succeeded at the server within the window.
     pub succeeded: u32,
-    /// The server is taken to be unresponsive.
+    /// Whether the front considers the server unresponsive.
     pub is_unresponsive: bool,
-    /// For how long it has been warming up, in milliseconds.
+    /// How long the server has been warming up, in milliseconds, if it is.
     pub warming_up_for_ms: Option<u32>,
-    /// The server is draining or removed.
+    /// Whether the server is draining or removed.
     pub is_draining: bool,
 }
 
 impl ServerReport {
-    /// Checks whether the report is possible.
+    /// Checks that the name is well-formed and that the numbers are plausible.
     ///
     /// # Errors
-    /// [`DatagramError::Malformed`], where it is not.
+    /// [`DatagramError::Malformed`] if not.
     pub fn check(&self) -> Result<(), DatagramError> {
         let name = &self.server;
         if name.is_empty() || name.len() > MAX_NAME_BYTES || !name.bytes().all(|b| b.is_ascii_graphic()) {
--- a/crates/lilacpitch-gossip/tests/pinned_datagrams.rs
+++ b/crates/lilacpitch-gossip/tests/pinned_datagrams.rs
@@ -1,17 +1,17 @@
-//! Pins the bytes of datagrams among fronts, as they stand once unsealed: fronts of different builds gossip with one
-//! another, so no renaming and no reordering may change them.
+//! Pins the plaintext of datagrams between fronts. Fronts of different builds gossip with one another, so
+//! renaming or reordering of fields must not change the encoding.
 //!
-//! Each line of `tests/data/datagrams.txt` is `label hex`, written by the build of version 0.2.0. Drawn numbers come
-//! from fixed seeds. After a change of the format that is meant:
-//! `cargo test -p lilacpitch-gossip --test pinned_datagrams -- --ignored`.
+//! Each line of `tests/data/datagrams.txt` is `label hex`, written by the build of version 0.2.0. Random
+//! numbers come from fixed seeds. After an intended change of the format, write the file again with `cargo
+//! test -p lilacpitch-gossip --test pinned_datagrams -- --ignored`.
 
 use lilacpitch_gossip::{Effect, Keys, MemberId, Peers, Requester, ServerReport, Settings};
 use std::net::{Ipv4Addr, SocketAddr};
 use std::path::PathBuf;
 
 const START: u64 = 1_700_000_000_000_000_000;
-const ASKING: usize = 0;
-const TELLING: usize = 1;
+const REQUESTER: usize = 0;
+const RESPONDER: usize = 1;
 
 type Sample = (String, Vec<u8>);
 
@@ -30,29 +30,28 @@
     Peers::new(settings, START + index as u64, index as u64)
 }
 
-fn fact() -> ServerReport {
-    let (age_ms, wait_ms, out, stood) = (40, 900, 2, 300);
+fn report() -> ServerReport {
     ServerReport {
         server: "r1".into(),
-        age_ms,
-        wait_ms,
-        in_flight: out,
-        succeeded: stood,
+        age_ms: 40,
+        wait_ms: 900,
+        in_flight: 2,
+        succeeded: 300,
         is_unresponsive: true,
         warming_up_for_ms: Some(700),
         is_draining: false,
     }
 }
 
-fn facts() -> Vec<ServerReport> {
+fn reports() -> Vec<ServerReport> {
     vec![
-        fact(),
+        report(),
         ServerReport {
             server: "r2".into(),
             warming_up_for_ms: None,
             is_unresponsive: false,
             is_draining: true,
-            ..fact()
+            ..report()
         },
     ]
 }
@@ -65,36 +64,38 @@
     effects.iter().filter_map(datagram).collect()
 }
 
-fn asker(effects: &[Effect]) -> Option<Requester> {
+fn requester(effects: &[Effect]) -> Option<Requester> {
     effects.iter().find_map(|effect| match effect {
-        Effect::ReportsRequested(asker) => Some(asker.clone()),
+        Effect::ReportsRequested(requester) => Some(requester.clone()),
         _ => None,
     })
 }
 
-fn hand(to: &mut Peers, datagrams: &[Vec<u8>]) -> Vec<Effect> {
+fn deliver(receiver: &mut Peers, datagrams: &[Vec<u8>]) -> Vec<Effect> {
     let mut effects = Vec::new();
-    datagrams.iter().for_each(|bytes| to.handle_datagram(START, bytes, &mut effects).unwrap());
+    datagrams.iter().for_each(|bytes| receiver.handle_datagram(START, bytes, &mut effects).unwrap());
     effects
 }
 
-/// One front starts and asks, the other answers it and then tells news.
-fn talk() -> Vec<Sample> {
-    let (mut asking, mut telling) = (front(ASKING), front(TELLING));
+/// One front starts and requests reports; the other responds and then publishes rumors.
+fn exchange() -> Vec<Sample> {
+    let (mut requesting, mut responding) = (front(REQUESTER), front(RESPONDER));
     let mut effects = Vec::new();
-    asking.start(START, &mut effects);
-    let first = sent(&effects);
-    let heard = hand(&mut telling, &first);
-    let mut answer = Vec::new();
-    telling.answer_request(START, asker(&heard).expect("a question"), facts(), &mut answer);
-    let membership = sent(&heard);
-    hand(&mut asking, &membership);
-    let mut news = Vec::new();
-    telling.publish_reports(START, &facts(), &mut news);
+    requesting.start(START, &mut effects);
+    let start = sent(&effects);
+    let effects = deliver(&mut responding, &start);
+    let mut response = Vec::new();
+    let requester = requester(&effects).expect("a request for reports");
+    responding.answer_request(START, requester, reports(), &mut response);
+    let membership = sent(&effects);
+    deliver(&mut requesting, &membership);
+    let mut rumors = Vec::new();
+    responding.publish_reports(START, &reports(), &mut rumors);
     let groups =
-        [("start", first), ("membership", membership), ("answer", sent(&answer)), ("news", sent(&news))];
+        [("start", start), ("membership", membership), ("answer", sent(&response)), ("news", sent(&rumors))];
     let label = |(name, datagrams): (&str, Vec<Vec<u8>>)| {
-        let open = |(at, sealed): (usize, Vec<u8>)| (format!("{name}-{at}"), keys().open(&sealed).unwrap());
+        let open =
+            |(index, sealed): (usize, Vec<u8>)| (format!("{name}-{index}"), keys().open(&sealed).unwrap());
         datagrams.into_iter().enumerate().map(open).collect::<Vec<_>>()
     };
     groups.into_iter().flat_map(label).collect()
@@ -113,42 +114,42 @@
 }
 
 fn pinned(group: &str) -> Vec<Vec<u8>> {
-    let byte = |hex: &str, at: usize| u8::from_str_radix(&hex[at..at + 2], 16).unwrap();
+    let byte = |hex: &str, offset: usize| u8::from_str_radix(&hex[offset..offset + 2], 16).unwrap();
     let text = std::fs::read_to_string(path()).unwrap();
-    let of_group =
-        text.lines().filter_map(|line| line.split_once(' ')).filter(|(at, _)| at.starts_with(group));
-    let plain =
-        of_group.map(|(_, hex)| (0..hex.len()).step_by(2).map(|at| byte(hex, at)).collect::<Vec<u8>>());
+    let samples = text.lines().filter_map(|line| line.split_once(' '));
+    let in_group = samples.filter(|(label, _)| label.starts_with(group));
+    let plain = in_group.map(|(_, hex)| (0..hex.len()).step_by(2).map(|o| byte(hex, o)).collect::<Vec<u8>>());
     plain.map(|plain| keys().seal(&plain, [9; 24])).collect()
 }
 
-fn origin() -> MemberId {
-    MemberId { name: "edge-1".into(), address: address(TELLING), epoch: START + TELLING as u64 }
+fn responder_id() -> MemberId {
+    MemberId { name: "edge-1".into(), address: address(RESPONDER), epoch: START + RESPONDER as u64 }
 }
 
 #[test]
 fn encodes_every_datagram_as_pinned() {
-    assert_eq!(lines(&talk()), std::fs::read_to_string(path()).unwrap());
+    assert_eq!(lines(&exchange()), std::fs::read_to_string(path()).unwrap());
 }
 
 #[test]
-fn takes_every_pinned_datagram_for_what_was_said() {
-    let mut asking = front(ASKING);
-    asking.start(START, &mut Vec::new());
-    let mut telling = front(TELLING);
-    assert!(asker(&hand(&mut telling, &pinned("start"))).is_some());
-    let told = hand(&mut asking, &pinned("answer"));
-    assert!(told.contains(&Effect::ReportsReceived(origin(), facts())), "{told:?}");
-    let joined = hand(&mut asking, &pinned("membership"));
-    assert!(joined.contains(&Effect::MemberJoined(origin())), "{joined:?}");
-    let heard = hand(&mut asking, &pinned("news"));
+fn decodes_every_pinned_datagram() {
+    let mut requesting = front(REQUESTER);
+    requesting.start(START, &mut Vec::new());
+    let mut responding = front(RESPONDER);
+    assert!(requester(&deliver(&mut responding, &pinned("start"))).is_some());
+    let effects = deliver(&mut requesting, &pinned("answer"));
+    assert!(effects.contains(&Effect::ReportsReceived(responder_id(), reports())), "{effects:?}");
+    let effects = deliver(&mut requesting, &pinned("membership"));
+    assert!(effects.contains(&Effect::MemberJoined(responder_id())), "{effects:?}");
+    let effects = deliver(&mut requesting, &pinned("news"));
+    let origin = responder_id().origin();
     let without_draining =
-        facts().into_iter().map(|fact| (origin().origin(), ServerReport { is_draining: false, ..fact }));
-    assert!(heard.contains(&Effect::RumorsReceived(without_draining.collect())), "{heard:?}");
+        reports().into_iter().map(|report| (origin, ServerReport { is_draining: false, ..report }));
+    assert!(effects.contains(&Effect::RumorsReceived(without_draining.collect())), "{effects:?}");
 }
 
 #[test]
 #[ignore = "writes the pinned file anew"]
 fn write_pinned_datagrams() {
-    std::fs::write(path(), lines(&talk())).unwrap();
+    std::fs::write(path(), lines(&exchange())).unwrap();
 }
