--- a/crates/lilacpitch-testbed/src/day.rs
+++ b/crates/lilacpitch-testbed/src/day.rs
@@ -1,9 +1,10 @@
-//! A day: load by class, servers, and troubles with start, length and size; as a typed record.
+//! A scenario ("day") as a typed record: load by class, servers, and faults ("troubles") with start, duration
+//! and magnitude. [`Day::script`] turns the faults into timed events.
 
 use crate::call_rules_checker::Figures;
 use crate::simulated_network::Weather;
-use crate::simulation::caller::{Habit, Rate};
-use crate::simulation::server::{Ailment, Answers, By, Make};
+use crate::simulation::caller::{CallerBehavior, Rate};
+use crate::simulation::server::{Answers, By, Make, ResponseFault};
 use lilacpitch::interface::Nanos;
 use lilacpitch_config::{de_duration, load, load_text, ConfigError, Loaded, Schema};
 use serde::Deserialize;
@@ -12,187 +13,219 @@
 
 /// The schema of day files.
 pub const DAY_SCHEMA: &str = include_str!("day.cue");
-/// The list says this late that a server went silent, and that one is back.
+/// Delay until the pool list shows that a server has become silent.
 const SILENT_NOTICE_NS: Nanos = 4_000_000_000;
+/// Delay until the pool list shows that a silent server is back.
 const BACK_NOTICE_NS: Nanos = 500_000_000;
-/// Standstills come this far apart.
+/// Interval between the pauses of a processor ([`Kind::Still`]).
 const STILL_EVERY_NS: Nanos = 2_000_000_000;
 
-/// A day.
+/// A scenario.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 pub struct Day {
-    /// Seeds all that is drawn.
+    /// Seed of all random numbers.
     pub seed: u64,
-    /// Calls come for so long.
+    /// Period in which calls arrive.
     #[serde(deserialize_with = "de_duration", rename = "length")]
     pub length_ns: Nanos,
-    /// Fronts.
+    /// Number of fronts.
     pub edges: usize,
-    /// Sockets of callers at each front.
+    /// Number of callers' sockets at each front.
     pub callers_per_edge: usize,
-    /// Calls a second at all fronts together.
+    /// Calls per second at all fronts together.
     pub per_s: f64,
-    /// How unevenly calls fall on fronts: the n-th gets a share by 1 over n to this power; 0: evenly.
+    /// Unevenness of the load: the n-th front gets a share proportional to 1 over n to this power; 0: equal
+    /// shares.
     pub uneven: f64,
     /// Classes of calls.
     pub classes: Vec<Class>,
-    /// Servers.
+    /// The servers.
     pub servers: Vec<ServerMake>,
-    /// What goes wrong.
+    /// The faults.
     pub troubles: Vec<Trouble>,
-    /// Figures of the rules.
+    /// Parameters of the call rules and of servers that warm up.
     pub rules: Rules,
-    /// The gap after which an unanswered set-up is sent again.
+    /// Resend interval: time after which an unanswered set-up is sent again.
     #[serde(deserialize_with = "de_duration", rename = "resend")]
     pub resend_ns: Nanos,
-    /// Whether fronts know each other.
+    /// Whether fronts gossip with each other.
     pub peers: bool,
-    /// Of a hundred of their datagrams, so many are lost.
+    /// Percentage of the datagrams between fronts that are lost.
     pub peer_loss: u32,
 }
 
-/// A class of calls, and how its callers behave.
+/// A class of calls and the behavior of its callers.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
-#[allow(missing_docs)]
 pub struct Class {
+    /// Its name.
     pub name: String,
+    /// Target set-up time.
     #[serde(deserialize_with = "de_duration", rename = "aim")]
     pub aim_ns: Nanos,
+    /// How long a caller keeps trying, from its first try.
     #[serde(deserialize_with = "de_duration", rename = "give_up")]
     pub give_up_ns: Nanos,
+    /// Worth of a call established within the target time.
     pub worth: f64,
+    /// Share of the worth that remains when the call is established later.
     pub late_worth: f64,
+    /// Weight of the class among all calls.
     pub share: f64,
+    /// Mean duration of a call.
     #[serde(deserialize_with = "de_duration", rename = "hold")]
     pub hold_ns: Nanos,
+    /// Most further tries after the first.
     pub retries: u32,
+    /// How long a caller waits for one try, as a share of `give_up`.
     pub try_share: f64,
+    /// Mean wait before a further try if the front gives none.
     #[serde(deserialize_with = "de_duration", rename = "backoff")]
     pub backoff_ns: Nanos,
 }
 
 /// A server.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
-#[allow(missing_docs)]
 pub struct ServerMake {
+    /// Its name.
     pub name: String,
+    /// The pool it is in.
     pub pool: String,
+    /// Calls per second that it can process when warm.
     pub per_s: f64,
+    /// Number of its circuits.
     pub circuits: usize,
+    /// Wait of a set-up from which it rejects set-ups as 'full'.
     #[serde(deserialize_with = "de_duration", rename = "full_after")]
     pub full_after_ns: Nanos,
 }
 
-/// Figures of the rules.
+/// Parameters of the call rules and of servers that warm up.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
-#[allow(missing_docs)]
 pub struct Rules {
+    /// Delay before a call's next attempt after a time-out, reset or cancel.
     #[serde(deserialize_with = "de_duration", rename = "release")]
     pub release_ns: Nanos,
+    /// How long a server may still get new set-ups after it is listed as draining.
     #[serde(deserialize_with = "de_duration", rename = "drain_grace")]
     pub drain_grace_ns: Nanos,
+    /// Share of its full capacity that a server has just after its start.
     pub cold_from: f64,
+    /// Time after its start until a server reaches full capacity.
     #[serde(deserialize_with = "de_duration", rename = "cold_span")]
     pub cold_span_ns: Nanos,
+    /// A server that is warming up fails at a load of this multiple of its current capacity.
     pub tip_multiple: f64,
+    /// Window over which that load is counted.
     #[serde(deserialize_with = "de_duration", rename = "tip_span")]
     pub tip_span_ns: Nanos,
+    /// Whether a server that is warming up tolerates random variation above that load; see
+    /// [`Make::tip_chance`].
     pub tip_chance: bool,
 }
 
-/// One thing that goes wrong.
+/// A fault.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
-#[allow(missing_docs)]
 pub struct Trouble {
+    /// Its kind.
     pub kind: Kind,
+    /// Its start, from the start of the day.
     #[serde(deserialize_with = "de_duration", rename = "at")]
     pub at_ns: Nanos,
+    /// Its duration.
     #[serde(deserialize_with = "de_duration", rename = "for")]
     pub for_ns: Nanos,
+    /// Its magnitude; the meaning depends on the kind.
     pub size: f64,
+    /// Names of the servers affected; empty: all.
     pub servers: Vec<String>,
+    /// Indexes of the fronts affected; empty: all.
     pub edges: Vec<usize>,
+    /// Retry-after of 'full' answers, period of [`Kind::Flap`], or delay of [`Kind::ListLate`].
     #[serde(deserialize_with = "de_duration", rename = "wait")]
     pub wait_ns: Nanos,
+    /// What a share of set-ups is selected by.
     pub by: By,
+    /// Most set-ups affected at a server; 0: no limit.
     pub first: u64,
 }
 
-/// What can go wrong.
+/// Kinds of faults.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Kind {
-    /// A processor runs `size` times slower.
+    /// A server's processor runs `size` times slower.
     Slow,
-    /// A server answers nothing, and comes back cold.
+    /// A server answers nothing, and restarts cold at the end.
     Silent,
-    /// A processor stands still for `size` milliseconds every two seconds.
+    /// A server's processor pauses for `size` milliseconds every two seconds.
     Still,
-    /// A server drains; then it stops, which cuts what stands there, and stays away.
+    /// A server drains. At the end it stops for good, which cuts the calls that are established there.
     Drain,
-    /// A drain, and a cold server in its place from its start on.
+    /// A server drains, and a cold server replaces it from the start on.
     Replace,
-    /// Calls come `size` times as often.
+    /// Calls arrive at `size` times the rate.
     Jump,
     /// A server loses this share, `size`, of its answers.
     AnswersLost,
-    /// A server turns this share, `size`, of its set-ups away as 'full', telling `wait`, with room for all.
+    /// A server rejects this share, `size`, of its set-ups as 'full' with retry-after `wait`, though it has
+    /// capacity.
     FullShare,
-    /// A server answers this share, `size`, with 'no circuit'.
+    /// A server answers this share, `size`, of its set-ups with 'no circuit'.
     NoCircuitShare,
     /// A server loses this share, `size`, of its set-ups.
     UnansweredShare,
-    /// A server answers this share, `size`, with a fault.
+    /// A server answers this share, `size`, of its set-ups with a fault.
     FaultShare,
-    /// A server answers this share, `size`, with 'lines busy'.
+    /// A server answers this share, `size`, of its set-ups with 'lines busy'.
     BusyShare,
-    /// A server goes silent and comes back, cold, for every `wait` of the span, in turn: half of it away.
+    /// A server is silent for the first half of every period of length `wait` and then restarts cold.
     Flap,
-    /// All connections to a server are lost at once, and can be made again.
+    /// All connections to a server are lost at once; new ones can be made.
     Reset,
-    /// A front's process is stopped, and goes on.
+    /// A front's process is suspended, and resumed at the end.
     Freeze,
-    /// Callers drop their sockets, with their calls.
+    /// Callers close their sockets, which ends their calls.
     CallersLeave,
-    /// A front is killed and starts anew at the end, knowing nothing.
+    /// A front is killed, and started again without any state at the end.
     Restart,
-    /// No datagram between fronts arrives.
+    /// All datagrams between fronts are lost.
     PeersLost,
-    /// This share of the datagrams between fronts, `size`, is damaged: see [`crate::simulated_network::damaged`].
+    /// This share, `size`, of the datagrams between fronts is damaged: see
+    /// [`crate::simulated_network::damaged`].
     PeersDamaged,
-    /// What the list tells in this span reaches fronts `wait` late. In virtual time only.
+    /// Changes of the pool list reach fronts `wait` late. In virtual time only.
     ListLate,
-    /// A front tells the others that all servers are silent. In virtual time only.
+    /// A front reports to the others that all servers are silent. In virtual time only.
     PeersConfused,
 }
 
-/// What happens to a server.
+/// A change of a simulated server's state.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum ServerEvent {
-    /// Its processor runs so many times slower.
+    /// Its processor runs this many times slower.
     Slow(f64),
-    /// It goes silent.
+    /// It becomes silent.
     Die,
-    /// It starts anew, cold.
+    /// It restarts, cold.
     Start,
-    /// It stands still for so long.
+    /// Its processor pauses for this long.
     Still(Nanos),
     /// It loses this share of its answers.
     LoseAnswers(f64),
-    /// Something ails it,
-    Ail(Ailment),
-    /// and no longer.
-    Heal(Ailment),
+    /// A share of its set-ups begins to get a fault response.
+    Ail(ResponseFault),
+    /// That fault ends.
+    Heal(ResponseFault),
     /// Its connections are lost.
     Reset,
     /// It stops for good.
     Stop,
 }
 
-/// What the pool list says of a server from a moment on.
+/// A server's state in the pool list.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Listed {
-    /// Running, started at this moment of the day; `None`: long ago.
+    /// Running since this time of the day; `None`: since long ago.
     Running(Option<Nanos>),
     /// Draining.
     Draining,
@@ -200,69 +233,75 @@
     Gone,
 }
 
-/// All that happens on a day, by moment.
+/// The events of a day, with times from its start.
 #[derive(Debug, Clone, Default)]
 pub struct Script {
-    /// To servers, by their place among [`Script::servers`].
+    /// Events of servers: time, index in [`Script::servers`], event.
     pub server: Vec<(Nanos, usize, ServerEvent)>,
-    /// To the pool list, the same.
+    /// Changes of the pool list: time, index in [`Script::servers`], new state.
     pub list: Vec<(Nanos, usize, Listed)>,
-    /// Fronts that freeze: from, to.
+    /// Suspended fronts: start, end, front.
     pub freeze: Vec<(Nanos, Nanos, usize)>,
-    /// Fronts whose callers drop their sockets.
+    /// Fronts whose callers close their sockets: time, front.
     pub leave: Vec<(Nanos, usize)>,
-    /// Fronts that are killed and start anew: from, to.
+    /// Fronts that are killed and started again: time of the kill, time of the start, front.
     pub restart: Vec<(Nanos, Nanos, usize)>,
-    /// Fronts that tell others nonsense.
+    /// Fronts that send false reports to others: start, front.
     pub confused: Vec<(Nanos, usize)>,
-    /// Spans in which no datagram between fronts arrives.
+    /// Periods in which all datagrams between fronts are lost: start, end.
     pub peers_lost: Vec<(Nanos, Nanos)>,
-    /// Spans in which of 100 datagrams between fronts so many are damaged.
+    /// Periods in which datagrams between fronts are damaged: start, end, percentage damaged.
     pub peers_damaged: Vec<(Nanos, Nanos, u32)>,
-    /// Spans in which news of the list reaches a front so much later: from, to, front, by.
+    /// Periods in which changes of the pool list reach a front late: start, end, front, delay.
     pub list_late: Vec<(Nanos, Nanos, usize, Nanos)>,
-    /// Jumps of the rate.
+    /// Periods with another rate of calls: start, end, factor.
     pub jumps: Vec<(Nanos, Nanos, f64)>,
-    /// The day's servers and those that replace them; `true`: listed from the start.
+    /// The day's servers and their replacements, each with whether it is listed from the start.
     pub servers: Vec<(ServerMake, bool)>,
 }
 
 impl Script {
-    /// How late news of the list of this moment of the day reaches a front.
+    /// The delay with which a change of the pool list at this time of the day reaches a front.
     pub fn list_late_ns(&self, front: usize, day_ns: Nanos) -> Nanos {
-        let met = |(from, to, whose, _): &&(Nanos, Nanos, usize, Nanos)| {
-            *whose == front && (*from..*to).contains(&day_ns)
+        let applies = |(start, end, delayed_front, _): &&(Nanos, Nanos, usize, Nanos)| {
+            *delayed_front == front && (*start..*end).contains(&day_ns)
         };
-        self.list_late.iter().filter(met).map(|(.., late_ns)| *late_ns).max().unwrap_or(0)
+        self.list_late.iter().filter(applies).map(|(.., late_ns)| *late_ns).max().unwrap_or(0)
     }
 }
 
-/// A front's spans (from, to, front), those that meet made one: it is down, or stands still, until the last of them ends.
-fn joined(spans: &[(Nanos, Nanos, usize)]) -> Vec<(Nanos, Nanos, usize)> {
-    let mut order = spans.to_vec();
-    order.sort_unstable_by_key(|(from, to, front)| (*front, *from, *to));
-    let mut all: Vec<(Nanos, Nanos, usize)> = Vec::new();
-    for (from, to, front) in order {
-        match all.last_mut().filter(|(_, until, of)| *of == front && from <= *until) {
-            Some((_, until, _)) => *until = to.max(*until),
-            None => all.push((from, to, front)),
+/// Merges overlapping periods (start, end, front) of the same front.
+fn merge_overlapping(periods: &[(Nanos, Nanos, usize)]) -> Vec<(Nanos, Nanos, usize)> {
+    let mut sorted = periods.to_vec();
+    sorted.sort_unstable_by_key(|(start, end, front)| (*front, *start, *end));
+    let mut merged: Vec<(Nanos, Nanos, usize)> = Vec::new();
+    for (start, end, front) in sorted {
+        let overlaps = |(_, last_end, last_front): &&mut (Nanos, Nanos, usize)| {
+            *last_front == front && start <= *last_end
+        };
+        match merged.last_mut().filter(overlaps) {
+            Some((_, last_end, _)) => *last_end = end.max(*last_end),
+            None => merged.push((start, end, front)),
         }
     }
-    all
+    merged
 }
 
-/// What is left of standstills beside restarts: one ends with the life that it began in, and who is down can't begin
-/// one.
-fn lived(freeze: &[(Nanos, Nanos, usize)], restart: &[(Nanos, Nanos, usize)]) -> Vec<(Nanos, Nanos, usize)> {
-    let of = |front| restart.iter().filter(move |(.., whose)| *whose == front);
-    let begins = |(from, _, front): &&(Nanos, Nanos, usize)| {
-        !of(*front).any(|(down, up, _)| (*down..*up).contains(from))
+/// Limits suspensions to the time in which the front runs: one ends when the front is killed, and none begins
+/// while it is down.
+fn while_running(
+    freeze: &[(Nanos, Nanos, usize)],
+    restart: &[(Nanos, Nanos, usize)],
+) -> Vec<(Nanos, Nanos, usize)> {
+    let restarts_of = |front| restart.iter().filter(move |(.., restarted)| *restarted == front);
+    let begins_while_up = |(start, _, front): &&(Nanos, Nanos, usize)| {
+        !restarts_of(*front).any(|(down, up, _)| (*down..*up).contains(start))
     };
-    let ends = |(from, to, front): &(Nanos, Nanos, usize)| {
-        let killed = of(*front).map(|(down, ..)| *down).filter(|down| down > from).min();
-        (*from, killed.map_or(*to, |down| down.min(*to)), *front)
+    let end_at_kill = |(start, end, front): &(Nanos, Nanos, usize)| {
+        let killed = restarts_of(*front).map(|(down, ..)| *down).filter(|down| down > start).min();
+        (*start, killed.map_or(*end, |down| down.min(*end)), *front)
     };
-    freeze.iter().filter(begins).map(ends).collect()
+    freeze.iter().filter(begins_while_up).map(end_at_kill).collect()
 }
 
 impl Day {
@@ -271,17 +310,17 @@
         checked(load(&schema()?, "#Day", path)?)
     }
 
-    /// Reads and checks a day from a text that errors call `name`.
+    /// Reads and checks a day from a text. Errors refer to the text as `name`.
     pub fn from_text(name: &str, text: &str) -> Result<Day, ConfigError> {
         checked(load_text(&schema()?, "#Day", name, text)?)
     }
 
-    /// The figures that the judge goes by.
+    /// The parameters of the call rules that the checker needs.
     pub fn figures(&self) -> Figures {
         Figures { drain_grace_ns: self.rules.drain_grace_ns, release_ns: self.rules.release_ns }
     }
 
-    /// What a server is like.
+    /// The parameters of a server's model.
     pub fn make(&self, server: &ServerMake) -> Make {
         Make {
             per_s: server.per_s,
@@ -306,9 +345,9 @@
         pools
     }
 
-    /// How callers behave, by class.
-    pub fn habits(&self) -> Vec<Habit> {
-        let habit = |class: &Class| Habit {
+    /// The behavior of callers, by class.
+    pub fn habits(&self) -> Vec<CallerBehavior> {
+        let behavior = |class: &Class| CallerBehavior {
             share: class.share,
             hold_ns: class.hold_ns,
             give_up_ns: class.give_up_ns,
@@ -316,24 +355,24 @@
             retries: class.retries,
             backoff_ns: class.backoff_ns,
         };
-        self.classes.iter().map(habit).collect()
+        self.classes.iter().map(behavior).collect()
     }
 
-    /// Calls at one front over time.
+    /// The rate of calls at one front if all get equal shares.
     pub fn rate(&self, script: &Script) -> Rate {
         Rate { per_s: self.per_s / self.edges as f64, jumps: script.jumps.clone() }
     }
 
-    /// The same at one of them, by its share.
+    /// The rate of calls at one front by its share; see [`Day::uneven`].
     pub fn rate_at(&self, edge: usize, script: &Script) -> Rate {
-        let share = |edge: usize| 1.0 / (edge as f64 + 1.0).powf(self.uneven);
-        let all: f64 = (0..self.edges).map(share).sum();
-        Rate { per_s: self.per_s * share(edge) / all, jumps: script.jumps.clone() }
+        let weight = |edge: usize| 1.0 / (edge as f64 + 1.0).powf(self.uneven);
+        let total: f64 = (0..self.edges).map(weight).sum();
+        Rate { per_s: self.per_s * weight(edge) / total, jumps: script.jumps.clone() }
     }
 
-    /// The settings of one front, as its file.
+    /// The text of a front's settings file.
     pub fn edge_settings(&self, edge: usize, pool_list: &str, listen: &str) -> String {
-        let mut out = format!(
+        let mut text = format!(
             "name: \"edge-{edge}\"\nlisten: \"{listen}\"\npool_list: {pool_list:?}\nlook_at_pool_list_every: \"50ms\"\n\
              timing: resend: \"{}ns\"\nlog: level: \"warn\"\npools: {:?}\n",
             self.resend_ns,
@@ -342,7 +381,7 @@
         let rules = &self.rules;
         // Writing to a String cannot fail.
         let _ = write!(
-            out,
+            text,
             "rules: {{release: \"{}ns\", drain_grace: \"{}ns\", cold_from: {:?}, cold_span: \"{}ns\", \
              tip_multiple: {:?}}}\nlimits: {{callers: {}, calls: 1000000, calls_per_caller: 1000000, queue: 8192}}\n\
              classes: [\n",
@@ -355,123 +394,128 @@
         );
         for class in &self.classes {
             let _ = writeln!(
-                out,
+                text,
                 "\t{{name: {:?}, aim: \"{}ns\", give_up: \"{}ns\", worth: {:?}, late_worth: {:?}}},",
                 class.name, class.aim_ns, class.give_up_ns, class.worth, class.late_worth
             );
         }
-        out.push_str("]\n");
-        out
+        text.push_str("]\n");
+        text
     }
 
-    /// What the network between fronts does at a moment of the day.
+    /// The faults of the network between fronts at a time of the day.
     pub fn weather(&self, script: &Script, day_ns: Nanos) -> Weather {
-        let lost = script.peers_lost.iter().any(|(from, to)| (*from..*to).contains(&day_ns));
-        let damaged = script.peers_damaged.iter().filter(|(from, to, _)| (*from..*to).contains(&day_ns));
+        let all_lost = script.peers_lost.iter().any(|(start, end)| (*start..*end).contains(&day_ns));
+        let damaged = script.peers_damaged.iter().filter(|(start, end, _)| (*start..*end).contains(&day_ns));
         Weather {
-            lost: if lost { 100 } else { self.peer_loss },
-            damaged: damaged.map(|(.., share)| *share).max().unwrap_or(0),
+            lost: if all_lost { 100 } else { self.peer_loss },
+            damaged: damaged.map(|(.., percent)| *percent).max().unwrap_or(0),
             split: 0,
         }
     }
 
-    /// What happens when.
+    /// The events of the day.
     pub fn script(&self) -> Script {
         let servers = self.servers.iter().map(|s| (s.clone(), true)).collect();
         let mut script = Script { servers, ..Script::default() };
         for trouble in &self.troubles {
-            self.write_trouble(trouble, &mut script);
+            self.add_trouble(trouble, &mut script);
         }
         script.server.sort_by_key(|e| (e.0, e.1));
         script.list.sort_by_key(|e| (e.0, e.1));
         script.leave.sort_unstable();
-        script.restart = joined(&script.restart);
-        script.freeze = lived(&joined(&script.freeze), &script.restart);
+        script.restart = merge_overlapping(&script.restart);
+        script.freeze = while_running(&merge_overlapping(&script.freeze), &script.restart);
         script
     }
 
-    fn write_trouble(&self, trouble: &Trouble, script: &mut Script) {
-        let (from, to, size) = (trouble.at_ns, trouble.at_ns + trouble.for_ns, trouble.size);
-        let named = |s: &ServerMake| trouble.servers.is_empty() || trouble.servers.contains(&s.name);
-        let servers: Vec<usize> = (0..self.servers.len()).filter(|i| named(&self.servers[*i])).collect();
+    /// Adds the events of a fault.
+    fn add_trouble(&self, trouble: &Trouble, script: &mut Script) {
+        let (start, end, size) = (trouble.at_ns, trouble.at_ns + trouble.for_ns, trouble.size);
+        let is_affected = |s: &ServerMake| trouble.servers.is_empty() || trouble.servers.contains(&s.name);
+        let servers: Vec<usize> =
+            (0..self.servers.len()).filter(|i| is_affected(&self.servers[*i])).collect();
         let edges: Vec<usize> =
             if trouble.edges.is_empty() { (0..self.edges).collect() } else { trouble.edges.clone() };
         match trouble.kind {
-            Kind::Jump => script.jumps.push((from, to, size)),
-            Kind::Freeze => script.freeze.extend(edges.into_iter().map(|edge| (from, to, edge))),
-            Kind::Restart => script.restart.extend(edges.into_iter().map(|edge| (from, to, edge))),
-            Kind::PeersConfused => script.confused.extend(edges.into_iter().map(|edge| (from, edge))),
+            Kind::Jump => script.jumps.push((start, end, size)),
+            Kind::Freeze => script.freeze.extend(edges.into_iter().map(|edge| (start, end, edge))),
+            Kind::Restart => script.restart.extend(edges.into_iter().map(|edge| (start, end, edge))),
+            Kind::PeersConfused => script.confused.extend(edges.into_iter().map(|edge| (start, edge))),
             Kind::ListLate => {
-                script.list_late.extend(edges.into_iter().map(|edge| (from, to, edge, trouble.wait_ns)));
+                script.list_late.extend(edges.into_iter().map(|edge| (start, end, edge, trouble.wait_ns)));
             }
-            Kind::PeersLost => script.peers_lost.push((from, to)),
-            Kind::PeersDamaged => script.peers_damaged.push((from, to, (100.0 * size.min(1.0)) as u32)),
-            Kind::CallersLeave => script.leave.extend(edges.into_iter().map(|edge| (from, edge))),
-            _ => servers.into_iter().for_each(|s| self.server_trouble(trouble, s, (from, to), script)),
+            Kind::PeersLost => script.peers_lost.push((start, end)),
+            Kind::PeersDamaged => script.peers_damaged.push((start, end, (100.0 * size.min(1.0)) as u32)),
+            Kind::CallersLeave => script.leave.extend(edges.into_iter().map(|edge| (start, edge))),
+            _ => servers.into_iter().for_each(|s| self.add_server_trouble(trouble, s, (start, end), script)),
         }
     }
 
-    fn server_trouble(
+    /// Adds the events of a fault at one server.
+    fn add_server_trouble(
         &self,
         trouble: &Trouble,
         server: usize,
-        (from, to): (Nanos, Nanos),
+        (start, end): (Nanos, Nanos),
         script: &mut Script,
     ) {
         let size = trouble.size;
-        let ill = |answers| Ailment {
+        let response_fault = |answers| ResponseFault {
             answers,
             share: size,
             by: trouble.by,
             first: trouble.first,
             wait_ns: trouble.wait_ns,
         };
-        let ailment = match trouble.kind {
-            Kind::FullShare => Some(ill(Answers::Full)),
-            Kind::NoCircuitShare => Some(ill(Answers::NoCircuit)),
-            Kind::UnansweredShare => Some(ill(Answers::Nothing)),
-            Kind::FaultShare => Some(ill(Answers::Fault)),
-            Kind::BusyShare => Some(ill(Answers::Busy)),
+        let fault = match trouble.kind {
+            Kind::FullShare => Some(response_fault(Answers::Full)),
+            Kind::NoCircuitShare => Some(response_fault(Answers::NoCircuit)),
+            Kind::UnansweredShare => Some(response_fault(Answers::Nothing)),
+            Kind::FaultShare => Some(response_fault(Answers::Fault)),
+            Kind::BusyShare => Some(response_fault(Answers::Busy)),
             _ => None,
         };
-        let mut event = |at, event| script.server.push((at, server, event));
-        if let Some(ailment) = ailment {
-            event(from, ServerEvent::Ail(ailment));
-            event(to, ServerEvent::Heal(ailment));
+        let mut add_event = |at, event| script.server.push((at, server, event));
+        if let Some(fault) = fault {
+            add_event(start, ServerEvent::Ail(fault));
+            add_event(end, ServerEvent::Heal(fault));
         }
         match trouble.kind {
             Kind::Slow => {
-                event(from, ServerEvent::Slow(size));
-                event(to, ServerEvent::Slow(1.0));
+                add_event(start, ServerEvent::Slow(size));
+                add_event(end, ServerEvent::Slow(1.0));
             }
             Kind::Still => {
-                let count = (to - from) / STILL_EVERY_NS;
+                let count = (end - start) / STILL_EVERY_NS;
                 (0..count.max(1)).for_each(|i| {
-                    event(from + i * STILL_EVERY_NS, ServerEvent::Still((size * 1e6) as Nanos));
+                    add_event(start + i * STILL_EVERY_NS, ServerEvent::Still((size * 1e6) as Nanos));
                 });
             }
             Kind::AnswersLost => {
-                event(from, ServerEvent::LoseAnswers(size));
-                event(to, ServerEvent::LoseAnswers(0.0));
+                add_event(start, ServerEvent::LoseAnswers(size));
+                add_event(end, ServerEvent::LoseAnswers(0.0));
             }
-            Kind::Reset => event(from, ServerEvent::Reset),
-            Kind::Silent => silent(server, (from, to), script),
+            Kind::Reset => add_event(start, ServerEvent::Reset),
+            Kind::Silent => add_silence(server, (start, end), script),
             Kind::Flap => {
-                let every = trouble.wait_ns.max(1_000_000_000) as usize;
-                (from..to).step_by(every).for_each(|at| silent(server, (at, at + every as u64 / 2), script));
+                let period_ns = trouble.wait_ns.max(1_000_000_000) as usize;
+                (start..end)
+                    .step_by(period_ns)
+                    .for_each(|at| add_silence(server, (at, at + period_ns as u64 / 2), script));
             }
             Kind::Drain | Kind::Replace => {
-                event(to, ServerEvent::Stop);
-                script.list.push((from, server, Listed::Draining));
-                script.list.push((to, server, Listed::Gone));
+                add_event(end, ServerEvent::Stop);
+                script.list.push((start, server, Listed::Draining));
+                script.list.push((end, server, Listed::Gone));
                 if trouble.kind == Kind::Replace {
                     let old = &self.servers[server];
                     let new = script.servers.len();
                     script
                         .servers
                         .push((ServerMake { name: format!("{}-new", old.name), ..old.clone() }, false));
-                    script.server.push((from, new, ServerEvent::Start));
-                    script.list.push((from, new, Listed::Running(Some(from))));
+                    script.server.push((start, new, ServerEvent::Start));
+                    script.list.push((start, new, Listed::Running(Some(start))));
                 }
             }
             _ => {}
@@ -479,46 +523,51 @@
     }
 }
 
-/// A server answers nothing, and comes back cold; the list says both, late.
-fn silent(server: usize, (from, to): (Nanos, Nanos), script: &mut Script) {
-    script.server.push((from, server, ServerEvent::Die));
-    script.server.push((to, server, ServerEvent::Start));
-    if from + SILENT_NOTICE_NS < to {
-        script.list.push((from + SILENT_NOTICE_NS, server, Listed::Gone));
+/// Adds the events of a server that answers nothing and then restarts cold. The pool list shows both with a
+/// delay.
+fn add_silence(server: usize, (start, end): (Nanos, Nanos), script: &mut Script) {
+    script.server.push((start, server, ServerEvent::Die));
+    script.server.push((end, server, ServerEvent::Start));
+    if start + SILENT_NOTICE_NS < end {
+        script.list.push((start + SILENT_NOTICE_NS, server, Listed::Gone));
     }
-    script.list.push((to + BACK_NOTICE_NS, server, Listed::Running(Some(to))));
+    script.list.push((end + BACK_NOTICE_NS, server, Listed::Running(Some(end))));
 }
 
 fn schema() -> Result<Schema, ConfigError> {
     Schema::new("day.cue", DAY_SCHEMA)
 }
 
+/// Checks the rules that concern several fields.
 fn checked(loaded: Loaded<Day>) -> Result<Day, ConfigError> {
     let day = &loaded.value;
     let mut names = std::collections::BTreeSet::new();
     for (index, server) in day.servers.iter().enumerate() {
         if !names.insert(&server.name) {
-            let what = format!("server {:?} is given twice", server.name);
-            return Err(loaded.error_at(&format!("servers[{index}].name"), what));
+            let message = format!("server {:?} is given twice", server.name);
+            return Err(loaded.error_at(&format!("servers[{index}].name"), message));
         }
     }
     for (index, trouble) in day.troubles.iter().enumerate() {
         if let Some(name) = trouble.servers.iter().find(|n| !names.contains(n)) {
-            let what = format!("no server {name:?}");
-            return Err(loaded.error_at(&format!("troubles[{index}].servers"), what));
+            let message = format!("no server {name:?}");
+            return Err(loaded.error_at(&format!("troubles[{index}].servers"), message));
         }
         if let Some(edge) = trouble.edges.iter().find(|e| **e >= day.edges) {
-            let what = format!("no front {edge}, there are 0 to {}", day.edges - 1);
-            return Err(loaded.error_at(&format!("troubles[{index}].edges"), what));
+            let message = format!("no front {edge}, there are 0 to {}", day.edges - 1);
+            return Err(loaded.error_at(&format!("troubles[{index}].edges"), message));
         }
     }
     Ok(loaded.value)
 }
 
-/// The pool list as a file, for servers with their addresses and what the list says of them.
-pub fn pool_list(rows: impl Iterator<Item = (String, String, String, Listed)>, day_start_ms: u64) -> String {
-    let mut out = "servers: [\n".to_string();
-    for (name, pool, address, listed) in rows {
+/// The text of a pool list with these servers: name, pool, address, state.
+pub fn pool_list(
+    servers: impl Iterator<Item = (String, String, String, Listed)>,
+    day_start_ms: u64,
+) -> String {
+    let mut text = "servers: [\n".to_string();
+    for (name, pool, address, listed) in servers {
         let (state, started_ms) = match listed {
             Listed::Running(None) => ("running", 0),
             Listed::Running(Some(at)) => ("running", day_start_ms + at / 1_000_000),
@@ -527,10 +576,10 @@
         };
         // Writing to a String cannot fail.
         let _ = writeln!(
-            out,
+            text,
             "\t{{name: {name:?}, pool: {pool:?}, address: {address:?}, state: {state:?}, started_ms: {started_ms}}},"
         );
     }
-    out.push_str("]\n");
-    out
+    text.push_str("]\n");
+    text
 }
--- a/crates/lilacpitch-testbed/src/lib.rs
+++ b/crates/lilacpitch-testbed/src/lib.rs
@@ -1,21 +1,23 @@
-//! The testbed of lilacpitch: it runs edges, nodes and sites against simulated servers and callers, and checks what
-//! crossed the sockets.
+//! The testbed of lilacpitch: it runs edges, nodes and sites against simulated servers and callers, and
+//! checks the messages that crossed the sockets.
 //!
-//! - [`simulation`]: simulated servers and callers, without I/O; time is an argument.
-//! - [`record`] and [`call_rules_checker`]: what the stand-ins saw at their sockets, and which of the five rules it violates.
-//! - [`day`]: a scenario as a typed record; [`runner`] runs it with real edge processes on loopback, [`simulated_run`]
-//!   with the same core and the same models in simulated time.
+//! - [`simulation`]: models of servers and callers, without I/O; time is an argument.
+//! - [`record`] and [`call_rules_checker`]: the events observed at the sockets of simulated servers and
+//!   callers, and the violations of the five call rules among them.
+//! - [`day`]: a scenario as a typed record. [`runner`] runs it with real edge processes on loopback, where
+//!   [`edges`] are the fronts and [`standin`] the simulated servers; [`simulated_run`] runs it with the same
+//!   core and the same models in virtual time.
 //! - [`report`]: service by class, the worst ten seconds, latency.
-//! - [`newcomers`]: fronts that restart, compared with fronts that have run for a while.
-//! - [`datagram_relay`]: the network between real fronts, which loses, damages and cuts off.
-//! - [`simulated_network`]: gossip among fronts on a network that loses, delays and cuts off, and [`membership`]: how
-//!   soon they notice joins and failures there.
-//! - [`baseline`]: well-known policies in the module's place, [`bound`]: what no front could exceed, and
-//!   [`compare`]: all of them on the same scenarios.
-//! - [`fleet`]: sites and fronts as processes, faults between them, the checker of the eight guarantees.
-//! - [`load`]: how fast an edge is, and what it costs.
+//! - [`newcomers`]: service of fronts that have restarted, compared with fronts that have run for a while.
+//! - [`datagram_relay`]: the network between real fronts, with loss, damage and partitions.
+//! - [`simulated_network`]: gossip among fronts in virtual time on a network with loss, damage and
+//!   partitions. [`membership`] measures there how soon joins and failures are detected.
+//! - [`baseline`]: well-known policies in place of the module; [`bound`]: an upper bound on the service of
+//!   any policy; [`compare`]: all of them on the same scenarios.
+//! - [`fleet`]: sites and fronts as processes, faults between them, and the checker of the eight guarantees.
+//! - [`load`]: the latency that an edge adds to calls, and its use of processor and memory.
 //!
-//! All figures are figures of simulated servers.
+//! All figures are those of simulated servers.
 #![forbid(unsafe_code)]
 #![allow(
     clippy::missing_errors_doc,
--- a/crates/lilacpitch-testbed/src/main.rs
+++ b/crates/lilacpitch-testbed/src/main.rs
@@ -1,4 +1,4 @@
-//! `lilacpitch-testbed`: see `lilacpitch-testbed --help`.
+//! The program `lilacpitch-testbed`; see `lilacpitch-testbed --help`.
 #![forbid(unsafe_code)]
 
 mod cli;
--- a/crates/lilacpitch-testbed/src/simulation/caller.rs
+++ b/crates/lilacpitch-testbed/src/simulation/caller.rs
@@ -1,120 +1,123 @@
-//! Simulated callers: when calls come, how long they last, and who dials again.
+//! Simulated callers: arrival and duration of calls, and further tries of those that were not established.
 
 use lilacpitch::interface::Nanos;
 use lilacpitch_protocol::message::call::Answer;
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
-/// A class of calls, as its callers behave.
+/// The behavior of the callers of one class.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Habit {
-    /// Its share of the calls.
+pub struct CallerBehavior {
+    /// Weight of the class among all calls.
     pub share: f64,
-    /// How long a call lasts on average.
+    /// Mean duration of a call.
     pub hold_ns: Nanos,
-    /// How long a caller goes on, from the first try.
+    /// How long a caller keeps trying, from its first try.
     pub give_up_ns: Nanos,
-    /// A try is given up after this share of it.
+    /// How long a caller waits for one try, as a share of `give_up_ns`.
     pub try_share: f64,
-    /// Further tries.
+    /// Most further tries after the first.
     pub retries: u32,
-    /// The wait before a further try, where the front tells none.
+    /// Mean wait before a further try if the front gives none.
     pub backoff_ns: Nanos,
 }
 
-/// A try of a call.
+/// One try of a caller to establish a call.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Try {
-    /// Its id, unique in a day.
+    /// Id of the try, unique in a day.
     pub call: String,
-    /// That of the first try.
+    /// Id of the caller's first try.
     pub origin: String,
-    /// The class.
+    /// Index of the class.
     pub class: usize,
-    /// The pool of first choice, as a number.
+    /// Index of the preferred pool.
     pub pool: usize,
     /// The number dialled.
     pub number: u64,
-    /// When the first try was made.
+    /// Time of the first try.
     pub first_ns: Nanos,
-    /// How many tries came before.
+    /// Number of earlier tries.
     pub before: u32,
-    /// How long the caller waits.
+    /// How long the caller waits for an answer.
     pub budget_ns: Nanos,
-    /// How long the call lasts if it stands.
+    /// Duration of the call if it is established.
     pub hold_ns: Nanos,
 }
 
-/// A rate of calls over time: the usual one, and jumps from, to, times.
+/// A rate of calls over time.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Rate {
-    /// Calls a second usually.
+    /// Calls per second outside of `jumps`.
     pub per_s: f64,
-    /// Spans in which it is multiplied.
+    /// Periods in which the rate is multiplied: start, end, factor.
     pub jumps: Vec<(Nanos, Nanos, f64)>,
 }
 
 impl Rate {
-    /// Calls a second at a moment.
+    /// Calls per second at a time.
     pub fn at(&self, now: Nanos) -> f64 {
-        let jump = self.jumps.iter().filter(|(from, to, _)| (*from..*to).contains(&now)).map(|j| j.2);
-        self.per_s * jump.fold(1.0, f64::max)
+        let factors = self.jumps.iter().filter(|(start, end, _)| (*start..*end).contains(&now)).map(|j| j.2);
+        self.per_s * factors.fold(1.0, f64::max)
     }
 }
 
-/// Makes the calls that reach one front.
+/// Generates the calls that reach one front.
 #[derive(Debug)]
 pub struct Callers {
     prefix: String,
-    habits: Vec<Habit>,
+    behaviors: Vec<CallerBehavior>,
     pools: usize,
     rng: Pcg64Mcg,
-    made: u64,
+    /// Number of calls generated so far.
+    generated: u64,
     next_ns: Nanos,
 }
 
 impl Callers {
     /// Callers whose calls have ids that begin with `prefix`.
-    pub fn new(prefix: String, habits: Vec<Habit>, pools: usize, seed: u64) -> Self {
-        Callers { prefix, habits, pools, rng: Pcg64Mcg::seed_from_u64(seed), made: 0, next_ns: 0 }
+    pub fn new(prefix: String, behaviors: Vec<CallerBehavior>, pools: usize, seed: u64) -> Self {
+        Callers { prefix, behaviors, pools, rng: Pcg64Mcg::seed_from_u64(seed), generated: 0, next_ns: 0 }
     }
 
-    fn drawn(&mut self) -> f64 {
+    /// A random number from 0 to 1, uniformly distributed.
+    fn uniform(&mut self) -> f64 {
         (self.rng.next_u64() >> 11) as f64 / (1u64 << 53) as f64
     }
 
     fn exponential(&mut self, mean: f64) -> f64 {
-        -(1.0 - self.drawn()).ln() * mean
+        -(1.0 - self.uniform()).ln() * mean
     }
 
-    /// When the next call comes.
+    /// Time of the next call.
     pub fn next_ns(&self) -> Nanos {
         self.next_ns
     }
 
-    /// The call that comes now; draws when the next will.
+    /// The next call. Also determines the time of the one after it.
     pub fn next(&mut self, rate: &Rate) -> Try {
         let now = self.next_ns;
         let gap_s = self.exponential(1.0 / rate.at(now).max(1e-9));
         self.next_ns = now + (gap_s * 1e9) as Nanos;
-        let total: f64 = self.habits.iter().map(|h| h.share).sum();
-        let mut point = self.drawn() * total;
-        let class = self.habits.iter().position(|h| {
-            point -= h.share;
+        let total: f64 = self.behaviors.iter().map(|h| h.share).sum();
+        let mut point = self.uniform() * total;
+        let class = self.behaviors.iter().position(|behavior| {
+            point -= behavior.share;
             point < 0.0
         });
-        let class = class.unwrap_or(self.habits.len() - 1);
-        let pool = (self.drawn() * self.pools.max(1) as f64) as usize;
-        let hold_ns = self.exponential(self.habits[class].hold_ns as f64) as Nanos;
-        self.made += 1;
-        let call = format!("{}{}", self.prefix, self.made);
-        let habit = &self.habits[class];
-        let budget_ns = ms((habit.give_up_ns as f64 * habit.try_share) as Nanos);
+        let class = class.unwrap_or(self.behaviors.len() - 1);
+        let pool = (self.uniform() * self.pools.max(1) as f64) as usize;
+        let hold_ns = self.exponential(self.behaviors[class].hold_ns as f64) as Nanos;
+        self.generated += 1;
+        let call = format!("{}{}", self.prefix, self.generated);
+        let behavior = &self.behaviors[class];
+        let budget_ns = whole_milliseconds((behavior.give_up_ns as f64 * behavior.try_share) as Nanos);
         let number = 14_000_000_000 + self.rng.next_u64() % 1_000_000_000;
         Try { origin: call.clone(), call, class, pool, number, first_ns: now, before: 0, budget_ns, hold_ns }
     }
 
-    /// The further try after an answer that was not 'stands', and when it is made; `None`: given up.
+    /// The further try after an answer other than [`Answer::Stands`], and its time; `None` if the caller
+    /// gives up.
     pub fn again(
         &mut self,
         now: Nanos,
@@ -122,21 +125,21 @@
         answer: Answer,
         come_back_ms: Option<u64>,
     ) -> Option<(Nanos, Try)> {
-        let drawn = self.drawn();
-        let habit = &self.habits[last.class];
+        let jitter = 0.5 + self.uniform();
+        let behavior = &self.behaviors[last.class];
         let wait_ns =
-            come_back_ms.map_or((habit.backoff_ns as f64 * (0.5 + drawn)) as Nanos, |w| w * 1_000_000);
-        let (at, end) = (now + wait_ns, last.first_ns + habit.give_up_ns);
-        if answer == Answer::Stands || last.before >= habit.retries || at >= end {
+            come_back_ms.map_or((behavior.backoff_ns as f64 * jitter) as Nanos, |ms| ms * 1_000_000);
+        let (at, end) = (now + wait_ns, last.first_ns + behavior.give_up_ns);
+        if answer == Answer::Stands || last.before >= behavior.retries || at >= end {
             return None;
         }
-        let budget_ns = ms(last.budget_ns.min(end - at));
+        let budget_ns = whole_milliseconds(last.budget_ns.min(end - at));
         let call = format!("{}r{}", last.origin, last.before + 1);
         (budget_ns > 0).then(|| (at, Try { call, before: last.before + 1, budget_ns, ..last.clone() }))
     }
 }
 
-/// Whole milliseconds: what the API can say.
-fn ms(span: Nanos) -> Nanos {
-    span / 1_000_000 * 1_000_000
+/// Rounds down to milliseconds, the unit of budgets in the call protocol.
+fn whole_milliseconds(duration: Nanos) -> Nanos {
+    duration / 1_000_000 * 1_000_000
 }
--- a/crates/lilacpitch-testbed/src/simulation/mod.rs
+++ b/crates/lilacpitch-testbed/src/simulation/mod.rs
@@ -1,4 +1,4 @@
-//! Simulated servers and callers, without I/O.
+//! Models of servers and callers, without I/O: the time is an argument.
 
 pub mod caller;
 pub mod server;
--- a/crates/lilacpitch-testbed/src/simulation/server.rs
+++ b/crates/lilacpitch-testbed/src/simulation/server.rs
@@ -1,8 +1,8 @@
-//! A simulated signalling server: a processor with one line, and what can go wrong with it.
+//! A simulated signalling server: a processor with one queue, and its faults.
 //!
-//! Set-ups, answers, refusals, repeats and releases are work that waits in one line; answers and releases wait
-//! behind new set-ups. Past a wait it turns set-ups away, which is work too. A server that has just started can do
-//! a share of its work, and falls over when sent more than a multiple of that.
+//! Set-ups, answers, rejections, repeated set-ups and releases are work in one first-in first-out queue. When
+//! a set-up would wait too long, the server rejects it as 'full', which is work too. A server that has just
+//! started has only a share of its capacity, and fails when it is sent more than a multiple of that.
 
 use lilacpitch::interface::Nanos;
 use lilacpitch_protocol::message::signal::{FromServer, Load, ReleaseCause, ToServer};
@@ -10,43 +10,51 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::hash::{DefaultHasher, Hash, Hasher};
 
-/// A front's attempt: the front's number and the attempt's.
+/// An attempt of a front: index of the front, id of the attempt.
 pub type Key = (usize, u64);
 
-/// What a server is like.
+/// The parameters of a server.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Make {
-    /// Calls a second that it can do when warm, all their work counted.
+    /// Calls per second that it can process when warm, all work of a call included.
     pub per_s: f64,
-    /// Calls that it can hold.
+    /// Most calls at once.
     pub circuits: usize,
-    /// Past this wait it turns set-ups away.
+    /// Wait of a set-up above which it is rejected as 'full'.
     pub full_after_ns: Nanos,
-    /// A just started one can do this share,
+    /// Share of the full capacity just after a start.
     pub cold_from: f64,
-    /// and all after this span.
+    /// Time after a start until full capacity is reached.
     pub cold_span_ns: Nanos,
-    /// Sent more than this multiple of what it can do,
+    /// A server that is warming up fails when it is sent more than this multiple of its capacity.
     pub tip_multiple: f64,
-    /// for this span, a cold one falls over.
+    /// Window over which that load is counted.
     pub tip_span_ns: Nanos,
-    /// Whether it bears 2√N + 2 more than the N that this makes, for chance; else none.
+    /// Whether it tolerates 2√N + 2 set-ups more than the N that this multiple allows in the window, so that
+    /// random variation of the load does not make it fail.
     pub tip_chance: bool,
 }
 
-/// Shares of a call's work. The set-up is most of it; a repeat and a refusal cost as well.
+/// Work of a set-up, as a share of all work of a call.
 const SETUP: f64 = 0.6;
+/// Work of an answer.
 const ANSWER: f64 = 0.2;
+/// Work of a release.
 const RELEASE: f64 = 0.2;
+/// Work of a repeated set-up.
 const REPEAT: f64 = 0.3;
-const REFUSAL: f64 = 0.15;
-/// So few set-ups within a window push nothing over, whatever the multiple: chance.
-const FALL_LEAST: usize = 5;
+/// Work of a rejection.
+const REJECTION: f64 = 0.15;
+/// Without [`Make::tip_chance`], most set-ups within a window that never make a server fail, whatever the
+/// multiple: so few may be random variation.
+const MAX_TOLERATED_SETUPS: usize = 5;
 
+/// State of a call.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum State {
+    /// The set-up is queued.
     Waiting,
-    /// Worked on or waiting for its answer's turn.
+    /// Set up; the answer is queued.
     SetUp,
     Answered,
 }
@@ -55,91 +63,96 @@
 enum Work {
     SetUp(Key),
     Answer(Key),
+    /// Takes time but has no effect when it is done.
     Idle,
 }
 
-/// What a server that ails does with some of its set-ups instead of setting them up.
+/// The response to a set-up that a [`ResponseFault`] affects.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Answers {
-    /// 'Processor full', with a wait.
+    /// 'Processor full', with a retry-after.
     Full,
     /// 'No circuit'.
     NoCircuit,
-    /// Nothing: the set-up and its repeats are lost.
+    /// None: the set-up and its repeats are lost.
     Nothing,
-    /// A fault of signalling.
+    /// A signalling fault.
     Fault,
     /// 'All lines of the number are busy'.
     Busy,
 }
 
-/// What decides which set-ups an ailment meets.
+/// What the set-ups that a [`ResponseFault`] affects are selected by.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum By {
     /// Each set-up by itself.
     Setup,
-    /// The call: the same at every server and in each attempt.
+    /// The call: all its attempts, at every server.
     Call,
-    /// The number dialled: the same in each of its calls.
+    /// The number dialled: all its calls.
     Number,
 }
 
-/// A share of a server's set-ups that fare ill though its processor is well.
+/// A fault response to a share of a server's set-ups, independent of its load.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Ailment {
-    /// What they meet.
+pub struct ResponseFault {
+    /// The response.
     pub answers: Answers,
-    /// Their share.
+    /// Share of the set-ups that get it.
     pub share: f64,
-    /// What decides which.
+    /// What they are selected by.
     pub by: By,
-    /// At most so many set-ups, then all is well; 0: no bound.
+    /// Most set-ups affected; 0: no limit.
     pub first: u64,
-    /// The wait told with 'full'; 0: none.
+    /// Retry-after of a 'full' response; 0: none.
     pub wait_ns: Nanos,
 }
 
-/// What a server does.
+/// An effect of a server.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Does {
-    /// Sends a front a message.
+    /// Sends a message to a front.
     Send(usize, FromServer),
-    /// Would have sent an answer, but it is lost.
+    /// Loses an answer.
     Loses(Key),
-    /// Fell over.
+    /// Has failed under too much load while warming up.
     Falls {
-        /// What it was sent, as a multiple of what it could do.
+        /// The load, as a multiple of its capacity.
         multiple: f64,
-        /// The fronts that it came from, a set-up each.
+        /// The front of each set-up in the window.
         from: Vec<usize>,
     },
 }
 
-/// The server, in whatever time it is handed.
+/// A simulated server.
 #[derive(Debug)]
 pub struct Server {
     make: Make,
     calls: BTreeMap<Key, State>,
-    line: VecDeque<(Work, f64)>,
-    /// What is worked on, and when it will be done.
+    /// Queued work and its cost.
+    queue: VecDeque<(Work, f64)>,
+    /// The work in progress and the time at which it will be done.
     busy: Option<(Work, Nanos)>,
-    /// Work in line, in calls.
-    waiting: f64,
+    /// Cost of the queued work; 1 is all work of one call.
+    queued_cost: f64,
     up_since_ns: Option<Nanos>,
+    /// Whether it is silent.
     dead: bool,
+    /// Factor by which it is slowed down.
     slow: f64,
     still_until_ns: Nanos,
+    /// Share of its answers that are lost.
     lose_answers: f64,
-    /// Set-ups of the span that counts, with their fronts.
+    /// Set-ups in the current window, with their fronts.
     recent: VecDeque<(Nanos, usize)>,
-    /// The most that it was sent while cold, of its ramp: see [`Server::ramp`].
+    /// See [`Server::ramp`].
     ramp: f64,
-    /// Answers given so far, for the share that is lost.
+    /// Number of answers so far, of which a share is lost.
     answers: u64,
-    /// What ails it, and how many set-ups each has met.
-    ailments: Vec<(Ailment, u64)>,
+    /// Faults in effect, each with the number of set-ups it has affected.
+    response_faults: Vec<(ResponseFault, u64)>,
 }
 
 impl Server {
@@ -148,9 +161,9 @@
         Server {
             make,
             calls: BTreeMap::new(),
-            line: VecDeque::new(),
+            queue: VecDeque::new(),
             busy: None,
-            waiting: 0.0,
+            queued_cost: 0.0,
             up_since_ns: None,
             dead: false,
             slow: 1.0,
@@ -159,32 +172,32 @@
             recent: VecDeque::new(),
             ramp: 0.0,
             answers: 0,
-            ailments: Vec::new(),
+            response_faults: Vec::new(),
         }
     }
 
-    /// It starts anew, cold, with nothing of before.
+    /// Restarts the server cold, without any calls or faults.
     pub fn start(&mut self, now: Nanos) {
         *self = Server { up_since_ns: Some(now), ramp: self.ramp, ..Server::new(self.make.clone()) };
     }
 
-    /// What it was sent within the span that counts while it was cold, at most, of what a ramp allows: N, what it may
-    /// be sent at its age, and 2√N + 2 for chance.
+    /// The highest load of a window while it was warming up, as a share of what it tolerates: N set-ups by
+    /// [`Make::tip_multiple`], and 2√N + 2 more for random variation.
     pub fn ramp(&self) -> f64 {
         self.ramp
     }
 
-    /// It goes silent: takes everything and answers nothing, until it starts anew.
+    /// Makes the server silent: it accepts everything and answers nothing until it restarts.
     pub fn die(&mut self) {
         *self = Server { dead: true, ramp: self.ramp, ..Server::new(self.make.clone()) };
     }
 
-    /// Its processor runs so many times slower.
+    /// Makes the processor run this many times slower.
     pub fn slow(&mut self, times: f64) {
         self.slow = times.max(1.0);
     }
 
-    /// Its processor stands still until then.
+    /// Pauses the processor until the given time.
     pub fn stand_still(&mut self, until_ns: Nanos) {
         self.still_until_ns = until_ns;
         if let Some((_, done)) = &mut self.busy {
@@ -192,48 +205,48 @@
         }
     }
 
-    /// It loses this share of its answers.
+    /// Makes the server lose this share of its answers.
     pub fn lose_answers(&mut self, share: f64) {
         self.lose_answers = share;
     }
 
-    /// Something ails it from now on.
-    pub fn ail(&mut self, ailment: Ailment) {
-        self.ailments.push((ailment, 0));
+    /// Begins a fault.
+    pub fn ail(&mut self, fault: ResponseFault) {
+        self.response_faults.push((fault, 0));
     }
 
-    /// That ails it no longer.
-    pub fn heal(&mut self, ailment: &Ailment) {
-        self.ailments.retain(|(a, _)| a != ailment);
+    /// Ends a fault.
+    pub fn heal(&mut self, fault: &ResponseFault) {
+        self.response_faults.retain(|(other, _)| other != fault);
     }
 
-    /// A front's connection has ended, and all its calls here with it.
+    /// Drops all calls of a front whose connection has ended.
     pub fn drop_front(&mut self, front: usize) {
         self.calls.retain(|(f, _), _| *f != front);
     }
 
-    /// All calls that stand here, which are cut.
+    /// Cuts all calls. Returns the messages to the fronts of those that were established.
     pub fn cut_all(&mut self) -> Vec<(usize, FromServer)> {
-        let standing = self.calls.iter().filter(|(_, state)| **state == State::Answered);
-        let told = |((front, attempt), _): (&Key, &State)| {
+        let established = self.calls.iter().filter(|(_, state)| **state == State::Answered);
+        let released = |((front, attempt), _): (&Key, &State)| {
             (*front, FromServer::Released { attempt: *attempt, cause: ReleaseCause::Cut })
         };
-        let out = standing.map(told).collect();
+        let messages = established.map(released).collect();
         self.calls.clear();
-        out
+        messages
     }
 
-    /// Calls that stand here.
+    /// Number of established calls.
     pub fn standing(&self) -> usize {
         self.calls.values().filter(|s| **s == State::Answered).count()
     }
 
-    /// Whether this attempt is known here.
+    /// Whether the server has this attempt.
     pub fn knows(&self, key: Key) -> bool {
         self.calls.contains_key(&key)
     }
 
-    /// Calls a second that it can do now.
+    /// Calls per second that it can process now.
     pub fn can_do_per_s(&self, now: Nanos) -> f64 {
         let warmth = self.up_since_ns.map_or(1.0, |up| {
             let age = now.saturating_sub(up) as f64 / self.make.cold_span_ns.max(1) as f64;
@@ -242,14 +255,15 @@
         self.make.per_s * warmth / self.slow
     }
 
-    fn span_ns(&self, work: f64, now: Nanos) -> Nanos {
-        (work * 1e9 / self.can_do_per_s(now)) as Nanos
+    /// Processing time of work with this cost.
+    fn processing_ns(&self, cost: f64, now: Nanos) -> Nanos {
+        (cost * 1e9 / self.can_do_per_s(now)) as Nanos
     }
 
-    /// The wait of a set-up that came now.
+    /// The wait of a set-up that arrives now.
     pub fn wait_ns(&self, now: Nanos) -> Nanos {
-        let busy = self.busy.map_or(0, |(_, done)| done.saturating_sub(now));
-        self.span_ns(self.waiting, now) + busy.max(self.still_until_ns.saturating_sub(now))
+        let busy_ns = self.busy.map_or(0, |(_, done)| done.saturating_sub(now));
+        self.processing_ns(self.queued_cost, now) + busy_ns.max(self.still_until_ns.saturating_sub(now))
     }
 
     fn load(&self, now: Nanos) -> Option<Load> {
@@ -260,140 +274,143 @@
         })
     }
 
-    /// Takes a message of a front.
-    pub fn hear(&mut self, now: Nanos, front: usize, message: &ToServer, does: &mut Vec<Does>) {
+    /// Handles a message of a front.
+    pub fn hear(&mut self, now: Nanos, front: usize, message: &ToServer, effects: &mut Vec<Does>) {
         if self.dead {
             return;
         }
-        self.work(now, does);
+        self.work(now, effects);
         match message {
             ToServer::Setup { attempt, call, number, .. } => {
                 let key = (front, *attempt);
-                match self.met(key, call, number.as_deref()) {
-                    Some(ailment) => self.answer_ill(now, key, ailment, does),
-                    None => self.set_up(now, key, does),
+                match self.fault_for(key, call, number.as_deref()) {
+                    Some(fault) => self.respond_with_fault(now, key, fault, effects),
+                    None => self.set_up(now, key, effects),
                 }
             }
             ToServer::Cancel { attempt } | ToServer::Release { attempt } => {
-                // A set-up that waits is still worked on, for nothing.
+                // A queued set-up stays in the queue and still takes processing time.
                 if self.calls.remove(&(front, *attempt)).is_some() {
                     self.enqueue(Work::Idle, RELEASE);
                 }
             }
         }
-        self.work(now, does);
+        self.work(now, effects);
     }
 
-    /// The ailment that a set-up meets. A repeat meets what its set-up met.
-    fn met(&mut self, key: Key, call: &str, number: Option<&str>) -> Option<Ailment> {
+    /// The fault that affects a set-up. A repeat of a set-up that was accepted gets none.
+    fn fault_for(&mut self, key: Key, call: &str, number: Option<&str>) -> Option<ResponseFault> {
         if self.calls.contains_key(&key) {
             return None;
         }
-        let met = self.ailments.iter_mut().find(|(ailment, met)| {
-            let drawn = match ailment.by {
-                By::Setup => drawn(&key),
-                By::Call => drawn(&call),
-                By::Number => drawn(&number),
+        let selected = self.response_faults.iter_mut().find(|(fault, affected)| {
+            let fraction = match fault.by {
+                By::Setup => hashed_fraction(&key),
+                By::Call => hashed_fraction(&call),
+                By::Number => hashed_fraction(&number),
             };
-            drawn < ailment.share && (ailment.first == 0 || *met < ailment.first)
+            fraction < fault.share && (fault.first == 0 || *affected < fault.first)
         })?;
-        met.1 += 1;
-        Some(met.0)
+        selected.1 += 1;
+        Some(selected.0)
     }
 
-    /// An answer that costs its refusal, whatever the line is like.
-    fn answer_ill(&mut self, now: Nanos, key: Key, ailment: Ailment, does: &mut Vec<Does>) {
-        self.count(now, key.0, does);
+    /// Sends the response of a fault, at the cost of a rejection and independent of the queue.
+    fn respond_with_fault(&mut self, now: Nanos, key: Key, fault: ResponseFault, effects: &mut Vec<Does>) {
+        self.count_setup(now, key.0, effects);
         if self.dead {
             return;
         }
         let (front, attempt) = key;
         let load = self.load(now);
-        let answer = match ailment.answers {
+        let answer = match fault.answers {
             Answers::Nothing => return,
             Answers::Full => {
-                let wait_ms = Some(ailment.wait_ns / 1_000_000).filter(|ms| *ms > 0);
+                let wait_ms = Some(fault.wait_ns / 1_000_000).filter(|ms| *ms > 0);
                 FromServer::Full { attempt, wait_ms, load }
             }
             Answers::NoCircuit => FromServer::NoCircuit { attempt, load },
             Answers::Fault => FromServer::Fault { attempt, cause: "far end".into(), load },
             Answers::Busy => FromServer::LinesBusy { attempt, load },
         };
-        self.enqueue(Work::Idle, REFUSAL);
-        does.push(Does::Send(front, answer));
+        self.enqueue(Work::Idle, REJECTION);
+        effects.push(Does::Send(front, answer));
     }
 
-    fn set_up(&mut self, now: Nanos, key: Key, does: &mut Vec<Does>) {
+    /// Handles a set-up that no fault affects.
+    fn set_up(&mut self, now: Nanos, key: Key, effects: &mut Vec<Does>) {
         let (front, attempt) = key;
         if let Some(state) = self.calls.get(&key).copied() {
-            // Known: a repeat is work, and the answer goes out again if it was lost.
+            // A repeat: if the answer was sent, it may have been lost and is sent again.
             self.enqueue(if state == State::Answered { Work::Answer(key) } else { Work::Idle }, REPEAT);
             return;
         }
-        self.count(now, front, does);
+        self.count_setup(now, front, effects);
         if self.dead {
             return;
         }
         let wait_ns = self.wait_ns(now);
         if wait_ns > self.make.full_after_ns {
-            self.enqueue(Work::Idle, REFUSAL);
+            self.enqueue(Work::Idle, REJECTION);
             let wait_ms = Some((wait_ns / 2_000_000).max(1));
-            does.push(Does::Send(front, FromServer::Full { attempt, wait_ms, load: self.load(now) }));
+            effects.push(Does::Send(front, FromServer::Full { attempt, wait_ms, load: self.load(now) }));
         } else if self.calls.len() >= self.make.circuits {
-            self.enqueue(Work::Idle, REFUSAL);
-            does.push(Does::Send(front, FromServer::NoCircuit { attempt, load: self.load(now) }));
+            self.enqueue(Work::Idle, REJECTION);
+            effects.push(Does::Send(front, FromServer::NoCircuit { attempt, load: self.load(now) }));
         } else {
             self.calls.insert(key, State::Waiting);
             self.enqueue(Work::SetUp(key), SETUP);
         }
     }
 
-    /// Counts a set-up against what pushes a cold server over.
-    fn count(&mut self, now: Nanos, front: usize, does: &mut Vec<Does>) {
+    /// Counts a set-up of a server that is warming up; the server fails if there are too many in the window.
+    fn count_setup(&mut self, now: Nanos, front: usize, effects: &mut Vec<Does>) {
         let Some(up) = self.up_since_ns.filter(|up| now < up + self.make.cold_span_ns) else { return };
-        let span = self.make.tip_span_ns;
+        let window_ns = self.make.tip_span_ns;
         self.recent.push_back((now, front));
-        while self.recent.front().is_some_and(|(at, _)| *at + span < now) {
+        while self.recent.front().is_some_and(|(at, _)| *at + window_ns < now) {
             self.recent.pop_front();
         }
-        // What it can do by its age alone: a slow one is not pushed over by what a warm one could take.
+        // The capacity by age alone: a server that is slow for another reason tolerates as much as one that
+        // isn't.
         let age = (now - up) as f64 / self.make.cold_span_ns.max(1) as f64;
-        let can_do = self.make.per_s * (self.make.cold_from + (1.0 - self.make.cold_from) * age);
-        let done = can_do * span as f64 / 1e9;
-        let multiple = self.recent.len() as f64 / done;
-        let allowed = self.make.tip_multiple * done;
+        let capacity_per_s = self.make.per_s * (self.make.cold_from + (1.0 - self.make.cold_from) * age);
+        let capacity = capacity_per_s * window_ns as f64 / 1e9;
+        let multiple = self.recent.len() as f64 / capacity;
+        let allowed = self.make.tip_multiple * capacity;
         let ramp = self.recent.len() as f64 / (allowed + 2.0 * allowed.sqrt() + 2.0);
         self.ramp = self.ramp.max(ramp);
-        let over = if self.make.tip_chance {
+        let is_overloaded = if self.make.tip_chance {
             ramp > 1.0
         } else {
-            multiple > self.make.tip_multiple && self.recent.len() > FALL_LEAST
+            multiple > self.make.tip_multiple && self.recent.len() > MAX_TOLERATED_SETUPS
         };
-        if over {
+        if is_overloaded {
             let from = self.recent.iter().map(|(_, front)| *front).collect();
             self.die();
-            does.push(Does::Falls { multiple, from });
+            effects.push(Does::Falls { multiple, from });
         }
     }
 
     fn enqueue(&mut self, work: Work, cost: f64) {
-        self.waiting += cost;
-        self.line.push_back((work, cost));
+        self.queued_cost += cost;
+        self.queue.push_back((work, cost));
     }
 
-    /// When it will have something done next.
+    /// Time at which the work in progress will be done.
     pub fn next_ns(&self) -> Option<Nanos> {
         self.busy.map(|(_, done)| done)
     }
 
-    /// Works up to now.
-    pub fn work(&mut self, now: Nanos, does: &mut Vec<Does>) {
+    /// Processes the queue up to now.
+    pub fn work(&mut self, now: Nanos, effects: &mut Vec<Does>) {
         loop {
             if self.busy.is_none() {
-                let Some((work, cost)) = self.line.pop_front() else { return };
-                self.waiting = if self.line.is_empty() { 0.0 } else { self.waiting - cost };
-                let from = now.max(self.still_until_ns);
-                self.busy = Some((work, from + self.span_ns(cost, now)));
+                let Some((work, cost)) = self.queue.pop_front() else { return };
+                // Rounding errors don't accumulate: the cost of an empty queue is 0 exactly.
+                self.queued_cost = if self.queue.is_empty() { 0.0 } else { self.queued_cost - cost };
+                let start = now.max(self.still_until_ns);
+                self.busy = Some((work, start + self.processing_ns(cost, now)));
             }
             let Some((work, _)) = self.busy.filter(|(_, done)| *done <= now) else { return };
             self.busy = None;
@@ -408,13 +425,13 @@
                     let Some(state) = self.calls.get_mut(&key) else { continue };
                     *state = State::Answered;
                     self.answers += 1;
-                    // One in so many, by count: the same for the same events.
-                    let lost = (self.answers as f64 * self.lose_answers).fract() < self.lose_answers;
-                    if lost {
-                        does.push(Does::Loses(key));
+                    // Selected by count rather than at random, so that a run can be reproduced.
+                    let is_lost = (self.answers as f64 * self.lose_answers).fract() < self.lose_answers;
+                    if is_lost {
+                        effects.push(Does::Loses(key));
                     } else {
                         let answer = FromServer::Answer { attempt: key.1, load: self.load(now) };
-                        does.push(Does::Send(key.0, answer));
+                        effects.push(Does::Send(key.0, answer));
                     }
                 }
                 Work::Idle => {}
@@ -423,9 +440,9 @@
     }
 }
 
-/// Drawn from 0 to 1 by what is hashed: the same for the same, in every run.
-fn drawn(what: &impl Hash) -> f64 {
-    let mut hash = DefaultHasher::new();
-    what.hash(&mut hash);
-    (hash.finish() >> 11) as f64 / (1u64 << 53) as f64
+/// A pseudo-random number from 0 to 1 that is the same for the same value in every run.
+fn hashed_fraction(value: &impl Hash) -> f64 {
+    let mut hasher = DefaultHasher::new();
+    value.hash(&mut hasher);
+    (hasher.finish() >> 11) as f64 / (1u64 << 53) as f64
 }
