--- a/crates/lilacpitch-testbed/src/callers.rs
+++ b/crates/lilacpitch-testbed/src/callers.rs
@@ -1,4 +1,5 @@
-//! Simulated callers on loopback sockets: one task a front, several sockets, what they send and read recorded.
+//! Simulated callers on loopback sockets: one task and several sockets for each front. What they send and
+//! read is recorded.
 
 use crate::record::{Record, Seen};
 use crate::simulation::caller::{Callers, Rate, Try};
@@ -15,14 +16,18 @@
 use tokio::sync::mpsc;
 use tokio::task::AbortHandle;
 
-/// Messages that may wait for a front to read them.
+/// Most messages queued for a front.
 const QUEUE: usize = 65_536;
-/// After the last call came: what stands is released, and its releases get this long to arrive.
-const AFTERMATH: Duration = Duration::from_millis(300);
-/// Between tries to reach a front that is gone.
-const AGAIN_NS: Nanos = 50_000_000;
+/// Time for the releases at the end of the day to arrive.
+const RELEASE_TIME: Duration = Duration::from_millis(300);
+/// Longest time after the end of the day in which answers are awaited.
+const MAX_ANSWER_WAIT_NS: Nanos = 15_000_000_000;
+/// Interval of the checks for these answers.
+const ANSWER_CHECK_NS: Nanos = 50_000_000;
+/// Interval between attempts to connect to a front that is down.
+const RECONNECT_NS: Nanos = 50_000_000;
 
-/// What the callers of one front do.
+/// The callers of one front and what they are to do.
 pub(crate) struct Plan {
     pub edge: usize,
     pub address: SocketAddr,
@@ -31,16 +36,17 @@
     pub pools: Vec<String>,
     pub callers: Callers,
     pub rate: Rate,
-    /// The clock's moment at which the day begins, and its length.
+    /// Start of the day by the clock.
     pub start_ns: Nanos,
     pub length_ns: Nanos,
-    /// When all sockets are dropped and made anew, from the day's start.
+    /// Times, from the start of the day, at which all sockets are closed and connected again.
     pub leave: Vec<Nanos>,
-    /// A socket that the front's end has ended is made anew.
-    pub come_back: bool,
+    /// Whether a socket that the front has closed is connected again.
+    pub reconnect: bool,
 }
 
-enum Todo {
+/// An action that is due at a certain time.
+enum Task {
     Offer(Try),
     Release(String),
     Leave,
@@ -48,177 +54,194 @@
 }
 
 struct Socket {
-    out: mpsc::Sender<Outgoing>,
+    outgoing: mpsc::Sender<Outgoing>,
     task: AbortHandle,
 }
 
-struct Desk {
+/// Something received on a socket.
+struct Received {
+    socket: usize,
+    /// The connection it was received on; see [`FrontCallers::connections`].
+    connection: u64,
+    /// The message; `None`: the connection has ended.
+    text: Option<String>,
+}
+
+/// The callers of one front while a day runs.
+struct FrontCallers {
     plan: Plan,
     clock: Clock,
     sockets: Vec<Option<Socket>>,
-    /// Calls without an answer, and calls that stand, each with its socket.
+    /// Calls without an answer, each with its socket.
     waiting: BTreeMap<String, (Try, usize)>,
-    standing: BTreeMap<String, usize>,
-    todo: BTreeMap<(Nanos, u64), Todo>,
+    /// Established calls, each with its socket.
+    established: BTreeMap<String, usize>,
+    /// Tasks by the time at which they are due and a serial number.
+    tasks: BTreeMap<(Nanos, u64), Task>,
     serial: u64,
-    news: mpsc::Sender<(usize, u64, Option<String>)>,
-    /// Counts a socket's lives: what an earlier one still says is not heard.
-    lives: Vec<u64>,
+    received: mpsc::Sender<Received>,
+    /// Number of connections made so far for each socket. Messages of earlier ones are ignored.
+    connections: Vec<u64>,
     records: Vec<Record>,
 }
 
-/// Plays a front's callers to the end of the day. Must run within a `LocalSet`.
+/// Runs the callers of a front to the end of the day. Must be called within a `LocalSet`.
 pub(crate) async fn play(plan: Plan, clock: Clock) -> Result<Vec<Record>, String> {
-    let (news, mut inbox) = mpsc::channel(QUEUE);
+    let (received, mut inbox) = mpsc::channel(QUEUE);
     let (sockets, end_ns) = (plan.sockets, plan.start_ns + plan.length_ns);
-    let mut desk = Desk {
+    let mut callers = FrontCallers {
         plan,
         clock,
         sockets: (0..sockets).map(|_| None).collect(),
         waiting: BTreeMap::new(),
-        standing: BTreeMap::new(),
-        todo: BTreeMap::new(),
+        established: BTreeMap::new(),
+        tasks: BTreeMap::new(),
         serial: 0,
-        news,
-        lives: vec![0; sockets],
+        received,
+        connections: vec![0; sockets],
         records: Vec::new(),
     };
     for index in 0..sockets {
-        desk.connect(index).await?;
+        callers.connect(index).await?;
     }
-    for at in desk.plan.leave.clone() {
-        desk.later(desk.plan.start_ns + at, Todo::Leave);
+    for at in callers.plan.leave.clone() {
+        callers.schedule(callers.plan.start_ns + at, Task::Leave);
     }
     loop {
-        let next = desk.plan.start_ns + desk.plan.callers.next_ns();
-        let arrival = Some(next).filter(|at| *at < end_ns);
-        let first = desk
-            .todo
+        let next_call = callers.plan.start_ns + callers.plan.callers.next_ns();
+        let arrival = Some(next_call).filter(|at| *at < end_ns);
+        let next_task = callers
+            .tasks
             .first_key_value()
             .map(|((at, _), _)| *at)
             .filter(|at| *at < end_ns || arrival.is_some());
-        let due = match (arrival, first) {
-            (None, None) if desk.waiting.is_empty() => break,
-            // Past the end only answers are waited for; a front that owes one for long is the judge's matter.
-            (None, None) => desk
+        let due = match (arrival, next_task) {
+            (None, None) if callers.waiting.is_empty() => break,
+            // After the end only answers are awaited. An answer that is missing for too long is found by the
+            // checker.
+            (None, None) => callers
                 .waiting
                 .values()
-                .map(|(t, _)| t.first_ns + desk.plan.start_ns)
+                .map(|(waiting_try, _)| waiting_try.first_ns + callers.plan.start_ns)
                 .max()
-                .map(|_| desk.clock.now() + 50_000_000),
-            (a, b) => a.into_iter().chain(b).min(),
+                .map(|_| callers.clock.now() + ANSWER_CHECK_NS),
+            (arrival, next_task) => arrival.into_iter().chain(next_task).min(),
         };
-        if arrival.is_none() && clock.now() > end_ns + 15_000_000_000 {
+        if arrival.is_none() && clock.now() > end_ns + MAX_ANSWER_WAIT_NS {
             break;
         }
         tokio::select! {
-            Some((socket, life, text)) = inbox.recv() => desk.hear(socket, life, text),
+            Some(received) = inbox.recv() => callers.handle(received),
             _ = tokio::time::sleep_until(clock.instant(due.unwrap_or(0))) => {}
         }
-        while let Ok((socket, life, text)) = inbox.try_recv() {
-            desk.hear(socket, life, text);
+        while let Ok(received) = inbox.try_recv() {
+            callers.handle(received);
         }
-        while desk.plan.start_ns + desk.plan.callers.next_ns() <= clock.now().min(end_ns) {
-            let rate = desk.plan.rate.clone();
-            let made = desk.plan.callers.next(&rate);
-            desk.offer(made);
+        while callers.plan.start_ns + callers.plan.callers.next_ns() <= clock.now().min(end_ns) {
+            let rate = callers.plan.rate.clone();
+            let first_try = callers.plan.callers.next(&rate);
+            callers.offer(first_try);
         }
-        desk.do_due(end_ns).await?;
+        callers.run_due(end_ns).await?;
     }
-    // The day is over: who still talks hangs up.
-    let standing: Vec<String> = desk.standing.keys().cloned().collect();
-    standing.into_iter().for_each(|call| desk.release(&call));
-    tokio::time::sleep(AFTERMATH).await;
-    while let Ok((socket, life, text)) = inbox.try_recv() {
-        desk.hear(socket, life, text);
+    // At the end of the day the remaining calls are released.
+    let established: Vec<String> = callers.established.keys().cloned().collect();
+    established.into_iter().for_each(|call| callers.release(&call));
+    tokio::time::sleep(RELEASE_TIME).await;
+    while let Ok(received) = inbox.try_recv() {
+        callers.handle(received);
     }
-    Ok(desk.records)
+    Ok(callers.records)
 }
 
-impl Desk {
+impl FrontCallers {
     fn record(&mut self, seen: Seen) {
         self.records.push(Record { at_ns: self.clock.now(), seen });
     }
 
-    fn later(&mut self, at: Nanos, todo: Todo) {
+    fn schedule(&mut self, at: Nanos, task: Task) {
         self.serial += 1;
-        self.todo.insert((at, self.serial), todo);
+        self.tasks.insert((at, self.serial), task);
     }
 
     async fn connect(&mut self, index: usize) -> Result<(), String> {
         let mut rng = StdRng::seed_from_u64(((self.plan.edge as u64) << 32) + index as u64);
-        let (stream, rest) =
+        let (stream, unread_bytes) =
             open(self.plan.address, "/call", CALL_PROTOCOL, &mut rng).await.map_err(|e| e.to_string())?;
-        let (out, mut queue) = mpsc::channel(QUEUE);
-        self.lives[index] += 1;
-        let (news, clock, life) = (self.news.clone(), self.clock, self.lives[index]);
+        let (outgoing, mut queue) = mpsc::channel(QUEUE);
+        self.connections[index] += 1;
+        let (received, clock, connection) = (self.received.clone(), self.clock, self.connections[index]);
         let task = tokio::task::spawn_local(async move {
-            let connection = WebSocketConnection { stream, role: Role::Client, clock, rng, quiet: None };
+            let websocket = WebSocketConnection { stream, role: Role::Client, clock, rng, quiet: None };
             let on_event = async |event| match event {
-                ConnectionEvent::Text(text) => news.send((index, life, Some(text))).await.is_ok(),
+                ConnectionEvent::Text(text) => {
+                    received.send(Received { socket: index, connection, text: Some(text) }).await.is_ok()
+                }
                 ConnectionEvent::NotWritten(_) => true,
             };
-            connection.run(&rest, &mut queue, on_event).await;
-            let _ = news.send((index, life, None)).await;
+            websocket.run(&unread_bytes, &mut queue, on_event).await;
+            let _ = received.send(Received { socket: index, connection, text: None }).await;
         });
-        self.sockets[index] = Some(Socket { out, task: task.abort_handle() });
+        self.sockets[index] = Some(Socket { outgoing, task: task.abort_handle() });
         Ok(())
     }
 
-    fn say(&mut self, socket: usize, message: &FromCaller) {
+    fn send(&mut self, socket: usize, message: &FromCaller) {
         if let Some(socket) = &self.sockets[socket] {
-            let _ = socket.out.try_send(Outgoing { number: 0, text: message.encode(), not_after_ns: None });
+            let text = message.encode();
+            let _ = socket.outgoing.try_send(Outgoing { number: 0, text, not_after_ns: None });
         }
     }
 
-    fn offer(&mut self, made: Try) {
+    /// Makes a try: sends its set-up on one of the sockets.
+    fn offer(&mut self, new_try: Try) {
         self.serial += 1;
         let socket = self.serial as usize % self.sockets.len();
         let message = FromCaller::Setup {
-            call: made.call.clone(),
-            class: self.plan.classes[made.class].clone(),
-            pool: self.plan.pools.get(made.pool).cloned(),
-            number: Some(made.number.to_string()),
-            budget_ms: made.budget_ns / 1_000_000,
+            call: new_try.call.clone(),
+            class: self.plan.classes[new_try.class].clone(),
+            pool: self.plan.pools.get(new_try.pool).cloned(),
+            number: Some(new_try.number.to_string()),
+            budget_ms: new_try.budget_ns / 1_000_000,
         };
         self.record(Seen::Offered {
-            call: made.call.clone(),
-            origin: made.origin.clone(),
+            call: new_try.call.clone(),
+            origin: new_try.origin.clone(),
             edge: self.plan.edge,
-            class: made.class,
-            budget_ns: made.budget_ns,
+            class: new_try.class,
+            budget_ns: new_try.budget_ns,
         });
-        // A caller whose front is down can't reach it: its try is lost, and counted.
+        // While the front is down the try is lost, and counts as offered.
         if self.sockets[socket].is_none() {
-            return self.record(Seen::CallerGone { calls: vec![made.call] });
+            return self.record(Seen::CallerGone { calls: vec![new_try.call] });
         }
-        self.say(socket, &message);
-        self.waiting.insert(made.call.clone(), (made, socket));
+        self.send(socket, &message);
+        self.waiting.insert(new_try.call.clone(), (new_try, socket));
     }
 
     fn release(&mut self, call: &str) {
-        let Some(socket) = self.standing.remove(call) else { return };
+        let Some(socket) = self.established.remove(call) else { return };
         self.record(Seen::CallerEnded { call: call.to_string() });
-        self.say(socket, &FromCaller::Release { call: call.to_string() });
+        self.send(socket, &FromCaller::Release { call: call.to_string() });
     }
 
-    async fn do_due(&mut self, end_ns: Nanos) -> Result<(), String> {
-        while let Some(entry) = self.todo.first_entry().filter(|e| e.key().0 <= self.clock.now()) {
-            let ((at, _), todo) = entry.remove_entry();
-            match todo {
-                // No new tries past the end.
-                Todo::Offer(made) if at < end_ns => self.offer(made),
-                Todo::Offer(_) => {}
-                Todo::Release(call) => self.release(&call),
-                Todo::Connect(index) if self.sockets[index].is_none() => {
+    /// Runs the tasks that are due. No tries are made after `end_ns`.
+    async fn run_due(&mut self, end_ns: Nanos) -> Result<(), String> {
+        while let Some(entry) = self.tasks.first_entry().filter(|e| e.key().0 <= self.clock.now()) {
+            let ((at, _), task) = entry.remove_entry();
+            match task {
+                Task::Offer(new_try) if at < end_ns => self.offer(new_try),
+                Task::Offer(_) => {}
+                Task::Release(call) => self.release(&call),
+                Task::Connect(index) if self.sockets[index].is_none() => {
                     if self.connect(index).await.is_err() {
-                        self.later(at + AGAIN_NS, Todo::Connect(index));
+                        self.schedule(at + RECONNECT_NS, Task::Connect(index));
                     }
                 }
-                Todo::Connect(_) => {}
-                Todo::Leave => {
+                Task::Connect(_) => {}
+                Task::Leave => {
                     for index in 0..self.sockets.len() {
-                        self.gone(index);
+                        self.drop_socket(index);
                         self.connect(index).await?;
                     }
                 }
@@ -227,59 +250,62 @@
         Ok(())
     }
 
-    /// A socket is dropped, or was ended by the front.
-    fn gone(&mut self, index: usize) {
+    /// Drops a socket, which the callers close or the front has closed, with its calls.
+    fn drop_socket(&mut self, index: usize) {
         let Some(socket) = self.sockets[index].take() else { return };
         socket.task.abort();
         let waiting = self.waiting.iter().filter(|(_, (_, s))| *s == index).map(|(call, _)| call.clone());
-        let standing = self.standing.iter().filter(|(_, s)| **s == index).map(|(call, _)| call.clone());
-        let calls: Vec<String> = waiting.chain(standing).collect();
+        let established = self.established.iter().filter(|(_, s)| **s == index).map(|(call, _)| call.clone());
+        let calls: Vec<String> = waiting.chain(established).collect();
         for call in &calls {
             self.waiting.remove(call);
-            self.standing.remove(call);
+            self.established.remove(call);
         }
         self.record(Seen::CallerGone { calls });
     }
 
-    fn hear(&mut self, socket: usize, life: u64, text: Option<String>) {
-        if life != self.lives[socket] {
+    fn handle(&mut self, received: Received) {
+        let Received { socket, connection, text } = received;
+        if connection != self.connections[socket] {
             return;
         }
         let Some(text) = text else {
-            self.gone(socket);
-            if self.plan.come_back {
-                self.later(self.clock.now() + AGAIN_NS, Todo::Connect(socket));
+            self.drop_socket(socket);
+            if self.plan.reconnect {
+                self.schedule(self.clock.now() + RECONNECT_NS, Task::Connect(socket));
             }
             return;
         };
         match ToCaller::decode(&text) {
             Ok(ToCaller::Final { call, answer, come_back_ms, .. }) => {
                 self.record(Seen::Final { call: call.clone(), answer });
-                let Some((made, socket)) = self.waiting.remove(&call) else { return };
+                let Some((answered_try, socket)) = self.waiting.remove(&call) else { return };
                 let now = self.clock.now();
                 if answer == Answer::Stands {
-                    self.standing.insert(call.clone(), socket);
-                    self.later(now + made.hold_ns, Todo::Release(call));
+                    self.established.insert(call.clone(), socket);
+                    self.schedule(now + answered_try.hold_ns, Task::Release(call));
                 } else {
                     let day_ns = now - self.plan.start_ns;
-                    if let Some((at, again)) = self.plan.callers.again(day_ns, &made, answer, come_back_ms) {
-                        self.later(self.plan.start_ns + at, Todo::Offer(again));
+                    let next_try = self.plan.callers.again(day_ns, &answered_try, answer, come_back_ms);
+                    if let Some((at, next_try)) = next_try {
+                        self.schedule(self.plan.start_ns + at, Task::Offer(next_try));
                     }
                 }
             }
             Ok(ToCaller::Released { call, cause }) => {
-                self.standing.remove(&call);
+                self.established.remove(&call);
                 self.record(Seen::Released { call, cut: cause != "ended" });
             }
             Ok(ToCaller::Error { call: Some(call), reason }) => {
-                // A release that crossed with the call's end is no refusal of it.
+                // "No such call" answers a release that crossed with the end of its call; it rejects no
+                // set-up.
                 if reason != "no such call" {
                     self.waiting.remove(&call);
                     self.record(Seen::NotTaken { call });
                 }
             }
             Ok(ToCaller::Error { .. }) => {}
-            Err(error) => panic!("a front's message that its own codec refuses: {text}: {error}"),
+            Err(error) => panic!("a front sent a message that does not decode: {text}: {error}"),
         }
     }
 }
--- a/crates/lilacpitch-testbed/src/edges.rs
+++ b/crates/lilacpitch-testbed/src/edges.rs
@@ -1,4 +1,4 @@
-//! Fronts to be tried: real processes, or the same front on a thread with a guard switched off.
+//! The fronts under test: processes, or the same front on a thread, where safeguards can be switched off.
 
 use lilacpitch_config::Edge;
 use lilacpitch_edge::core::Safeguards;
@@ -22,77 +22,81 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::{mpsc, oneshot};
 
-/// How long a front may take to stop.
-const STOP: Duration = Duration::from_secs(20);
+/// Longest time that a front may take to start listening on a thread, or to stop.
+const START_STOP_TIMEOUT: Duration = Duration::from_secs(20);
+/// Ticks per second in `/proc`; 100 on every Linux port in use.
+const USER_HZ: f64 = 100.0;
+/// Messages queued for a caller of [`Program::Null`].
+const QUEUE: usize = 65_536;
 
-/// What runs as a front.
+/// What to run as a front.
 #[derive(Debug, Clone)]
 pub enum Program {
-    /// A program that takes the arguments of `lilacpitch-edge`, behind these.
+    /// A program and the arguments that precede those of `lilacpitch-edge`.
     Process(PathBuf, Vec<String>),
-    /// The same front on a thread of this process, with these guards.
+    /// The front on a thread of this process, with these safeguards.
     Thread(Safeguards),
-    /// No front: whatever is asked for stands at once. For telling the laboratory's own cost.
+    /// No front: every set-up is answered at once as established. Used to measure the testbed's own latency.
     Null,
 }
 
 /// Why a front could not be run.
 #[derive(Debug, Error)]
 pub enum EdgeError {
-    /// The process could not be started or read.
+    /// The process could not be started, or its output could not be read.
     #[error("{0}: {1}")]
     Process(String, std::io::Error),
-    /// It ended before it listened, or said something else.
+    /// It ended before it listened, or its first output was not the expected one.
     #[error("the front did not start: {0}")]
     NotReady(String),
-    /// It did not stop, or not cleanly.
+    /// It did not stop in time or not cleanly.
     #[error("the front did not stop cleanly: {0}")]
     NotStopped(String),
 }
 
-/// A front that runs.
+/// A running front.
 #[derive(Debug)]
 pub struct Running {
-    /// Where callers reach it.
+    /// The address callers connect to.
     pub callers: SocketAddr,
-    what: What,
+    host: Host,
 }
 
 #[derive(Debug)]
-enum What {
+enum Host {
     Process(Child),
     Thread(oneshot::Sender<()>, JoinHandle<Result<(), String>>),
 }
 
-/// What a process has used so far.
+/// Resources that a process has used so far.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
 pub struct Used {
-    /// Seconds of processor time.
+    /// Processor time, in seconds.
     pub cpu_s: f64,
-    /// Most memory held at once, in MiB.
+    /// Peak resident memory, in MiB.
     pub peak_mib: f64,
 }
 
 impl Program {
-    /// This program itself as a front: its hidden sub-command `edge`.
+    /// This program itself as a front, by its hidden subcommand `edge`.
     pub fn this() -> std::io::Result<Self> {
         Ok(Program::Process(std::env::current_exe()?, vec!["edge".into()]))
     }
 
-    /// Starts a front with this settings file and waits until it listens.
+    /// Starts a front with a settings file and waits until it listens.
     pub fn start(&self, config: &Path) -> Result<Running, EdgeError> {
         match self {
-            Program::Process(program, first) => start_process(program, first, config),
-            Program::Thread(guards) => start_thread(*guards, config),
+            Program::Process(program, arguments) => start_process(program, arguments, config),
+            Program::Thread(safeguards) => start_thread(*safeguards, config),
             Program::Null => start_null(),
         }
     }
 }
 
-fn start_process(program: &Path, first: &[String], config: &Path) -> Result<Running, EdgeError> {
+fn start_process(program: &Path, arguments: &[String], config: &Path) -> Result<Running, EdgeError> {
     let failed = |e| EdgeError::Process(program.display().to_string(), e);
     let mut child = Command::new(program)
-        .args(first)
+        .args(arguments)
         .args(["run", "--config"])
         .arg(config)
         .stdout(Stdio::piped())
@@ -100,32 +104,32 @@
         .spawn()
         .map_err(failed)?;
     let mut line = String::new();
-    let Some(out) = child.stdout.take() else { return Err(EdgeError::NotReady("no output".into())) };
-    BufReader::new(out).read_line(&mut line).map_err(failed)?;
+    let Some(output) = child.stdout.take() else { return Err(EdgeError::NotReady("no output".into())) };
+    BufReader::new(output).read_line(&mut line).map_err(failed)?;
     let ready: serde_json::Value =
         serde_json::from_str(&line).map_err(|e| EdgeError::NotReady(format!("{line:?}: {e}")))?;
     let callers = ready["callers"].as_str().and_then(|a| a.parse().ok());
     let Some(callers) = callers else { return Err(EdgeError::NotReady(line)) };
-    Ok(Running { callers, what: What::Process(child) })
+    Ok(Running { callers, host: Host::Process(child) })
 }
 
-fn start_thread(guards: Safeguards, config: &Path) -> Result<Running, EdgeError> {
+fn start_thread(safeguards: Safeguards, config: &Path) -> Result<Running, EdgeError> {
     let settings = Edge::load(config).map_err(|e| EdgeError::NotReady(e.to_string()))?.value;
     let (stop, stopped) = oneshot::channel();
-    let (tell, told) = std::sync::mpsc::channel();
+    let (ready_sender, ready_receiver) = std::sync::mpsc::channel();
     let thread = std::thread::spawn(move || {
         let runtime =
             tokio::runtime::Builder::new_current_thread().enable_all().build().map_err(|e| e.to_string())?;
-        // Who started it may have given up waiting.
-        let ready = |ready: Ready| tell.send(ready).unwrap_or(());
+        // Sending fails if the receiver has timed out.
+        let ready = |ready: Ready| ready_sender.send(ready).unwrap_or(());
         let stop = async {
             let _ = stopped.await;
         };
-        let ran = tokio::task::LocalSet::new().block_on(&runtime, run(settings, guards, ready, stop));
-        ran.map_err(|e| e.to_string())
+        let result = tokio::task::LocalSet::new().block_on(&runtime, run(settings, safeguards, ready, stop));
+        result.map_err(|e| e.to_string())
     });
-    match told.recv_timeout(STOP) {
-        Ok(ready) => Ok(Running { callers: ready.callers, what: What::Thread(stop, thread) }),
+    match ready_receiver.recv_timeout(START_STOP_TIMEOUT) {
+        Ok(ready) => Ok(Running { callers: ready.callers, host: Host::Thread(stop, thread) }),
         Err(error) => Err(EdgeError::NotReady(error.to_string())),
     }
 }
@@ -152,12 +156,13 @@
         };
         tokio::task::LocalSet::new().block_on(&runtime, serving)
     });
-    Ok(Running { callers, what: What::Thread(stop, thread) })
+    Ok(Running { callers, host: Host::Thread(stop, thread) })
 }
 
+/// Answers every set-up of a caller's connection as established.
 async fn answer_all(mut stream: TcpStream) {
-    let Ok((_, rest)) = serve_handshake(&mut stream, "/call", CALL_PROTOCOL).await else { return };
-    let (out, mut queue) = mpsc::channel(65_536);
+    let Ok((_, unread_bytes)) = serve_handshake(&mut stream, "/call", CALL_PROTOCOL).await else { return };
+    let (outgoing, mut queue) = mpsc::channel(QUEUE);
     let connection = WebSocketConnection {
         stream,
         role: Role::Server,
@@ -171,49 +176,49 @@
                 let answer =
                     ToCaller::Final { call, answer: Answer::Stands, come_back_ms: None, cause: None };
                 let text = answer.encode();
-                return out.try_send(Outgoing { number: 0, text, not_after_ns: None }).is_ok();
+                return outgoing.try_send(Outgoing { number: 0, text, not_after_ns: None }).is_ok();
             }
         }
         true
     };
-    connection.run(&rest, &mut queue, on_event).await;
+    connection.run(&unread_bytes, &mut queue, on_event).await;
 }
 
 impl Running {
-    /// Stops its process for now, or lets it go on; a thread can't be.
+    /// Suspends its process, or resumes it. Returns `false` for a thread, which can't be suspended.
     pub fn freeze(&self, on: bool) -> bool {
         self.signal(if on { Signal::SIGSTOP } else { Signal::SIGCONT })
     }
 
-    /// Sends its process a signal; `false`: it is a thread, or gone.
+    /// Sends its process a signal. Returns `false` if it is a thread or the process has ended.
     pub fn signal(&self, signal: Signal) -> bool {
-        match &self.what {
-            What::Process(child) => kill(Pid::from_raw(child.id() as i32), signal).is_ok(),
-            What::Thread(..) => false,
+        match &self.host {
+            Host::Process(child) => kill(Pid::from_raw(child.id() as i32), signal).is_ok(),
+            Host::Thread(..) => false,
         }
     }
 
-    /// Kills its process, without a word, and waits until it is gone; `false`: it is a thread.
+    /// Kills its process (`SIGKILL`) and waits until it has ended. Returns `false` for a thread.
     pub fn kill(&mut self) -> bool {
-        match &mut self.what {
-            What::Process(child) => child.kill().and_then(|()| child.wait()).is_ok(),
-            What::Thread(..) => false,
+        match &mut self.host {
+            Host::Process(child) => child.kill().and_then(|()| child.wait()).is_ok(),
+            Host::Thread(..) => false,
         }
     }
 
-    /// What its process has used; nothing is known of a thread.
+    /// Resources that its process has used; `None` for a thread.
     pub fn used(&self) -> Option<Used> {
-        match &self.what {
-            What::Process(child) => used(child.id()),
-            What::Thread(..) => None,
+        match &self.host {
+            Host::Process(child) => used(child.id()),
+            Host::Thread(..) => None,
         }
     }
 
-    /// Asks it to stop and waits until it has.
+    /// Requests it to stop and waits until it has.
     pub fn stop(self) -> Result<(), EdgeError> {
         self.signal(Signal::SIGTERM);
-        match self.what {
-            What::Thread(stop, thread) => {
+        match self.host {
+            Host::Thread(stop, thread) => {
                 let _ = stop.send(());
                 match thread.join() {
                     Ok(Ok(())) => Ok(()),
@@ -221,13 +226,15 @@
                     Err(_) => Err(EdgeError::NotStopped("it panicked".into())),
                 }
             }
-            What::Process(mut child) => {
-                let until = Instant::now() + STOP;
+            Host::Process(mut child) => {
+                let deadline = Instant::now() + START_STOP_TIMEOUT;
                 loop {
                     match child.try_wait() {
                         Ok(Some(status)) if status.success() => return Ok(()),
                         Ok(Some(status)) => return Err(EdgeError::NotStopped(status.to_string())),
-                        Ok(None) if Instant::now() < until => std::thread::sleep(Duration::from_millis(20)),
+                        Ok(None) if Instant::now() < deadline => {
+                            std::thread::sleep(Duration::from_millis(20))
+                        }
                         _ => {
                             let _ = child.kill();
                             let _ = child.wait();
@@ -240,15 +247,15 @@
     }
 }
 
-/// What a process has used, from the kernel's own account of it.
+/// Resources that a process has used, as the kernel reports them in `/proc`.
 pub fn used(pid: u32) -> Option<Used> {
     let stat = std::fs::read_to_string(format!("/proc/{pid}/stat")).ok()?;
-    // Behind the name, which may hold anything: state is field 3, utime and stime are 14 and 15, in ticks.
+    // The fields after the name, which may itself contain spaces and parentheses. The first is field 3, the
+    // state; utime and stime, in ticks, are fields 14 and 15.
     let fields: Vec<&str> = stat.rsplit_once(')')?.1.split_whitespace().collect();
     let ticks: f64 = fields.get(11)?.parse::<f64>().ok()? + fields.get(12)?.parse::<f64>().ok()?;
     let status = std::fs::read_to_string(format!("/proc/{pid}/status")).ok()?;
     let peak = status.lines().find_map(|l| l.strip_prefix("VmHWM:"))?;
     let peak_kib: f64 = peak.split_whitespace().next()?.parse().ok()?;
-    // The kernel's USER_HZ, 100 on every Linux port in use.
-    Some(Used { cpu_s: ticks / 100.0, peak_mib: peak_kib / 1024.0 })
+    Some(Used { cpu_s: ticks / USER_HZ, peak_mib: peak_kib / 1024.0 })
 }
--- a/crates/lilacpitch-testbed/src/record.rs
+++ b/crates/lilacpitch-testbed/src/record.rs
@@ -1,20 +1,22 @@
-//! What stand-ins saw at their sockets. The judge reads nothing else.
+//! Records of the events at the sockets of simulated servers and callers. They are the only input of the
+//! checker of the call rules.
 
 use lilacpitch::interface::Nanos;
 use lilacpitch_protocol::message::call::Answer;
 use lilacpitch_protocol::message::signal::{FromServer, ToServer};
 use serde::{Deserialize, Serialize};
 
-/// One thing seen, and when, in nanoseconds of the laboratory's own clock.
+/// An event and its time.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Record {
-    /// When.
+    /// Time of the event, in nanoseconds of the testbed's clock.
     pub at_ns: Nanos,
-    /// What.
+    /// The event.
     pub seen: Seen,
 }
 
-/// What was seen. `call` is the caller's id, unique in a day; `attempt` is the front's number.
+/// An event at a socket. `call` is the caller's id of a call, unique in a day; `attempt` is the front's id of
+/// an attempt.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Seen {
@@ -22,49 +24,49 @@
     Offered {
         /// The call.
         call: String,
-        /// The call of its first try.
+        /// The call of the first try.
         origin: String,
-        /// The front's number.
+        /// Index of the front.
         edge: usize,
-        /// The class, by number.
+        /// Index of the class.
         class: usize,
         /// How long the caller waits.
         budget_ns: Nanos,
     },
-    /// A caller read its final answer.
+    /// A caller read the final answer to a set-up.
     Final {
         /// The call.
         call: String,
         /// The answer.
         answer: Answer,
     },
-    /// A caller read that its standing call was released.
+    /// A caller read that its established call was released.
     Released {
         /// The call.
         call: String,
         /// Whether it was cut.
         cut: bool,
     },
-    /// A caller read that its set-up was not taken.
+    /// A caller read that its set-up was not accepted.
     NotTaken {
         /// The call.
         call: String,
     },
-    /// A caller ended its call, or gave it up.
+    /// A caller released its call or gave up.
     CallerEnded {
         /// The call.
         call: String,
     },
-    /// A caller's connection ended; it owes and is owed nothing after.
+    /// A caller's connection ended. Neither side owes the other any message about its calls after that.
     CallerGone {
-        /// Its calls that had not ended.
+        /// The caller's calls that had not ended.
         calls: Vec<String>,
     },
     /// A server read a set-up.
     Setup {
         /// The server.
         server: String,
-        /// The front's number.
+        /// Index of the front.
         edge: usize,
         /// The attempt.
         attempt: u64,
@@ -77,64 +79,65 @@
     Answered {
         /// The server.
         server: String,
-        /// The front's number.
+        /// Index of the front.
         edge: usize,
         /// The attempt.
         attempt: u64,
-        /// Whether the call stands by it; else the attempt ended.
+        /// Whether the call is established by it; otherwise the attempt has ended.
         stands: bool,
     },
     /// A server read a cancel or a release.
     Ended {
         /// The server.
         server: String,
-        /// The front's number.
+        /// Index of the front.
         edge: usize,
         /// The attempt.
         attempt: u64,
-        /// Whether it was a cancel: the front awaits the release then.
+        /// Whether it was a cancel, after which the front awaits the release.
         cancel: bool,
     },
-    /// A front's connection to a server ended: all that was on it has.
+    /// A front's connection to a server ended, and with it all calls on it.
     LinkEnded {
         /// The server.
         server: String,
-        /// The front's number.
+        /// Index of the front.
         edge: usize,
     },
-    /// The pool list as the fronts can read it from now on.
+    /// The state of a server changed in the pool list that fronts read.
     Told {
         /// The server.
         server: String,
-        /// Whether set-ups may go there.
+        /// Whether it accepts set-ups.
         running: bool,
     },
-    /// A server was pushed over while cold.
+    /// A server failed under too much load while it was warming up.
     Fell {
         /// The server.
         server: String,
-        /// What it was sent within the window, as a multiple of what it could do then.
+        /// The load within the window, as a multiple of the server's capacity then.
         multiple: f64,
     },
-    /// The laboratory stopped a front's process from now,
+    /// The testbed suspended a front's process.
     Frozen {
-        /// The front's number.
+        /// Index of the front.
         edge: usize,
     },
-    /// or let it run again.
+    /// The testbed resumed a front's process.
     Thawed {
-        /// The front's number.
+        /// Index of the front.
         edge: usize,
     },
 }
 
-/// The caller's id of a call, from the front's label `FRONT/SERIAL/ID`.
+/// The caller's id of a call in the label `FRONT/SERIAL/ID` that a front gives it.
 pub fn call_of(label: &str) -> &str {
     label.splitn(3, '/').nth(2).unwrap_or(label)
 }
 
 impl Seen {
-    /// What a server saw in a front's message. `known`: it has the attempt already.
+    /// The event of a server that reads a front's message. `known`: whether the server has the attempt
+    /// already.
     pub fn read(server: &str, edge: usize, message: &ToServer, known: bool) -> Seen {
         let server = server.to_string();
         match message {
@@ -150,7 +153,7 @@
         }
     }
 
-    /// What a server's own message did.
+    /// The event of a server that sends a message.
     pub fn said(server: &str, edge: usize, message: &FromServer) -> Seen {
         let (server, attempt) = (server.to_string(), message.attempt());
         match message {
--- a/crates/lilacpitch-testbed/src/runner.rs
+++ b/crates/lilacpitch-testbed/src/runner.rs
@@ -1,5 +1,5 @@
-//! Plays a day with real fronts on loopback: starts them and the stand-ins, lets the troubles happen, collects
-//! what crossed the sockets.
+//! Runs a day with real fronts on loopback: starts them and the simulated servers and callers, injects the
+//! faults, and collects the records of what crossed the sockets.
 
 use crate::call_rules_checker::{judge, Breach};
 use crate::callers;
@@ -19,24 +19,25 @@
 use thiserror::Error;
 use tokio::sync::watch;
 
-/// From the fronts' start to the first call: links are made meanwhile.
+/// Half of the time from the program's start to the first call; in it the fronts start and connect to the
+/// servers.
 const LEAD_NS: Nanos = 1_000_000_000;
-/// Fronts that all others know from their settings.
+/// Number of fronts that are seeds in the settings of all fronts.
 const SEEDS: usize = 5;
 
-/// Why a day could not be played.
+/// Why a day could not be run.
 #[derive(Debug, Error)]
 pub enum PlayError {
-    /// A front.
+    /// A front failed.
     #[error(transparent)]
     Edge(#[from] EdgeError),
-    /// A file or socket of the laboratory itself.
+    /// A file or socket of the testbed itself failed.
     #[error("{0}: {1}")]
     Io(&'static str, std::io::Error),
-    /// A front that tells others nonsense: none of the real ones does.
-    #[error("days with peers_confused are played in virtual time only")]
+    /// The day has faults that exist in virtual time only: fronts with false reports, or a late pool list.
+    #[error("days with peers_confused or list_late are played in virtual time only")]
     VirtualOnly,
-    /// Only processes can be killed.
+    /// The day restarts fronts, and only processes can be killed.
     #[error("days with restarts are played with processes only")]
     ProcessesOnly,
     /// A caller could not connect.
@@ -44,24 +45,25 @@
     Callers(String),
 }
 
-/// A day that was played.
+/// The result of a day.
 #[derive(Debug)]
 pub struct Played {
-    /// What crossed the sockets, in the order of time.
+    /// The events at the sockets, in order of time.
     pub records: Vec<Record>,
-    /// Its sums.
+    /// The totals.
     pub report: Report,
-    /// Rules broken.
+    /// Violations of the call rules.
     pub breaches: Vec<Breach>,
-    /// What each front's process used; empty for threads.
+    /// Resources used by each front's process; empty for threads.
     pub used: Vec<Used>,
-    /// What fronts sent each other: in virtual time while calls came, on sockets from start to end.
+    /// Datagrams between fronts: in virtual time while calls arrive, on sockets from start to end.
     pub talk: Sent,
-    /// What a cold server was sent at most, of its ramp with chance: in virtual time, 0 on sockets.
+    /// The highest [`ramp`](crate::simulation::server::Server::ramp) of a server in virtual time; 0 on
+    /// sockets.
     pub ramp: f64,
 }
 
-/// Plays a day with this program as its fronts. Blocks until it is over.
+/// Runs a day with this program as its fronts. Blocks until the day is over.
 pub fn play(day: &Day, program: &Program) -> Result<Played, PlayError> {
     let has = |kind: Kind| day.troubles.iter().any(|t| t.kind == kind);
     if has(Kind::PeersConfused) || has(Kind::ListLate) {
@@ -78,37 +80,37 @@
         sockets.push(standin::bind().map_err(|e| PlayError::Io("a server's socket", e))?);
     }
     let addresses: Vec<SocketAddr> = sockets.iter().map(|(_, address)| *address).collect();
-    let mut board = Board::new(&script, addresses, folder.path());
-    board.write().map_err(|e| PlayError::Io("the pool list", e))?;
+    let mut pool_list = PoolListFile::new(&script, addresses, folder.path());
+    pool_list.write().map_err(|e| PlayError::Io("the pool list", e))?;
     let start_ns = clock.now() + LEAD_NS * 2;
-    board.day_start_ms = start_ns / 1_000_000;
-    let (over, done) = watch::channel(false);
+    pool_list.day_start_ms = start_ns / 1_000_000;
+    let (stop, stopped) = watch::channel(false);
     let plays = plays(day, &script, sockets, start_ns);
-    let servers = std::thread::spawn(move || on_a_loop(standin::play(plays, clock, done)));
+    let servers = std::thread::spawn(move || run_locally(standin::play(plays, clock, stopped)));
     let mut fronts = Fronts { program, configs: Vec::new(), running: Vec::new(), relay: None };
-    let mut played = fronts
-        .start(day, folder.path(), &board.path)
-        .and_then(|()| play_day(day, &script, &mut fronts, board, clock, start_ns));
+    let mut result = fronts
+        .start(day, folder.path(), &pool_list.path)
+        .and_then(|()| play_day(day, &script, &mut fronts, pool_list, clock, start_ns));
     let Fronts { running: edges, relay, .. } = fronts;
     let used: Vec<Used> = edges.iter().filter_map(Running::used).collect();
     for edge in edges {
-        // The first error is the one that tells most.
-        if let (Err(error), Ok(_)) = (edge.stop(), &played) {
-            played = Err(error.into());
+        // Only the first error is kept: the later ones are usually consequences of it.
+        if let (Err(error), Ok(_)) = (edge.stop(), &result) {
+            result = Err(error.into());
         }
     }
-    let _ = over.send(true);
-    let talk = match relay.map(Relay::stop).transpose() {
+    let _ = stop.send(true);
+    let (datagrams, bytes) = match relay.map(Relay::stop).transpose() {
         Ok(counts) => counts.unwrap_or_default().came,
         Err(error) => return Err(PlayError::Io("the network between fronts", error)),
     };
-    let seen = match servers.join() {
+    let server_records = match servers.join() {
         Ok(Ok(Ok(records))) => records,
         Ok(Ok(Err(error)) | Err(error)) => return Err(PlayError::Io("a server", error)),
         Err(_) => return Err(PlayError::Io("a server", std::io::Error::other("panicked"))),
     };
-    let mut records = played?;
-    records.extend(seen);
+    let mut records = result?;
+    records.extend(server_records);
     records.sort_by_key(|r| r.at_ns);
     for record in &mut records {
         record.at_ns = record.at_ns.saturating_sub(start_ns);
@@ -119,38 +121,39 @@
         breaches,
         records,
         used,
-        talk: Sent { datagrams: talk.0, bytes: talk.1 },
+        talk: Sent { datagrams, bytes },
         ramp: 0.0,
     })
 }
 
-/// Runs to its end on a thread of its own loop.
-fn on_a_loop<T>(of: impl std::future::Future<Output = T>) -> std::io::Result<T> {
+/// Runs a future to completion on a runtime of its own on the current thread.
+fn run_locally<T>(future: impl std::future::Future<Output = T>) -> std::io::Result<T> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
-    Ok(tokio::task::LocalSet::new().block_on(&runtime, of))
+    Ok(tokio::task::LocalSet::new().block_on(&runtime, future))
 }
 
+/// The simulated servers of a day.
 fn plays(
     day: &Day,
     script: &Script,
     sockets: Vec<(std::net::TcpListener, SocketAddr)>,
     start_ns: Nanos,
 ) -> Vec<Play> {
-    let of = |(index, (listener, _)): (usize, (std::net::TcpListener, SocketAddr))| {
+    let play = |(index, (listener, _)): (usize, (std::net::TcpListener, SocketAddr))| {
         let (server, listed) = &script.servers[index];
-        let own = script.server.iter().filter(|(_, i, _)| *i == index);
+        let events = script.server.iter().filter(|(_, i, _)| *i == index);
         Play {
             name: server.name.clone(),
             make: day.make(server),
             listener,
-            events: own.map(|(at, _, event)| (start_ns + at, *event)).collect(),
+            events: events.map(|(at, _, event)| (start_ns + at, *event)).collect(),
             absent: !listed,
         }
     };
-    sockets.into_iter().enumerate().map(of).collect()
+    sockets.into_iter().enumerate().map(play).collect()
 }
 
-/// The fronts of a day, and the network between them.
+/// The fronts of a day and the network between them.
 struct Fronts<'a> {
     program: &'a Program,
     configs: Vec<PathBuf>,
@@ -160,8 +163,8 @@
 
 impl Fronts<'_> {
     fn start(&mut self, day: &Day, folder: &Path, list: &Path) -> Result<(), PlayError> {
-        let io = |what| move |e| PlayError::Io(what, e);
-        // Fixed, since one that starts anew must be found where it was.
+        let io = |context| move |e| PlayError::Io(context, e);
+        // The addresses are chosen here, so that a front has the same one after a restart.
         let listen = free_addresses(day.edges).map_err(io("fronts' addresses"))?;
         let peers = if day.peers { self.connect(day, folder)? } else { vec![String::new(); day.edges] };
         for (edge, (listen, peers)) in listen.iter().zip(peers).enumerate() {
@@ -174,16 +177,17 @@
         Ok(())
     }
 
-    /// Puts a relay before each front; the settings by which they know each other.
+    /// Starts a relay in front of each front. Returns the part of each front's settings that concerns its
+    /// peers.
     fn connect(&mut self, day: &Day, folder: &Path) -> Result<Vec<String>, PlayError> {
-        let network = |e| PlayError::Io("the network between fronts", e);
-        let real = free_addresses(day.edges).map_err(network)?;
-        let relay = Relay::start(real.clone(), day.seed).map_err(network)?;
+        let network_error = |e| PlayError::Io("the network between fronts", e);
+        let real = free_addresses(day.edges).map_err(network_error)?;
+        let relay = Relay::start(real.clone(), day.seed).map_err(network_error)?;
         let key = folder.join("peers.key");
         std::fs::write(&key, "5a".repeat(32)).map_err(|e| PlayError::Io("the key of fronts", e))?;
         let seeds: Vec<String> =
             relay.public.iter().take(SEEDS).map(|a| format!("{:?}", a.to_string())).collect();
-        let of = |(listen, reached): (&SocketAddr, &SocketAddr)| {
+        let peers = |(listen, reached): (&SocketAddr, &SocketAddr)| {
             format!(
                 "peers: {{listen: \"{listen}\", reached_at: \"{reached}\", seeds: [{}], key_file: {:?}, fronts: {}}}\n",
                 seeds.join(", "),
@@ -191,17 +195,18 @@
                 day.edges.max(2)
             )
         };
-        let settings = real.iter().zip(&relay.public).map(of).collect();
+        let settings = real.iter().zip(&relay.public).map(peers).collect();
         self.relay = Some(relay);
         Ok(settings)
     }
 }
 
+/// Runs the callers and the events of a day.
 fn play_day(
     day: &Day,
     script: &Script,
     fronts: &mut Fronts<'_>,
-    board: Board,
+    pool_list: PoolListFile,
     clock: Clock,
     start_ns: Nanos,
 ) -> Result<Vec<Record>, PlayError> {
@@ -222,65 +227,64 @@
         start_ns,
         length_ns: day.length_ns,
         leave: script.leave.iter().filter(|(_, e)| *e == edge).map(|(at, _)| *at).collect(),
-        come_back: script.restart.iter().any(|(.., e)| *e == edge),
+        reconnect: script.restart.iter().any(|(.., e)| *e == edge),
     };
     let all = async {
         let callers: Vec<_> = (0..addresses.len())
             .map(|edge| tokio::task::spawn_local(callers::play(plan(edge), clock)))
             .collect();
-        let mut records = happen(day, script, fronts, board, clock, start_ns).await?;
+        let mut records = run_events(day, script, fronts, pool_list, clock, start_ns).await?;
         for task in callers {
-            let seen = task.await.map_err(|e| PlayError::Callers(e.to_string()))?;
-            records.extend(seen.map_err(PlayError::Callers)?);
+            let caller_records = task.await.map_err(|e| PlayError::Callers(e.to_string()))?;
+            records.extend(caller_records.map_err(PlayError::Callers)?);
         }
         Ok(records)
     };
-    on_a_loop(all).map_err(|e| PlayError::Io("the laboratory's loop", e))?
+    run_locally(all).map_err(|e| PlayError::Io("the event loop of callers", e))?
 }
 
-/// Lets happen what is neither a server's nor a caller's doing: the pool list, fronts that freeze or start anew, and
-/// the network between them.
-async fn happen(
+/// Runs the events that concern neither a single server nor the callers: changes of the pool list, fronts
+/// that are suspended or restarted, and faults of the network between them.
+async fn run_events(
     day: &Day,
     script: &Script,
     fronts: &mut Fronts<'_>,
-    mut board: Board,
+    mut pool_list: PoolListFile,
     clock: Clock,
     start_ns: Nanos,
 ) -> Result<Vec<Record>, PlayError> {
-    enum What {
+    enum DayEvent {
         Listed(usize, Listed),
         Freeze(usize, bool),
         Kill(usize),
         Start(usize),
         Weather(Weather),
     }
-    let mut all: Vec<(Nanos, What)> =
-        script.list.iter().map(|(at, server, listed)| (*at, What::Listed(*server, *listed))).collect();
-    for (from, to, edge) in &script.freeze {
-        all.push((*from, What::Freeze(*edge, true)));
-        all.push((*to, What::Freeze(*edge, false)));
+    let mut events: Vec<(Nanos, DayEvent)> =
+        script.list.iter().map(|(at, server, listed)| (*at, DayEvent::Listed(*server, *listed))).collect();
+    for (start, end, edge) in &script.freeze {
+        events.push((*start, DayEvent::Freeze(*edge, true)));
+        events.push((*end, DayEvent::Freeze(*edge, false)));
     }
-    for (from, to, edge) in &script.restart {
-        all.extend([(*from, What::Kill(*edge)), (*to, What::Start(*edge))]);
+    for (down, up, edge) in &script.restart {
+        events.extend([(*down, DayEvent::Kill(*edge)), (*up, DayEvent::Start(*edge))]);
     }
-    let lost = script.peers_lost.iter().flat_map(|(from, to)| [*from, *to]);
-    let damaged = script.peers_damaged.iter().flat_map(|(from, to, _)| [*from, *to]);
-    all.extend(
-        std::iter::once(0).chain(lost).chain(damaged).map(|at| (at, What::Weather(day.weather(script, at)))),
-    );
-    all.sort_by_key(|(at, _)| *at);
+    let lost = script.peers_lost.iter().flat_map(|(start, end)| [*start, *end]);
+    let damaged = script.peers_damaged.iter().flat_map(|(start, end, _)| [*start, *end]);
+    let weather_changes = std::iter::once(0).chain(lost).chain(damaged);
+    events.extend(weather_changes.map(|at| (at, DayEvent::Weather(day.weather(script, at)))));
+    events.sort_by_key(|(at, _)| *at);
     let mut records = Vec::new();
-    for (at, what) in all {
+    for (at, event) in events {
         tokio::time::sleep_until(clock.instant(start_ns + at)).await;
-        let seen = match what {
-            What::Listed(server, listed) => {
-                board.listed[server] = listed;
-                board.write().map_err(|e| PlayError::Io("the pool list", e))?;
+        let seen = match event {
+            DayEvent::Listed(server, listed) => {
+                pool_list.listed[server] = listed;
+                pool_list.write().map_err(|e| PlayError::Io("the pool list", e))?;
                 let running = matches!(listed, Listed::Running(_));
                 Seen::Told { server: script.servers[server].0.name.clone(), running }
             }
-            What::Freeze(edge, on) => {
+            DayEvent::Freeze(edge, on) => {
                 fronts.running[edge].freeze(on);
                 if on {
                     Seen::Frozen { edge }
@@ -288,20 +292,20 @@
                     Seen::Thawed { edge }
                 }
             }
-            // What its end and its start mean is seen at the sockets of callers and servers.
-            What::Kill(edge) => {
+            // A front's end and start need no records: their effects are recorded by callers and servers.
+            DayEvent::Kill(edge) => {
                 fronts.running[edge].kill();
                 continue;
             }
-            What::Start(edge) => {
+            DayEvent::Start(edge) => {
                 let (program, config) = (fronts.program.clone(), fronts.configs[edge].clone());
-                // Not on this loop: callers go on meanwhile.
+                // On a thread of its own, since callers run on this one.
                 let started = tokio::task::spawn_blocking(move || program.start(&config)).await;
-                let failed = |e| EdgeError::NotReady(format!("its start panicked: {e}"));
-                fronts.running[edge] = started.map_err(failed)??;
+                let panicked = |e| EdgeError::NotReady(format!("its start panicked: {e}"));
+                fronts.running[edge] = started.map_err(panicked)??;
                 continue;
             }
-            What::Weather(weather) => {
+            DayEvent::Weather(weather) => {
                 fronts.relay.iter().for_each(|relay| relay.weather(weather));
                 continue;
             }
@@ -311,20 +315,23 @@
     Ok(records)
 }
 
-/// The pool list, as it stands and as a file.
-struct Board {
+/// The pool list of a day and its file.
+struct PoolListFile {
     path: PathBuf,
-    rows: Vec<(String, String, SocketAddr)>,
+    /// Name, pool and address of each server.
+    servers: Vec<(String, String, SocketAddr)>,
+    /// The state of each server.
     listed: Vec<Listed>,
+    /// Start of the day, in milliseconds by the clock.
     day_start_ms: u64,
 }
 
-impl Board {
+impl PoolListFile {
     fn new(script: &Script, addresses: Vec<SocketAddr>, folder: &Path) -> Self {
         let servers = script.servers.iter().zip(addresses);
-        Board {
+        PoolListFile {
             path: folder.join("pools.cue"),
-            rows: servers.map(|((s, _), address)| (s.name.clone(), s.pool.clone(), address)).collect(),
+            servers: servers.map(|((s, _), address)| (s.name.clone(), s.pool.clone(), address)).collect(),
             listed: script
                 .servers
                 .iter()
@@ -334,12 +341,13 @@
         }
     }
 
-    /// Replaced whole, by renaming: no front reads half of it.
+    /// Replaces the file by renaming a new one, so that no front reads a part of it.
     fn write(&self) -> std::io::Result<()> {
-        let rows = self.rows.iter().zip(&self.listed);
-        let rows = rows.map(|((n, p, a), l)| (n.clone(), p.clone(), a.to_string(), *l));
-        let beside = self.path.with_extension("new");
-        std::fs::write(&beside, pool_list(rows, self.day_start_ms))?;
-        std::fs::rename(&beside, &self.path)
+        let servers = self.servers.iter().zip(&self.listed).map(|((name, pool, address), listed)| {
+            (name.clone(), pool.clone(), address.to_string(), *listed)
+        });
+        let new_file = self.path.with_extension("new");
+        std::fs::write(&new_file, pool_list(servers, self.day_start_ms))?;
+        std::fs::rename(&new_file, &self.path)
     }
 }
--- a/crates/lilacpitch-testbed/src/standin.rs
+++ b/crates/lilacpitch-testbed/src/standin.rs
@@ -1,5 +1,5 @@
-//! Simulated servers on loopback sockets, around the same model that runs in virtual time. What they read and
-//! answer is recorded here, at the socket.
+//! Simulated servers on loopback sockets, with the same model that runs in virtual time. What they read and
+//! send is recorded at the socket.
 
 use crate::day::ServerEvent;
 use crate::record::{Record, Seen};
@@ -17,48 +17,50 @@
 use tokio::sync::{mpsc, watch};
 use tokio::task::AbortHandle;
 
-/// Messages that may wait for a front to read them.
+/// Most messages queued for a front.
 const QUEUE: usize = 65_536;
 
-/// A server to be played: its name, what it is like, its socket, and what happens to it at which moments of the
-/// clock, in order.
+/// A server to be simulated.
 pub struct Play {
     /// Its name in the pool list.
     pub name: String,
-    /// What it is like.
+    /// The parameters of its model.
     pub make: Make,
-    /// Its socket, bound already.
+    /// Its bound socket.
     pub listener: std::net::TcpListener,
-    /// What happens to it.
+    /// The events that concern it, ordered by time of the clock.
     pub events: Vec<(Nanos, ServerEvent)>,
-    /// Whether it does not run yet.
+    /// Whether it doesn't run yet.
     pub absent: bool,
 }
 
-enum News {
-    Open { conn: u64, edge: usize, out: mpsc::Sender<Outgoing> },
-    Text { conn: u64, text: String },
-    Closed { conn: u64 },
+/// An event of a connection, identified by its id.
+enum SocketEvent {
+    Open { connection: u64, edge: usize, outgoing: mpsc::Sender<Outgoing> },
+    Text { connection: u64, text: String },
+    Closed { connection: u64 },
 }
 
-struct Conn {
+struct Connection {
     edge: usize,
-    out: mpsc::Sender<Outgoing>,
+    outgoing: mpsc::Sender<Outgoing>,
     task: AbortHandle,
 }
 
-struct StandIn {
+/// A simulated server and its connections.
+struct SocketServer {
     name: String,
     model: Server,
     clock: Clock,
-    conns: BTreeMap<u64, Conn>,
-    /// Connections whose handshake is under way.
+    connections: BTreeMap<u64, Connection>,
+    /// Connections whose handshake is in progress.
     opening: BTreeMap<u64, AbortHandle>,
+    /// The newest connection of each front.
     by_edge: BTreeMap<usize, u64>,
-    next: u64,
+    last_connection: u64,
     records: Vec<Record>,
-    does: Vec<Does>,
-    /// Silent: takes connections and answers nothing, not even their handshake.
+    effects: Vec<Does>,
+    /// Whether it is silent: it accepts connections and answers nothing, not even their handshake.
     dead: bool,
     stopped: bool,
 }
@@ -71,15 +73,15 @@
     Ok((listener, address))
 }
 
-/// Plays servers until `done` says so. Returns what they saw. Must run within a `LocalSet`.
+/// Runs servers until the value of `stop` changes. Returns their records. Must be called within a `LocalSet`.
 pub async fn play(
     plays: Vec<Play>,
     clock: Clock,
-    done: watch::Receiver<bool>,
+    stop: watch::Receiver<bool>,
 ) -> std::io::Result<Vec<Record>> {
     let mut tasks = Vec::new();
     for play in plays {
-        tasks.push(tokio::task::spawn_local(serve(play, clock, done.clone())));
+        tasks.push(tokio::task::spawn_local(serve(play, clock, stop.clone())));
     }
     let mut records = Vec::new();
     for task in tasks {
@@ -88,105 +90,110 @@
     Ok(records)
 }
 
-async fn serve(play: Play, clock: Clock, mut done: watch::Receiver<bool>) -> std::io::Result<Vec<Record>> {
+async fn serve(play: Play, clock: Clock, mut stop: watch::Receiver<bool>) -> std::io::Result<Vec<Record>> {
     let listener = TcpListener::from_std(play.listener)?;
     let mut events = play.events.into_iter().peekable();
-    let (news, mut inbox) = mpsc::channel(QUEUE);
-    let mut stand_in = StandIn {
+    let (socket_events, mut inbox) = mpsc::channel(QUEUE);
+    let mut server = SocketServer {
         name: play.name,
         model: Server::new(play.make),
         clock,
-        conns: BTreeMap::new(),
+        connections: BTreeMap::new(),
         opening: BTreeMap::new(),
         by_edge: BTreeMap::new(),
-        next: 0,
+        last_connection: 0,
         records: Vec::new(),
-        does: Vec::new(),
+        effects: Vec::new(),
         dead: play.absent,
         stopped: false,
     };
     if play.absent {
-        stand_in.model.die();
+        server.model.die();
     }
     loop {
         let event_ns = events.peek().map(|(at, _)| *at);
-        let due = [event_ns, stand_in.model.next_ns()].into_iter().flatten().min();
+        let due = [event_ns, server.model.next_ns()].into_iter().flatten().min();
         let due = due.map(|at| clock.instant(at));
         tokio::select! {
             biased;
-            _ = done.changed() => return Ok(stand_in.records),
+            _ = stop.changed() => return Ok(server.records),
             _ = tokio::time::sleep_until(due.unwrap_or_else(tokio::time::Instant::now)), if due.is_some() => {}
-            Some(heard) = inbox.recv() => stand_in.hear(heard),
-            accepted = listener.accept(), if !stand_in.stopped => stand_in.accept(accepted?.0, &news),
+            Some(event) = inbox.recv() => server.handle(event),
+            accepted = listener.accept(), if !server.stopped => server.accept(accepted?.0, &socket_events),
         }
         while events.peek().is_some_and(|(at, _)| *at <= clock.now()) {
             if let Some((_, event)) = events.next() {
-                stand_in.event(event);
+                server.apply(event);
             }
         }
         let now = clock.now();
-        stand_in.model.work(now, &mut stand_in.does);
-        stand_in.carry_out();
+        server.model.work(now, &mut server.effects);
+        server.carry_out();
     }
 }
 
-impl StandIn {
+impl SocketServer {
     fn record(&mut self, seen: Seen) {
         self.records.push(Record { at_ns: self.clock.now(), seen });
     }
 
-    fn accept(&mut self, mut stream: TcpStream, news: &mpsc::Sender<News>) {
-        self.next += 1;
-        let (conn, news, clock, dead) = (self.next, news.clone(), self.clock, self.dead);
+    fn accept(&mut self, mut stream: TcpStream, events: &mpsc::Sender<SocketEvent>) {
+        self.last_connection += 1;
+        let (connection, events, clock) = (self.last_connection, events.clone(), self.clock);
+        let dead = self.dead;
         let task = tokio::task::spawn_local(async move {
             if dead {
-                // Taken by the machine, answered by nobody.
+                // The operating system accepts the connection, and nobody answers it.
                 std::future::pending::<()>().await;
             }
-            let Ok((target, rest)) = serve_handshake(&mut stream, "/signal", SIGNAL_PROTOCOL).await else {
+            let Ok((target, unread_bytes)) = serve_handshake(&mut stream, "/signal", SIGNAL_PROTOCOL).await
+            else {
                 return;
             };
+            // Fronts connect as `edge-INDEX`.
             let Some(edge) = target.rsplit('-').next().and_then(|n| n.parse().ok()) else { return };
-            let (out, mut queue) = mpsc::channel(QUEUE);
-            if news.send(News::Open { conn, edge, out }).await.is_err() {
+            let (outgoing, mut queue) = mpsc::channel(QUEUE);
+            if events.send(SocketEvent::Open { connection, edge, outgoing }).await.is_err() {
                 return;
             }
-            let rng = StdRng::seed_from_u64(conn);
-            let connection = WebSocketConnection { stream, role: Role::Server, clock, rng, quiet: None };
+            let rng = StdRng::seed_from_u64(connection);
+            let websocket = WebSocketConnection { stream, role: Role::Server, clock, rng, quiet: None };
             let on_event = async |event| match event {
-                ConnectionEvent::Text(text) => news.send(News::Text { conn, text }).await.is_ok(),
+                ConnectionEvent::Text(text) => {
+                    events.send(SocketEvent::Text { connection, text }).await.is_ok()
+                }
                 ConnectionEvent::NotWritten(_) => true,
             };
-            connection.run(&rest, &mut queue, on_event).await;
-            let _ = news.send(News::Closed { conn }).await;
+            websocket.run(&unread_bytes, &mut queue, on_event).await;
+            let _ = events.send(SocketEvent::Closed { connection }).await;
         });
-        self.opening.insert(conn, task.abort_handle());
+        self.opening.insert(connection, task.abort_handle());
     }
 
-    fn hear(&mut self, news: News) {
-        match news {
-            News::Open { conn, edge, out } => {
-                let Some(task) = self.opening.remove(&conn) else { return };
-                self.conns.insert(conn, Conn { edge, out, task });
-                self.by_edge.insert(edge, conn);
+    fn handle(&mut self, event: SocketEvent) {
+        match event {
+            SocketEvent::Open { connection, edge, outgoing } => {
+                let Some(task) = self.opening.remove(&connection) else { return };
+                self.connections.insert(connection, Connection { edge, outgoing, task });
+                self.by_edge.insert(edge, connection);
             }
-            News::Closed { conn } => self.drop_conn(conn),
-            News::Text { conn, text } => {
-                let Some(edge) = self.conns.get(&conn).map(|c| c.edge) else { return };
+            SocketEvent::Closed { connection } => self.drop_connection(connection),
+            SocketEvent::Text { connection, text } => {
+                let Some(edge) = self.connections.get(&connection).map(|c| c.edge) else { return };
                 let Ok(message) = ToServer::decode(&text) else { return };
                 let known = self.model.knows((edge, message.attempt()));
                 let seen = Seen::read(&self.name, edge, &message, known);
                 self.record(seen);
                 let now = self.clock.now();
-                self.model.hear(now, edge, &message, &mut self.does);
+                self.model.hear(now, edge, &message, &mut self.effects);
                 self.carry_out();
             }
         }
     }
 
     fn carry_out(&mut self) {
-        for does in std::mem::take(&mut self.does) {
-            match does {
+        for effect in std::mem::take(&mut self.effects) {
+            match effect {
                 Does::Send(edge, message) => self.send(edge, message),
                 Does::Loses((edge, attempt)) => {
                     let server = self.name.clone();
@@ -201,17 +208,18 @@
     }
 
     fn send(&mut self, edge: usize, message: FromServer) {
-        let Some(conn) = self.by_edge.get(&edge).and_then(|c| self.conns.get(c)) else { return };
+        let connection = self.by_edge.get(&edge).and_then(|id| self.connections.get(id));
+        let Some(connection) = connection else { return };
         let text = message.encode();
-        let _ = conn.out.try_send(Outgoing { number: 0, text, not_after_ns: None });
+        let _ = connection.outgoing.try_send(Outgoing { number: 0, text, not_after_ns: None });
         let seen = Seen::said(&self.name, edge, &message);
         self.record(seen);
     }
 
-    fn drop_conn(&mut self, conn: u64) {
-        let Some(dropped) = self.conns.remove(&conn) else { return };
+    fn drop_connection(&mut self, connection: u64) {
+        let Some(dropped) = self.connections.remove(&connection) else { return };
         dropped.task.abort();
-        if self.by_edge.get(&dropped.edge) == Some(&conn) {
+        if self.by_edge.get(&dropped.edge) == Some(&connection) {
             self.by_edge.remove(&dropped.edge);
             self.model.drop_front(dropped.edge);
             self.record(Seen::LinkEnded { server: self.name.clone(), edge: dropped.edge });
@@ -220,18 +228,18 @@
 
     fn drop_all(&mut self) {
         std::mem::take(&mut self.opening).into_values().for_each(|task| task.abort());
-        let conns: Vec<u64> = self.conns.keys().copied().collect();
-        conns.into_iter().for_each(|conn| self.drop_conn(conn));
+        let connections: Vec<u64> = self.connections.keys().copied().collect();
+        connections.into_iter().for_each(|connection| self.drop_connection(connection));
     }
 
-    fn event(&mut self, event: ServerEvent) {
+    fn apply(&mut self, event: ServerEvent) {
         let now = self.clock.now();
         match event {
             ServerEvent::Slow(times) => self.model.slow(times),
-            ServerEvent::Still(span) => self.model.stand_still(now + span),
+            ServerEvent::Still(duration) => self.model.stand_still(now + duration),
             ServerEvent::LoseAnswers(share) => self.model.lose_answers(share),
-            ServerEvent::Ail(ailment) => self.model.ail(ailment),
-            ServerEvent::Heal(ailment) => self.model.heal(&ailment),
+            ServerEvent::Ail(fault) => self.model.ail(fault),
+            ServerEvent::Heal(fault) => self.model.heal(&fault),
             ServerEvent::Die => {
                 self.model.die();
                 self.dead = true;
@@ -243,8 +251,8 @@
             }
             ServerEvent::Reset => self.drop_all(),
             ServerEvent::Stop => {
-                for (edge, cut) in self.model.cut_all() {
-                    self.send(edge, cut);
+                for (edge, message) in self.model.cut_all() {
+                    self.send(edge, message);
                 }
                 self.model.die();
                 self.drop_all();
