--- a/crates/lilacpitch-testbed/src/baseline.rs
+++ b/crates/lilacpitch-testbed/src/baseline.rs
@@ -1,7 +1,8 @@
-//! Policies that others use, behind the same front and the same judge, to set the module beside.
+//! Well-known policies to compare the module with, in the same front and under the same checker.
 //!
-//! All keep the rules that a front keeps by itself: one attempt at a time, drains, the release, the caller's time.
-//! None of them knows of cold servers, but where its source does. Their figures are those of the sources.
+//! All follow the rules that the front itself enforces: one attempt at a time, drains, the delay after a
+//! release, and the caller's budget. They take no account of servers that warm up, except where the source of
+//! a policy does. Their parameters are those of the sources.
 
 use lilacpitch::interface::*;
 use lilacpitch::{Controller, Policy};
@@ -10,25 +11,40 @@
 use std::collections::{BTreeMap, VecDeque};
 
 const S: Nanos = 1_000_000_000;
-/// An attempt without an answer is given up after so many resend gaps.
-const GAPS: u64 = 3;
+/// Timeout of an attempt, in resend intervals.
+const TIMEOUT_RESEND_INTERVALS: u64 = 3;
+/// First limit of [`Baseline::Aimd`].
+const INITIAL_LIMIT: f64 = 10.0;
+/// Factor by which [`Baseline::Aimd`] lowers its limit after a failure.
+const LIMIT_DECREASE: f64 = 0.9;
+/// Window of [`Baseline::Throttle`].
+const THROTTLE_WINDOW_NS: Nanos = 120 * S;
+/// Failures in a row after which [`Baseline::Outlier`] ejects a server.
+const FAILURES_TO_EJECT: u32 = 5;
+/// Duration of a server's first ejection.
+const EJECTION_NS: Nanos = 30 * S;
+/// Duration of the slow start after an ejection.
+const SLOW_START_NS: Nanos = 30 * S;
+/// Share of the load with which a slow start begins.
+const SLOW_START_SHARE: f64 = 0.1;
 
 /// A policy.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Baseline {
     /// The project's own module.
     Module,
-    /// A random server, and one more try at another.
+    /// A random server, and one retry at another.
     Random,
-    /// A limit of set-ups out per server, up by one for a window's worth that stood, down to 0.9 of it on a refusal
-    /// or time-out: additive increase, multiplicative decrease (Chiu and Jain 1989).
+    /// A limit on the set-ups in flight per server: it grows by one for each window of set-ups that succeed
+    /// and falls to 0.9 of itself after a rejection or timeout: additive increase, multiplicative decrease
+    /// (Chiu and Jain 1989).
     Aimd,
-    /// Each server's calls are dropped here with probability (requests - 2 accepts) / (requests + 1) over two
-    /// minutes: client throttling ("Site Reliability Engineering", chapter 21).
+    /// Rejects calls for a server with probability (requests - 2 accepts) / (requests + 1), counted over two
+    /// minutes: client-side throttling ("Site Reliability Engineering", chapter 21).
     Throttle,
-    /// Five failures in a row eject a server for 30 s times the ejections so far, half of the servers at most; after
-    /// it, its share grows from a tenth to all in 30 s: outlier ejection and slow start, as proxies have them (Envoy,
-    /// "Outlier detection" and "Slow start mode").
+    /// Five failures in a row eject a server for 30 s times the number of its ejections; at most half of the
+    /// servers are ejected at a time. Afterwards the server's share grows from a tenth to all within 30 s.
+    /// Outlier ejection and slow start as in proxies (Envoy, "Outlier detection" and "Slow start mode").
     Outlier,
 }
 
@@ -37,13 +53,13 @@
     pub const ALL: [Baseline; 5] =
         [Baseline::Module, Baseline::Random, Baseline::Aimd, Baseline::Throttle, Baseline::Outlier];
 
-    /// A front's own instance of it.
+    /// Creates an instance of the policy for one front.
     pub fn make(self, settings: Settings, seed: u64) -> Box<dyn Policy> {
         if self == Baseline::Module {
             return Box::new(Controller::new(settings, seed));
         }
         let rng = Pcg32::seed_from_u64(seed);
-        Box::new(Front {
+        Box::new(BaselinePolicy {
             kind: self,
             settings,
             rng,
@@ -54,85 +70,103 @@
     }
 }
 
-struct Server {
-    entry: Endpoint,
-    out: usize,
-    /// Set-ups that may be out at once.
+/// A server and the state that the policies keep about it.
+struct ServerState {
+    endpoint: Endpoint,
+    /// Set-ups in flight.
+    in_flight: usize,
+    /// Most set-ups in flight at once.
     limit: f64,
-    /// When set-ups were asked for and accepted, within two minutes.
+    /// Times of the requests within the throttle's window.
     requests: VecDeque<Nanos>,
+    /// Times of the accepted requests within the throttle's window.
     accepts: VecDeque<Nanos>,
+    /// Failures in a row.
     failures: u32,
     ejections: u32,
     ejected_until_ns: Nanos,
 }
 
-struct Call {
-    call: Asked,
+/// A call that is not established yet.
+struct PendingCall {
+    call: Call,
     deadline_ns: Nanos,
+    /// Time before which no attempt may be sent.
     not_before_ns: Option<Nanos>,
     attempts: u32,
+    /// The server of the last attempt.
     last: Option<ServerId>,
-    out: bool,
+    /// Whether an attempt is in flight.
+    in_flight: bool,
 }
 
-type Asked = lilacpitch::interface::Call;
-
-struct Front {
+struct BaselinePolicy {
     kind: Baseline,
     settings: Settings,
     rng: Pcg32,
     now: Nanos,
-    servers: BTreeMap<ServerId, Server>,
-    calls: BTreeMap<CallId, Call>,
+    servers: BTreeMap<ServerId, ServerState>,
+    calls: BTreeMap<CallId, PendingCall>,
 }
 
-impl Policy for Front {
+impl Policy for BaselinePolicy {
     fn handle(&mut self, now: Nanos, event: Event, actions: &mut Vec<Action>) {
         self.now = self.now.max(now);
         match event {
             Event::EndpointsUpdated(EndpointUpdate::Full(entries)) => {
-                self.servers.values_mut().for_each(|s| s.entry.availability = Availability::Removed);
-                entries.into_iter().for_each(|entry| self.listed(entry));
+                self.servers.values_mut().for_each(|s| s.endpoint.availability = Availability::Removed);
+                entries.into_iter().for_each(|endpoint| self.update_endpoint(endpoint));
             }
             Event::EndpointsUpdated(EndpointUpdate::Changes(entries)) => {
-                entries.into_iter().for_each(|entry| self.listed(entry))
+                entries.into_iter().for_each(|endpoint| self.update_endpoint(endpoint))
             }
             Event::CallArrived(call) => {
                 let margin = (2 * self.settings.tick_ns).min(call.budget_ns / 2);
                 let deadline_ns = self.now + call.budget_ns - margin;
-                let row =
-                    Call { call, deadline_ns, not_before_ns: None, attempts: 0, last: None, out: false };
-                self.calls.insert(call.id, row);
-                self.place(call.id, actions);
+                let pending = PendingCall {
+                    call,
+                    deadline_ns,
+                    not_before_ns: None,
+                    attempts: 0,
+                    last: None,
+                    in_flight: false,
+                };
+                self.calls.insert(call.id, pending);
+                self.attempt(call.id, actions);
             }
             Event::ClientDisconnected(call) => drop(self.calls.remove(&call)),
             Event::CallEstablished { call, .. } => {
-                if let Some(server) = self.calls.remove(&call).and_then(|row| row.last) {
-                    self.ended(server, true);
+                if let Some(server) = self.calls.remove(&call).and_then(|pending| pending.last) {
+                    self.record_outcome(server, true);
                 }
             }
             Event::AttemptCompleted { call, server, outcome, is_final, .. } => {
-                let Some(row) = self.calls.get_mut(&call).filter(|row| row.out) else { return };
-                row.out = false;
-                row.not_before_ns = outcome.needs_release().then_some(self.now + self.settings.release_ns);
-                self.ended(server, !failed(outcome));
+                let pending = self.calls.get_mut(&call).filter(|pending| pending.in_flight);
+                let Some(pending) = pending else { return };
+                pending.in_flight = false;
+                pending.not_before_ns =
+                    outcome.needs_release().then_some(self.now + self.settings.release_ns);
+                self.record_outcome(server, !is_server_failure(outcome));
                 if is_final {
                     self.calls.remove(&call);
                 } else {
-                    self.place(call, actions);
+                    self.attempt(call, actions);
                 }
             }
             Event::TimerFired => {
-                let due = |row: &Call| !row.out && row.not_before_ns.is_some_and(|at| at <= self.now);
-                let due: Vec<CallId> = self.calls.iter().filter(|(_, r)| due(r)).map(|(id, _)| *id).collect();
-                due.into_iter().for_each(|id| self.place(id, actions));
+                let is_due = |pending: &PendingCall| {
+                    !pending.in_flight && pending.not_before_ns.is_some_and(|at| at <= self.now)
+                };
+                let due: Vec<CallId> =
+                    self.calls.iter().filter(|(_, pending)| is_due(pending)).map(|(id, _)| *id).collect();
+                due.into_iter().for_each(|id| self.attempt(id, actions));
             }
             Event::EndpointsUpdated(EndpointUpdate::Failed)
             | Event::PeerReported { .. }
             | Event::ServerLoadReported { .. } => {}
         }
-        let next = self.calls.values().filter(|row| !row.out).filter_map(|row| row.not_before_ns).min();
+        let idle = self.calls.values().filter(|pending| !pending.in_flight);
+        let next = idle.filter_map(|pending| pending.not_before_ns).min();
         actions.extend(next.map(|at| Action::SetTimer(at.max(self.now + 1))));
     }
 
@@ -141,127 +175,134 @@
     }
 }
 
-/// What these policies take for a failure of the server.
-fn failed(outcome: Outcome) -> bool {
+/// Whether these policies count an outcome as a failure of the server.
+fn is_server_failure(outcome: Outcome) -> bool {
     !matches!(outcome, Outcome::Completed | Outcome::LinesBusy)
 }
 
-impl Front {
-    fn listed(&mut self, entry: Endpoint) {
-        let new = |entry| Server {
-            entry,
-            out: 0,
-            limit: 10.0,
+impl BaselinePolicy {
+    fn update_endpoint(&mut self, endpoint: Endpoint) {
+        let new_server = |endpoint| ServerState {
+            endpoint,
+            in_flight: 0,
+            limit: INITIAL_LIMIT,
             requests: VecDeque::new(),
             accepts: VecDeque::new(),
             failures: 0,
             ejections: 0,
             ejected_until_ns: 0,
         };
-        self.servers.entry(entry.server).or_insert_with(|| new(entry)).entry = entry;
+        let server = self.servers.entry(endpoint.server).or_insert_with(|| new_server(endpoint));
+        server.endpoint = endpoint;
     }
 
-    fn drawn(&mut self) -> f64 {
+    /// A random number from 0 to 1, uniformly distributed.
+    fn uniform(&mut self) -> f64 {
         f64::from(self.rng.next_u32()) / (f64::from(u32::MAX) + 1.0)
     }
 
-    /// How likely a server is to be drawn among the others.
-    fn weight(&self, server: &Server) -> f64 {
+    /// Weight of a server in the random choice.
+    fn weight(&self, server: &ServerState) -> f64 {
         match self.kind {
-            Baseline::Aimd => f64::from(u8::from((server.out as f64) < server.limit)),
+            Baseline::Aimd => f64::from(u8::from((server.in_flight as f64) < server.limit)),
             Baseline::Outlier if self.now < server.ejected_until_ns => 0.0,
             Baseline::Outlier if server.ejections > 0 => {
-                let back = (self.now - server.ejected_until_ns) as f64 / (30 * S) as f64;
-                back.clamp(0.1, 1.0)
+                let share = (self.now - server.ejected_until_ns) as f64 / SLOW_START_NS as f64;
+                share.clamp(SLOW_START_SHARE, 1.0)
             }
             _ => 1.0,
         }
     }
 
-    fn place(&mut self, id: CallId, actions: &mut Vec<Action>) {
-        let Some(row) = self.calls.get(&id) else { return };
-        let (call, last, attempts, left) =
-            (row.call, row.last, row.attempts, row.deadline_ns.saturating_sub(self.now));
-        if row.not_before_ns.is_some_and(|at| at > self.now) {
-            // Still released, and answered at once where no further try is left.
-            if attempts >= self.tries() {
-                self.refuse(id, actions);
+    /// Sends an attempt for a call to a random server, or rejects the call.
+    fn attempt(&mut self, id: CallId, actions: &mut Vec<Action>) {
+        let Some(pending) = self.calls.get(&id) else { return };
+        let (call, last, attempts) = (pending.call, pending.last, pending.attempts);
+        let remaining_ns = pending.deadline_ns.saturating_sub(self.now);
+        if pending.not_before_ns.is_some_and(|at| at > self.now) {
+            // The call waits for its release, unless no attempt is left: then it is rejected at once.
+            if attempts >= self.max_attempts() {
+                self.reject(id, actions);
             }
             return;
         }
         let pools = &self.settings.classes[call.class].pools;
-        let fits = |s: &Server| {
-            s.entry.availability == Availability::Ready
-                && (pools.is_empty() || pools.contains(&s.entry.number))
-                && Some(s.entry.server) != last
+        let is_candidate = |s: &ServerState| {
+            s.endpoint.availability == Availability::Ready
+                && (pools.is_empty() || pools.contains(&s.endpoint.number))
+                && Some(s.endpoint.server) != last
         };
-        let open: Vec<(ServerId, f64)> =
-            self.servers.values().filter(|s| fits(s)).map(|s| (s.entry.server, self.weight(s))).collect();
-        let total: f64 = open.iter().map(|(_, weight)| weight).sum();
-        if left == 0 || attempts >= self.tries() || total <= 0.0 {
-            return self.refuse(id, actions);
+        let candidates: Vec<(ServerId, f64)> = self
+            .servers
+            .values()
+            .filter(|s| is_candidate(s))
+            .map(|s| (s.endpoint.server, self.weight(s)))
+            .collect();
+        let total: f64 = candidates.iter().map(|(_, weight)| weight).sum();
+        if remaining_ns == 0 || attempts >= self.max_attempts() || total <= 0.0 {
+            return self.reject(id, actions);
         }
-        let mut point = self.drawn() * total;
-        let chosen = open.iter().find(|(_, weight)| {
+        let mut point = self.uniform() * total;
+        let chosen = candidates.iter().find(|(_, weight)| {
             point -= weight;
             point < 0.0
         });
-        let Some(server) = chosen.or(open.last()).map(|(server, _)| *server) else { return };
-        if self.kind == Baseline::Throttle && self.throttled(server) {
-            return self.refuse(id, actions);
+        let Some(server) = chosen.or(candidates.last()).map(|(server, _)| *server) else { return };
+        if self.kind == Baseline::Throttle && self.is_throttled(server) {
+            return self.reject(id, actions);
         }
-        let gap_ns =
+        let resend_interval_ns =
             if self.settings.resend_interval_ns > 0 { self.settings.resend_interval_ns } else { S / 2 };
-        let timeout_ns = left.min(GAPS * gap_ns);
-        if let Some(row) = self.calls.get_mut(&id) {
-            (row.out, row.last, row.attempts) = (true, Some(server), attempts + 1);
+        let timeout_ns = remaining_ns.min(TIMEOUT_RESEND_INTERVALS * resend_interval_ns);
+        if let Some(pending) = self.calls.get_mut(&id) {
+            (pending.in_flight, pending.last, pending.attempts) = (true, Some(server), attempts + 1);
         }
-        self.servers.entry(server).and_modify(|s| s.out += 1);
+        self.servers.entry(server).and_modify(|s| s.in_flight += 1);
         actions.push(Action::ForwardSetup { call: id, server, timeout_ns });
     }
 
-    /// One more try, as all of these have it.
-    fn tries(&self) -> u32 {
+    /// Most attempts for a call: all these policies retry once.
+    fn max_attempts(&self) -> u32 {
         self.settings.max_attempts.min(2)
     }
 
-    fn throttled(&mut self, server: ServerId) -> bool {
-        let drawn = self.drawn();
-        let Some(row) = self.servers.get_mut(&server) else { return false };
-        for times in [&mut row.requests, &mut row.accepts] {
-            while times.front().is_some_and(|at| at + 120 * S < self.now) {
+    fn is_throttled(&mut self, server: ServerId) -> bool {
+        let uniform = self.uniform();
+        let Some(server) = self.servers.get_mut(&server) else { return false };
+        for times in [&mut server.requests, &mut server.accepts] {
+            while times.front().is_some_and(|at| at + THROTTLE_WINDOW_NS < self.now) {
                 times.pop_front();
             }
         }
-        let (requests, accepts) = (row.requests.len() as f64, row.accepts.len() as f64);
-        row.requests.push_back(self.now);
-        drawn < (requests - 2.0 * accepts) / (requests + 1.0)
+        let (requests, accepts) = (server.requests.len() as f64, server.accepts.len() as f64);
+        server.requests.push_back(self.now);
+        uniform < (requests - 2.0 * accepts) / (requests + 1.0)
     }
 
-    fn refuse(&mut self, id: CallId, actions: &mut Vec<Action>) {
+    fn reject(&mut self, id: CallId, actions: &mut Vec<Action>) {
         self.calls.remove(&id);
         let retry_after_ns = Some((S / 2).min(self.settings.max_retry_after_ns)).filter(|w| *w > 0);
         actions.push(Action::Reject { call: id, retry_after_ns });
     }
 
-    /// What an attempt's end does to the server's standing.
-    fn ended(&mut self, server: ServerId, well: bool) {
+    /// Updates a server's state after an attempt has ended.
+    fn record_outcome(&mut self, server: ServerId, succeeded: bool) {
         let ejected = self.servers.values().filter(|s| self.now < s.ejected_until_ns).count();
-        let room = (ejected + 1) * 2 <= self.servers.len();
-        let Some(row) = self.servers.get_mut(&server) else { return };
-        row.out = row.out.saturating_sub(1);
-        if well {
-            row.accepts.push_back(self.now);
-            row.limit += 1.0 / row.limit;
-            row.failures = 0;
+        let may_eject = (ejected + 1) * 2 <= self.servers.len();
+        let Some(server) = self.servers.get_mut(&server) else { return };
+        server.in_flight = server.in_flight.saturating_sub(1);
+        if succeeded {
+            server.accepts.push_back(self.now);
+            server.limit += 1.0 / server.limit;
+            server.failures = 0;
             return;
         }
-        row.limit = (row.limit * 0.9).max(1.0);
-        row.failures += 1;
-        if row.failures >= 5 && room && self.now >= row.ejected_until_ns {
-            row.ejections += 1;
-            row.failures = 0;
-            row.ejected_until_ns = self.now + 30 * S * u64::from(row.ejections);
+        server.limit = (server.limit * LIMIT_DECREASE).max(1.0);
+        server.failures += 1;
+        if server.failures >= FAILURES_TO_EJECT && may_eject && self.now >= server.ejected_until_ns {
+            server.ejections += 1;
+            server.failures = 0;
+            server.ejected_until_ns = self.now + EJECTION_NS * u64::from(server.ejections);
         }
     }
 }
--- a/crates/lilacpitch-testbed/src/bound.rs
+++ b/crates/lilacpitch-testbed/src/bound.rs
@@ -1,68 +1,81 @@
-//! What no front could do better: service of a router that knows all, from the day's script alone.
+//! An upper bound on service: that of a router with perfect knowledge, computed from the day's script alone.
 //!
-//! A fluid count in steps: in each, servers that run and are listed do what they can at their age, and calls that
-//! came are served, the dearest first, within their wanted time. What a call's own number or label meets at every
-//! server is lost to it; what ails single set-ups costs it a further try elsewhere and nothing else. Chance, ways,
-//! releases and single circuits are left out, so the bound is a little above what can be reached.
+//! It is a fluid approximation in time steps. In each step the servers that run and are listed process calls
+//! at their current capacity, and the calls that have arrived are served within their target time, those of
+//! the highest worth first. Faults that affect all attempts of a call are lost calls; faults of single
+//! set-ups cost the router only a retry elsewhere and are ignored. Random variation, latency, releases and
+//! circuits are left out, so the bound is a little above what can be reached.
 
-use crate::day::{Day, Listed, ServerEvent};
+use crate::day::{Day, Listed, ServerEvent, ServerMake};
 use crate::simulation::server::{By, Server};
 use lilacpitch::interface::Nanos;
 use std::collections::VecDeque;
 
+/// Length of a time step.
 const STEP_NS: Nanos = 100_000_000;
 
-/// The greatest service, as a share of the worth offered.
+/// A server of the approximation.
+struct BoundServer {
+    model: Server,
+    running: bool,
+    listed: bool,
+}
+
+/// The upper bound on service, as a share of the worth offered.
 pub fn bound(day: &Day) -> f64 {
     let script = day.script();
     let rate = day.rate(&script);
-    let mut servers: Vec<(Server, bool, bool)> =
-        script.servers.iter().map(|(make, listed)| (Server::new(day.make(make)), *listed, *listed)).collect();
+    let new_server = |(make, listed): &(ServerMake, bool)| BoundServer {
+        model: Server::new(day.make(make)),
+        running: *listed,
+        listed: *listed,
+    };
+    let mut servers: Vec<BoundServer> = script.servers.iter().map(new_server).collect();
     let (mut events, mut lists) = (script.server.iter().peekable(), script.list.iter().peekable());
-    let shares: f64 = day.classes.iter().map(|c| c.share).sum();
-    // By worth, dearest first: what waits of a class, by when its wanted time is over.
+    let total_share: f64 = day.classes.iter().map(|c| c.share).sum();
+    // The classes in descending order of worth, each with its waiting calls and the end of their target time.
     let mut classes: Vec<_> = day.classes.iter().map(|c| (c, VecDeque::<(Nanos, f64)>::new())).collect();
     classes.sort_by(|a, b| b.0.worth.total_cmp(&a.0.worth));
     let (mut earned, mut offered, mut lost) = (0.0, 0.0, 0.0f64);
     for now in (0..day.length_ns).step_by(STEP_NS as usize) {
         while let Some((_, server, event)) = events.next_if(|e| e.0 <= now) {
-            let (model, up, _) = &mut servers[*server];
+            let server = &mut servers[*server];
             match event {
-                ServerEvent::Slow(times) => model.slow(*times),
+                ServerEvent::Slow(times) => server.model.slow(*times),
                 ServerEvent::Still(_) | ServerEvent::LoseAnswers(_) | ServerEvent::Reset => {}
-                ServerEvent::Ail(ailment) if ailment.first == 0 && ailment.by != By::Setup => {
-                    lost += ailment.share;
+                ServerEvent::Ail(fault) if fault.first == 0 && fault.by != By::Setup => {
+                    lost += fault.share;
                 }
-                ServerEvent::Heal(ailment) if ailment.first == 0 && ailment.by != By::Setup => {
-                    lost -= ailment.share;
+                ServerEvent::Heal(fault) if fault.first == 0 && fault.by != By::Setup => {
+                    lost -= fault.share;
                 }
                 ServerEvent::Ail(_) | ServerEvent::Heal(_) => {}
-                ServerEvent::Die | ServerEvent::Stop => *up = false,
+                ServerEvent::Die | ServerEvent::Stop => server.running = false,
                 ServerEvent::Start => {
-                    model.start(now);
-                    *up = true;
+                    server.model.start(now);
+                    server.running = true;
                 }
             }
         }
         while let Some((_, server, listed)) = lists.next_if(|l| l.0 <= now) {
-            servers[*server].2 = matches!(listed, Listed::Running(_));
+            servers[*server].listed = matches!(listed, Listed::Running(_));
         }
         let step_s = STEP_NS as f64 / 1e9;
-        let open = servers.iter().filter(|(_, up, listed)| *up && *listed);
-        let mut room = open.map(|(model, _, _)| model.can_do_per_s(now)).sum::<f64>() * step_s;
-        // An ailment at all servers alike counts once.
+        let in_service = servers.iter().filter(|server| server.running && server.listed);
+        let mut capacity = in_service.map(|server| server.model.can_do_per_s(now)).sum::<f64>() * step_s;
+        // The average over the servers, so that the same fault at all of them counts once.
         let reachable = 1.0 - (lost / servers.len() as f64).clamp(0.0, 1.0);
         let calls = rate.at(now) * day.edges as f64 * step_s;
         for (class, waiting) in &mut classes {
-            let came = calls * class.share / shares;
-            offered += came * class.worth;
-            waiting.push_back((now + class.aim_ns, came * reachable));
-            while waiting.front().is_some_and(|(until, _)| *until < now) {
+            let arrived = calls * class.share / total_share;
+            offered += arrived * class.worth;
+            waiting.push_back((now + class.aim_ns, arrived * reachable));
+            while waiting.front().is_some_and(|(deadline, _)| *deadline < now) {
                 waiting.pop_front();
             }
             for (_, calls) in waiting.iter_mut() {
-                let served = calls.min(room);
-                (room, *calls) = (room - served, *calls - served);
+                let served = calls.min(capacity);
+                (capacity, *calls) = (capacity - served, *calls - served);
                 earned += served * class.worth;
             }
         }
--- a/crates/lilacpitch-testbed/src/cli.rs
+++ b/crates/lilacpitch-testbed/src/cli.rs
@@ -1,4 +1,4 @@
-//! The command line of the laboratory.
+//! The command line of the testbed.
 
 use clap::{Parser, Subcommand};
 use lilacpitch_edge::core::Safeguards;
@@ -9,7 +9,7 @@
 use lilacpitch_testbed::edges::Program;
 use lilacpitch_testbed::load::load;
 use lilacpitch_testbed::membership::{self, membership, Case};
-use lilacpitch_testbed::newcomers::{beginnings, Talk};
+use lilacpitch_testbed::newcomers::{newcomer_service, GossipMode};
 use lilacpitch_testbed::record::Record;
 use lilacpitch_testbed::runner::play;
 use lilacpitch_testbed::simulated_run;
@@ -18,10 +18,10 @@
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 
-/// Breaches of one rule that are printed.
-const PRINTED: usize = 5;
+/// Most breaches of one rule that are printed.
+const MAX_PRINTED_BREACHES: usize = 5;
 
-/// The laboratory: simulated servers and callers, bad days, load, and the judge of the rules.
+/// The testbed: runs fronts against simulated servers and callers, injects faults, and checks the call rules.
 #[derive(Debug, Parser)]
 #[command(name = "lilacpitch-testbed", version)]
 struct Args {
@@ -31,102 +31,103 @@
 
 #[derive(Debug, Subcommand)]
 enum Command {
-    /// Play a day with real fronts on loopback, and judge the five rules by what crossed the sockets.
+    /// Run a day with real fronts on loopback, and check the five call rules by what crossed the sockets.
     Day {
-        /// The day's file.
+        /// Path of the day file.
         file: PathBuf,
-        /// The front's program; this one's own front otherwise.
+        /// Program to run as fronts, in place of this program's own front.
         #[arg(long, value_name = "PROGRAM")]
         edge_program: Option<PathBuf>,
-        /// Write what was seen, one record a line.
+        /// Write the records to this file, as one JSON object per line.
         #[arg(long, value_name = "FILE")]
         records: Option<PathBuf>,
     },
-    /// Play a day in virtual time, with the same front and models, for several seeds in turn.
+    /// Run a day in virtual time, with the same front and models, for several seeds in turn.
     Virtual {
-        /// The day's file.
+        /// Path of the day file.
         file: PathBuf,
-        /// How many seeds, from the day's own on.
+        /// Number of seeds, from the day's own on.
         #[arg(long, default_value_t = 1)]
         seeds: u64,
-        /// So many fronts in place of the day's, at the same load.
+        /// Number of fronts in place of the day's, with the same total load.
         #[arg(long)]
         edges: Option<usize>,
-        /// Write what was seen on the last day, one record a line.
+        /// Write the records of the last seed to this file, as one JSON object per line.
         #[arg(long, value_name = "FILE")]
         records: Option<PathBuf>,
     },
-    /// Play a day with restarts in virtual time: the first minute of fronts that start anew beside warm ones, when
-    /// fronts know nothing of each other, when they do, when all messages are lost, and when a peer is confused.
+    /// Run a day with restarts in virtual time, and compare restarted fronts in their first minute with the
+    /// others: without gossip, with gossip, with all gossip lost, and with a peer that sends false reports.
     Newcomers {
-        /// The day's file.
+        /// Path of the day file.
         file: PathBuf,
-        /// How many seeds, from the day's own on.
+        /// Number of seeds, from the day's own on.
         #[arg(long, default_value_t = 20)]
         seeds: u64,
     },
-    /// Play days in virtual time with the module and with policies that others use, on the same seeds: service, the
-    /// bound of what could be done, the worst ten seconds, recovery, and rules broken.
+    /// Run days in virtual time with the module and with well-known policies, on the same seeds: service, its
+    /// upper bound, the worst ten seconds, recovery, and violated rules.
     Compare {
-        /// Day files, or folders of them.
+        /// Paths of day files, or of folders with day files.
         #[arg(required = true)]
         files: Vec<PathBuf>,
-        /// How many seeds, from each day's own on.
+        /// Number of seeds, from each day's own on.
         #[arg(long, default_value_t = 3)]
         seeds: u64,
-        /// Only the module.
+        /// Run only the module.
         #[arg(long)]
         module_only: bool,
-        /// So many fronts in place of the days', at the same load.
+        /// Number of fronts in place of the days', with the same total load.
         #[arg(long)]
         edges: Option<usize>,
-        /// Fronts know each other, whatever the days say.
+        /// Let fronts gossip, whatever the days say.
         #[arg(long)]
         peers: bool,
     },
-    /// Watch fronts keep view of each other in virtual time: how soon all see all, what it costs, how soon a dead one
-    /// is noticed, who is wrongly taken for dead, and how a split heals.
+    /// Measure membership in virtual time: the time until all fronts know each other, the traffic, the time
+    /// until a failure is detected, false detections, and the recovery from a partition.
     Members {
-        /// How many fronts, in turn.
+        /// Numbers of fronts, one after another.
         #[arg(long, value_delimiter = ',', default_values_t = [3, 20, 120, 250],
               value_parser = clap::builder::RangedU64ValueParser::<usize>::new().range(2..=1000))]
         fronts: Vec<usize>,
-        /// Of 100 datagrams, so many are lost, in turn.
+        /// Percentages of datagrams lost, one after another.
         #[arg(long, value_delimiter = ',', default_values_t = [0, 10, 30],
               value_parser = clap::value_parser!(u32).range(0..=100))]
         lost: Vec<u32>,
-        /// How many seeds.
+        /// Number of seeds.
         #[arg(long, default_value_t = 4)]
         seeds: u64,
     },
-    /// Put a steady load on one front: what it adds to a call, what it costs, and the rate one core holds.
+    /// Put a steady load on one front, and measure the latency it adds to calls, its use of processor and
+    /// memory, and the rate that one core sustains.
     Load {
-        /// Calls a second.
+        /// Calls per second.
         #[arg(long, default_value_t = 740.0)]
         per_s: f64,
-        /// For so many seconds.
+        /// Duration of the load in seconds.
         #[arg(long, default_value_t = 60)]
         seconds: u64,
-        /// Then these rates, in turn, each for --ramp-seconds.
+        /// Further rates to run afterwards, each for --ramp-seconds.
         #[arg(long, value_delimiter = ',')]
         ramp: Vec<f64>,
-        /// How long each rate of the ramp lasts.
+        /// Duration of each rate of the ramp, in seconds.
         #[arg(long, default_value_t = 15)]
         ramp_seconds: u64,
-        /// The front's program; this one's own front otherwise.
+        /// Program to run as the front, in place of this program's own front.
         #[arg(long, value_name = "PROGRAM")]
         edge_program: Option<PathBuf>,
     },
     /// Print the schema of day files, with comments and defaults.
     Schema,
-    /// This program as a front.
+    /// Run as a front.
     #[command(hide = true, disable_help_flag = true)]
     Edge {
         /// Arguments of lilacpitch-edge.
         #[arg(trailing_var_arg = true, allow_hyphen_values = true)]
         args: Vec<OsString>,
     },
-    /// This program as a process of a site.
+    /// Run as a process of a site.
     #[command(hide = true, disable_help_flag = true)]
     Site {
         /// Arguments of lilacpitch-site.
@@ -135,43 +136,49 @@
     },
 }
 
-/// Runs the program. Exit codes: 0 done and all rules kept, 1 a rule broken, 2 could not run.
+/// Runs the program. Exit codes: 0 success and no rule violated, 1 a rule violated, 2 could not run.
 pub(crate) fn main() -> ExitCode {
     match Args::parse().command {
         Command::Edge { args } => {
-            lilacpitch_edge::cli::main_with(std::iter::once("lilacpitch-edge".into()).chain(args), broken())
+            let arguments = std::iter::once("lilacpitch-edge".into()).chain(args);
+            lilacpitch_edge::cli::main_with(arguments, safeguards_from_environment())
         }
         Command::Site { args } => {
-            lilacpitch_site::cli::main_with(std::iter::once("lilacpitch-site".into()).chain(args), broken())
+            let arguments = std::iter::once("lilacpitch-site".into()).chain(args);
+            lilacpitch_site::cli::main_with(arguments, safeguards_from_environment())
         }
         Command::Virtual { file, seeds, edges, records } => {
-            done(virtual_days(&file, seeds, edges, records.as_deref()))
+            exit_code(run_virtual(&file, seeds, edges, records.as_deref()))
         }
         Command::Compare { files, seeds, module_only, edges, peers } => {
-            done(compare_all(&files, seeds, module_only, edges, peers))
+            exit_code(run_compare(&files, seeds, module_only, edges, peers))
         }
         Command::Members { fronts, lost, seeds } => {
-            let of = |fronts: &usize| lost.iter().map(|lost| Case { fronts: *fronts, lost: *lost }).collect();
-            let cases: Vec<Case> = fronts.iter().flat_map::<Vec<Case>, _>(of).collect();
+            let cases_of =
+                |fronts: &usize| lost.iter().map(|lost| Case { fronts: *fronts, lost: *lost }).collect();
+            let cases: Vec<Case> = fronts.iter().flat_map::<Vec<Case>, _>(cases_of).collect();
             println!("membership alone, no calls; figures of a simulated network\n{}", membership::HEADING);
             membership(&cases, seeds).iter().for_each(|row| println!("{row}"));
             ExitCode::SUCCESS
         }
-        Command::Newcomers { file, seeds } => done(newcomers(&file, seeds)),
+        Command::Newcomers { file, seeds } => exit_code(run_newcomers(&file, seeds)),
         Command::Load { per_s, seconds, ramp, ramp_seconds, edge_program } => {
             let ramp = ramp.into_iter().map(|rate| (rate, ramp_seconds));
-            done(load_all(std::iter::once((per_s, seconds)).chain(ramp), edge_program))
+            exit_code(run_loads(std::iter::once((per_s, seconds)).chain(ramp), edge_program))
         }
         Command::Schema => {
             print!("{DAY_SCHEMA}");
             ExitCode::SUCCESS
         }
-        Command::Day { file, edge_program, records } => done(day(&file, edge_program, records.as_deref())),
+        Command::Day { file, edge_program, records } => {
+            exit_code(run_day(&file, edge_program, records.as_deref()))
+        }
     }
 }
 
-fn done(ran: Result<bool, String>) -> ExitCode {
-    match ran {
+/// The exit code for a subcommand's result: an error, or whether all rules were kept.
+fn exit_code(result: Result<bool, String>) -> ExitCode {
+    match result {
         Ok(true) => ExitCode::SUCCESS,
         Ok(false) => ExitCode::from(1),
         Err(error) => {
@@ -181,9 +188,13 @@
     }
 }
 
-fn day(file: &Path, edge_program: Option<PathBuf>, records: Option<&Path>) -> Result<bool, String> {
-    let day = Day::load(file).map_err(|e| format!("{}\n{e}", e.drawn()))?;
-    let program = front(edge_program)?;
+fn load_day(file: &Path) -> Result<Day, String> {
+    Day::load(file).map_err(|e| format!("{}\n{e}", e.drawn()))
+}
+
+fn run_day(file: &Path, edge_program: Option<PathBuf>, records: Option<&Path>) -> Result<bool, String> {
+    let day = load_day(file)?;
+    let program = front_program(edge_program)?;
     println!(
         "{}: {} fronts, {} servers, {} calls a second for {} s, {} troubles; figures of simulated servers",
         file.display(),
@@ -201,7 +212,7 @@
         let share = 100.0 * used.cpu_s / seconds;
         println!("front {edge}: {share:.1} % of a core, {:.1} MiB at most", used.peak_mib);
     }
-    Ok(verdict(&played.breaches))
+    Ok(print_verdict(&played.breaches))
 }
 
 fn write_records(path: &Path, records: &[Record]) -> Result<(), String> {
@@ -210,38 +221,39 @@
     std::fs::write(path, text).map_err(|e| format!("{}: {e}", path.display()))
 }
 
-fn front(program: Option<PathBuf>) -> Result<Program, String> {
-    match program {
+fn front_program(path: Option<PathBuf>) -> Result<Program, String> {
+    match path {
         Some(path) => Ok(Program::Process(path, Vec::new())),
         None => Program::this().map_err(|e| format!("this program's own path: {e}")),
     }
 }
 
-fn load_all(rates: impl Iterator<Item = (f64, u64)>, edge_program: Option<PathBuf>) -> Result<bool, String> {
-    let program = front(edge_program)?;
+/// Runs loads of calls per second for a number of seconds, one after another.
+fn run_loads(loads: impl Iterator<Item = (f64, u64)>, edge_program: Option<PathBuf>) -> Result<bool, String> {
+    let program = front_program(edge_program)?;
     println!("one front, four servers that are never short; figures of simulated servers");
-    let mut kept = true;
-    for (per_s, seconds) in rates {
+    let mut rules_kept = true;
+    for (per_s, seconds) in loads {
         let load = load(&program, per_s, seconds)?;
         println!("{load}");
-        load.breaches.iter().take(PRINTED).for_each(|breach| println!("  {breach}"));
-        kept &= load.breaches.is_empty();
+        load.breaches.iter().take(MAX_PRINTED_BREACHES).for_each(|breach| println!("  {breach}"));
+        rules_kept &= load.breaches.is_empty();
     }
-    Ok(kept)
+    Ok(rules_kept)
 }
 
-fn newcomers(file: &Path, seeds: u64) -> Result<bool, String> {
-    let day = Day::load(file).map_err(|e| format!("{}\n{e}", e.drawn()))?;
-    let mut kept = true;
-    for talk in Talk::ALL {
-        let beginning = beginnings(&day, talk, seeds).map_err(|e| e.to_string())?;
-        println!("{:<10} {beginning}", format!("{talk:?}"));
-        kept &= beginning.breaches == 0;
+fn run_newcomers(file: &Path, seeds: u64) -> Result<bool, String> {
+    let day = load_day(file)?;
+    let mut rules_kept = true;
+    for gossip in GossipMode::ALL {
+        let service = newcomer_service(&day, gossip, seeds).map_err(|e| e.to_string())?;
+        println!("{:<10} {service}", format!("{gossip:?}"));
+        rules_kept &= service.breaches == 0;
     }
-    Ok(kept)
+    Ok(rules_kept)
 }
 
-fn compare_all(
+fn run_compare(
     files: &[PathBuf],
     seeds: u64,
     module_only: bool,
@@ -250,7 +262,7 @@
 ) -> Result<bool, String> {
     let mut days = Vec::new();
     for file in day_files(files)? {
-        let mut day = Day::load(&file).map_err(|e| format!("{}\n{e}", e.drawn()))?;
+        let mut day = load_day(&file)?;
         day.edges = edges.unwrap_or(day.edges);
         day.peers |= peers;
         let name = file.file_stem().map_or(String::new(), |name| name.to_string_lossy().into_owned());
@@ -263,83 +275,89 @@
     Ok(rows.iter().all(|row| row.policy != Baseline::Module || row.broken.is_empty()))
 }
 
-/// The files named, and those in folders named, by name.
-fn day_files(named: &[PathBuf]) -> Result<Vec<PathBuf>, String> {
+/// The files among the paths, and the day files in the folders among them, sorted by name in each folder.
+fn day_files(paths: &[PathBuf]) -> Result<Vec<PathBuf>, String> {
     let mut files = Vec::new();
-    for path in named {
+    for path in paths {
         if !path.is_dir() {
             files.push(path.clone());
             continue;
         }
         let entries = std::fs::read_dir(path).map_err(|e| format!("{}: {e}", path.display()))?;
-        let mut within: Vec<PathBuf> = entries.flatten().map(|entry| entry.path()).collect();
-        within.retain(|file| file.extension().is_some_and(|ending| ending == "cue"));
-        within.sort();
-        files.extend(within);
+        let mut in_folder: Vec<PathBuf> = entries.flatten().map(|entry| entry.path()).collect();
+        in_folder.retain(|file| file.extension().is_some_and(|extension| extension == "cue"));
+        in_folder.sort();
+        files.extend(in_folder);
     }
     Ok(files)
 }
 
-fn virtual_days(
+fn run_virtual(
     file: &Path,
     seeds: u64,
     edges: Option<usize>,
     records: Option<&Path>,
 ) -> Result<bool, String> {
-    let mut day = Day::load(file).map_err(|e| format!("{}\n{e}", e.drawn()))?;
+    let mut day = load_day(file)?;
     day.edges = edges.unwrap_or(day.edges);
-    let mut kept = true;
+    let mut rules_kept = true;
     for _ in 0..seeds {
-        let begun = std::time::Instant::now();
+        let start = std::time::Instant::now();
         let played = simulated_run::play(&day, Safeguards::default()).map_err(|e| e.to_string())?;
-        println!("seed {}, {} fronts, played in {:.1} s", day.seed, day.edges, begun.elapsed().as_secs_f64());
+        println!("seed {}, {} fronts, played in {:.1} s", day.seed, day.edges, start.elapsed().as_secs_f64());
         println!("{}", played.report);
         if day.peers {
-            let each_s = day.length_ns as f64 / 1e9 * day.edges as f64;
-            let (datagrams, bytes) =
-                (played.talk.datagrams as f64 / each_s, played.talk.bytes as f64 / each_s);
-            println!("each front told others {datagrams:.1} datagrams and {:.1} kB a second", bytes / 1e3);
+            let front_seconds = day.length_ns as f64 / 1e9 * day.edges as f64;
+            let datagrams_per_s = played.talk.datagrams as f64 / front_seconds;
+            let bytes_per_s = played.talk.bytes as f64 / front_seconds;
+            println!(
+                "each front told others {datagrams_per_s:.1} datagrams and {:.1} kB a second",
+                bytes_per_s / 1e3
+            );
         }
         records.map_or(Ok(()), |path| write_records(path, &played.records))?;
-        kept &= verdict(&played.breaches);
+        rules_kept &= print_verdict(&played.breaches);
         day.seed += 1;
     }
-    Ok(kept)
+    Ok(rules_kept)
 }
 
-fn verdict(breaches: &[Breach]) -> bool {
+/// Prints for each rule whether it was kept, with the first breaches. Returns whether all rules were kept.
+fn print_verdict(breaches: &[Breach]) -> bool {
     for rule in Rule::ALL {
-        let broken: Vec<&Breach> = breaches.iter().filter(|b| b.rule == rule).collect();
-        let word =
-            if broken.is_empty() { "kept".to_string() } else { format!("BROKEN {} times", broken.len()) };
-        println!("{:<42} {word}", rule.text());
-        broken.iter().take(PRINTED).for_each(|breach| println!("  {breach}"));
+        let of_rule: Vec<&Breach> = breaches.iter().filter(|b| b.rule == rule).collect();
+        let verdict =
+            if of_rule.is_empty() { "kept".to_string() } else { format!("BROKEN {} times", of_rule.len()) };
+        println!("{:<42} {verdict}", rule.text());
+        of_rule.iter().take(MAX_PRINTED_BREACHES).for_each(|breach| println!("  {breach}"));
     }
     breaches.is_empty()
 }
 
-/// The promises that a process of this laboratory is to break, for tests of the judge.
-fn broken() -> lilacpitch_fleet::Safeguards {
+/// The safeguards of a process of the fleet, without those that the environment variable
+/// `LILACPITCH_LAB_BREAKS` names. Tests switch them off to show that the checker detects the violations that
+/// follow.
+fn safeguards_from_environment() -> lilacpitch_fleet::Safeguards {
     let names = std::env::var("LILACPITCH_LAB_BREAKS").unwrap_or_default();
-    let mut guards = lilacpitch_fleet::Safeguards::default();
+    let mut safeguards = lilacpitch_fleet::Safeguards::default();
     for name in names.split(',').filter(|name| !name.is_empty()) {
-        let guard = match name {
-            "ages" => &mut guards.summary_age,
-            "disks" => &mut guards.disk_loss,
-            "says" => &mut guards.unreached_sites,
-            "leases" => &mut guards.cache_leases,
-            "refills" => &mut guards.stale_fills,
-            "acknowledgements" => &mut guards.acknowledgements,
-            "stragglers" => &mut guards.lagging_holders,
-            "fences" => &mut guards.write_fencing,
-            "records" => &mut guards.audit_records,
-            "calls_first" => &mut guards.calls_first,
+        let safeguard = match name {
+            "ages" => &mut safeguards.summary_age,
+            "disks" => &mut safeguards.disk_loss,
+            "says" => &mut safeguards.unreached_sites,
+            "leases" => &mut safeguards.cache_leases,
+            "refills" => &mut safeguards.stale_fills,
+            "acknowledgements" => &mut safeguards.acknowledgements,
+            "stragglers" => &mut safeguards.lagging_holders,
+            "fences" => &mut safeguards.write_fencing,
+            "records" => &mut safeguards.audit_records,
+            "calls_first" => &mut safeguards.calls_first,
             other => {
-                eprintln!("LILACPITCH_LAB_BREAKS: no guard {other:?}");
+                eprintln!("LILACPITCH_LAB_BREAKS: no safeguard {other:?}");
                 std::process::exit(2);
             }
         };
-        *guard = false;
+        *safeguard = false;
     }
-    guards
+    safeguards
 }
--- a/crates/lilacpitch-testbed/src/compare.rs
+++ b/crates/lilacpitch-testbed/src/compare.rs
@@ -1,4 +1,4 @@
-//! Policies side by side: the same days and seeds, several at once, beside the bound.
+//! Comparison of policies on the same days and seeds, and with the upper bound.
 
 use crate::baseline::Baseline;
 use crate::bound::bound;
@@ -14,30 +14,32 @@
 use std::collections::BTreeMap;
 use std::fmt;
 
-/// Seconds over which service is taken to have come back.
-const BACK_S: Nanos = 3;
-/// Back at this share of what it was before.
-const BACK_AT: f64 = 0.95;
+/// Seconds over which service is averaged to decide whether it has recovered.
+const RECOVERY_WINDOW_S: Nanos = 3;
+/// Share of the service before the first fault at which it counts as recovered.
+const RECOVERED_SHARE: f64 = 0.95;
 
-/// One policy on one day, over all seeds.
+/// The results of one policy on one day, over all seeds.
 #[derive(Debug, Clone)]
 pub struct Row {
-    /// The day's name.
+    /// Name of the day.
     pub day: String,
     /// The policy.
     pub policy: Baseline,
-    /// Means over the seeds: service, and the worst ten seconds.
+    /// Service, the mean over the seeds.
     pub service: f64,
-    /// The worst ten seconds.
+    /// Service in the worst ten seconds, the mean over the seeds.
     pub worst: f64,
-    /// Seconds until service was back, mean over the seeds on which it came back; and on how many it did not.
+    /// Seconds until service recovered, the mean over the seeds where it did; and the number of seeds where
+    /// it did not.
     pub recovery: (f64, usize),
-    /// Days on which a rule was broken, by rule.
+    /// Number of runs in which each rule was violated.
     pub broken: BTreeMap<Rule, usize>,
-    /// The bound.
+    /// The upper bound on service.
     pub bound: f64,
 }
 
+/// The result of one seed.
 struct Run {
     service: f64,
     worst: f64,
@@ -45,7 +47,8 @@
     broken: Vec<Rule>,
 }
 
-/// Plays each day with each policy and seed. Same result for any number of threads.
+/// Runs each day with each policy and seed, several at once. The result does not depend on the number of
+/// threads.
 pub fn compare(
     days: &[(String, Day)],
     policies: &[Baseline],
@@ -79,13 +82,14 @@
         .collect();
     bar.finish_and_clear();
     let runs = runs?;
-    let each = runs.chunks(seeds.max(1) as usize).zip(jobs.chunks(seeds.max(1) as usize));
-    Ok(each.map(|(runs, jobs)| row(&days[jobs[0].0], jobs[0].1, runs)).collect())
+    let seeds = seeds.max(1) as usize;
+    let groups = runs.chunks(seeds).zip(jobs.chunks(seeds));
+    Ok(groups.map(|(runs, jobs)| summarize(&days[jobs[0].0], jobs[0].1, runs)).collect())
 }
 
-fn row((name, day): &(String, Day), policy: Baseline, runs: &[Run]) -> Row {
-    let mean = |of: &dyn Fn(&Run) -> f64| runs.iter().map(of).sum::<f64>() / runs.len() as f64;
-    let back: Vec<f64> = runs.iter().filter_map(|run| run.recovery_s).collect();
+fn summarize((name, day): &(String, Day), policy: Baseline, runs: &[Run]) -> Row {
+    let mean = |value: &dyn Fn(&Run) -> f64| runs.iter().map(value).sum::<f64>() / runs.len() as f64;
+    let recoveries: Vec<f64> = runs.iter().filter_map(|run| run.recovery_s).collect();
     let mut broken = BTreeMap::new();
     for rule in runs.iter().flat_map(|run| &run.broken) {
         *broken.entry(*rule).or_default() += 1;
@@ -95,38 +99,51 @@
         policy,
         service: mean(&|run| run.service),
         worst: mean(&|run| run.worst),
-        recovery: (back.iter().sum::<f64>() / back.len().max(1) as f64, runs.len() - back.len()),
+        recovery: (
+            recoveries.iter().sum::<f64>() / recoveries.len().max(1) as f64,
+            runs.len() - recoveries.len(),
+        ),
         broken,
         bound: bound(day),
     }
 }
 
-/// Seconds from the last trouble's end until service over three seconds is at 95 per cent of what it was before the
-/// first, or of all where no time was before. `None`: not on this day.
+/// Seconds from the end of the last fault until service over three seconds is at 95 percent of the service
+/// before the first fault, or of full service if the first fault comes too early. `None` if service does not
+/// recover, or if there are no faults.
 pub fn recovery(day: &Day, report: &Report) -> Option<f64> {
-    let from = day.troubles.iter().map(|t| t.at_ns).min()? / 1_000_000_000;
-    let over = day.troubles.iter().map(|t| t.at_ns + t.for_ns).max()? / 1_000_000_000;
-    let of = |from: Nanos, to: Nanos| {
-        let sum = report.seconds.range(from.min(to)..to).fold((0.0, 0.0), |a, (_, b)| (a.0 + b.0, a.1 + b.1));
-        (sum.1 > 0.0).then(|| sum.0 / sum.1)
+    let first_fault_s = day.troubles.iter().map(|t| t.at_ns).min()? / 1_000_000_000;
+    let faults_end_s = day.troubles.iter().map(|t| t.at_ns + t.for_ns).max()? / 1_000_000_000;
+    let service = |start: Nanos, end: Nanos| {
+        let seconds = report.seconds.range(start.min(end)..end);
+        let (earned, offered) =
+            seconds.fold((0.0, 0.0), |sum, (_, second)| (sum.0 + second.0, sum.1 + second.1));
+        (offered > 0.0).then(|| earned / offered)
     };
-    let before = of(1, from).filter(|_| from > BACK_S).unwrap_or(1.0);
-    let last = (day.length_ns / 1_000_000_000).saturating_sub(BACK_S);
-    let mut each = over..=last;
-    let back = each.find(|at| of(*at, at + BACK_S).is_none_or(|now| now >= BACK_AT * before))?;
-    Some((back - over) as f64)
+    let before = service(1, first_fault_s).filter(|_| first_fault_s > RECOVERY_WINDOW_S).unwrap_or(1.0);
+    let last_start_s = (day.length_ns / 1_000_000_000).saturating_sub(RECOVERY_WINDOW_S);
+    let has_recovered = |start: &Nanos| {
+        service(*start, start + RECOVERY_WINDOW_S).is_none_or(|now| now >= RECOVERED_SHARE * before)
+    };
+    let recovered_s = (faults_end_s..=last_start_s).find(has_recovered)?;
+    Some((recovered_s - faults_end_s) as f64)
 }
 
 impl fmt::Display for Row {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let (back_s, never) = self.recovery;
-        let back = if never == 0 { format!("{back_s:.1}") } else { format!("{back_s:.1}, {never} not") };
+        let (mean_s, not_recovered) = self.recovery;
+        let recovery = if not_recovered == 0 {
+            format!("{mean_s:.1}")
+        } else {
+            format!("{mean_s:.1}, {not_recovered} not")
+        };
         let broken: Vec<String> =
             self.broken.iter().map(|(rule, days)| format!("{}: {days} days", rule.text())).collect();
+        // The variant's name in lower case, as in earlier reports.
         let policy = format!("{:?}", self.policy).to_lowercase();
         write!(
             f,
-            "{:<26} {policy:<9} {:>7.3} {:>7.3} {:>7.3} {back:>12}  {}",
+            "{:<26} {policy:<9} {:>7.3} {:>7.3} {:>7.3} {recovery:>12}  {}",
             self.day,
             self.service,
             self.bound,
@@ -136,6 +153,6 @@
     }
 }
 
-/// The heading of rows.
+/// The heading of the table of [`Row`]s.
 pub const HEADING: &str =
     "day                        policy    service   bound worst10 recovery, s  rules (figures of simulated servers)";
--- a/crates/lilacpitch-testbed/src/datagram_relay.rs
+++ b/crates/lilacpitch-testbed/src/datagram_relay.rs
@@ -1,5 +1,5 @@
-//! The network between real fronts: a relay on loopback that each front is reached through, and which loses,
-//! damages and cuts off as it is told to.
+//! The network between real fronts: a relay on loopback through which each front is reached, with loss,
+//! damage and partitions of datagrams.
 
 use crate::simulated_network::Weather;
 use rand::rngs::StdRng;
@@ -12,30 +12,30 @@
 use tokio::sync::watch;
 
 /// Longest datagram that UDP can carry over IPv4 (RFC 768, RFC 791).
-const MOST_BYTES: usize = 65_507;
+const MAX_UDP_BYTES: usize = 65_507;
 
-/// What a relay has done.
+/// Counters of a relay.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct Counts {
-    /// Datagrams that came in, and their bytes.
+    /// Datagrams received, and their bytes.
     pub came: (u64, u64),
-    /// Of them, those of which nothing went on.
+    /// Datagrams received and lost.
     pub lost: u64,
-    /// What went on, copies and all.
+    /// Datagrams forwarded, duplicates included.
     pub went: u64,
 }
 
 /// A relay that runs on a thread of its own.
 #[derive(Debug)]
 pub struct Relay {
-    /// Where each front is reached through it.
+    /// For each front, the address of the relay that forwards to it.
     pub public: Vec<SocketAddr>,
     weather: watch::Sender<Weather>,
     thread: JoinHandle<std::io::Result<Counts>>,
 }
 
 impl Relay {
-    /// Stands before fronts whose own addresses these are.
+    /// Starts a relay for fronts with these addresses.
     pub fn start(real: Vec<SocketAddr>, seed: u64) -> std::io::Result<Self> {
         let mut sockets = Vec::new();
         for _ in &real {
@@ -44,27 +44,28 @@
             sockets.push(socket);
         }
         let public = sockets.iter().map(std::net::UdpSocket::local_addr).collect::<Result<_, _>>()?;
-        let (weather, told) = watch::channel(Weather::default());
+        let (weather, weather_receiver) = watch::channel(Weather::default());
         let thread = std::thread::spawn(move || {
             let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
-            tokio::task::LocalSet::new().block_on(&runtime, carry_all(sockets, real, told, seed))
+            tokio::task::LocalSet::new()
+                .block_on(&runtime, forward_all(sockets, real, weather_receiver, seed))
         });
         Ok(Relay { public, weather, thread })
     }
 
-    /// The weather from now on.
+    /// Sets the faults from now on.
     pub fn weather(&self, weather: Weather) {
         self.weather.send_replace(weather);
     }
 
-    /// Ends it; what it did.
+    /// Stops the relay. Returns its counters.
     pub fn stop(self) -> std::io::Result<Counts> {
         drop(self.weather);
         self.thread.join().unwrap_or_else(|_| Err(std::io::Error::other("the relay panicked")))
     }
 }
 
-async fn carry_all(
+async fn forward_all(
     sockets: Vec<std::net::UdpSocket>,
     real: Vec<SocketAddr>,
     weather: watch::Receiver<Weather>,
@@ -73,9 +74,9 @@
     let real: Rc<[SocketAddr]> = real.into();
     let mut tasks = Vec::new();
     for (to, socket) in sockets.into_iter().enumerate() {
-        let way = Way { to, socket: Rc::new(UdpSocket::from_std(socket)?), real: real.clone() };
+        let forwarder = Forwarder { to, socket: Rc::new(UdpSocket::from_std(socket)?), real: real.clone() };
         let rng = StdRng::seed_from_u64(seed.wrapping_mul(1_000) + to as u64);
-        tasks.push(tokio::task::spawn_local(way.carry(weather.clone(), rng)));
+        tasks.push(tokio::task::spawn_local(forwarder.run(weather.clone(), rng)));
     }
     let mut sum = Counts::default();
     for task in tasks {
@@ -86,21 +87,24 @@
     Ok(sum)
 }
 
-/// The way to one front.
-struct Way {
+/// The part of a relay that forwards to one front.
+struct Forwarder {
+    /// Index of the front.
     to: usize,
     socket: Rc<UdpSocket>,
+    /// The addresses of all fronts.
     real: Rc<[SocketAddr]>,
 }
 
-impl Way {
-    async fn carry(self, mut weather: watch::Receiver<Weather>, mut rng: StdRng) -> Counts {
-        let (mut counts, mut buffer) = (Counts::default(), vec![0; MOST_BYTES]);
+impl Forwarder {
+    async fn run(self, mut weather: watch::Receiver<Weather>, mut rng: StdRng) -> Counts {
+        let (mut counts, mut buffer) = (Counts::default(), vec![0; MAX_UDP_BYTES]);
         loop {
             let (length, source) = tokio::select! {
-                // A front's port that is closed shows here; its datagrams are lost, as on any network.
-                came = self.socket.recv_from(&mut buffer) => match came {
-                    Ok(came) => came,
+                // An error means that an earlier datagram reached a closed port; that datagram is lost, as on
+                // any network.
+                received = self.socket.recv_from(&mut buffer) => match received {
+                    Ok(received) => received,
                     Err(_) => continue,
                 },
                 changed = weather.changed() => match changed {
@@ -112,14 +116,14 @@
             let from = self.real.iter().position(|a| *a == source).unwrap_or(usize::MAX);
             let bytes = buffer[..length].to_vec();
             let weather = *weather.borrow();
-            let arrives = weather.carry(from, Some(self.to), bytes, || rng.random());
-            counts.lost += u64::from(arrives.is_empty());
-            counts.went += arrives.len() as u64;
-            for (late_ns, bytes) in arrives {
+            let arriving = weather.carry(from, Some(self.to), bytes, || rng.random());
+            counts.lost += u64::from(arriving.is_empty());
+            counts.went += arriving.len() as u64;
+            for (delay_ns, bytes) in arriving {
                 let (socket, address) = (self.socket.clone(), self.real[self.to]);
                 tokio::task::spawn_local(async move {
-                    if late_ns > 0 {
-                        tokio::time::sleep(Duration::from_nanos(late_ns)).await;
+                    if delay_ns > 0 {
+                        tokio::time::sleep(Duration::from_nanos(delay_ns)).await;
                     }
                     let _ = socket.send_to(&bytes, address).await;
                 });
--- a/crates/lilacpitch-testbed/src/load.rs
+++ b/crates/lilacpitch-testbed/src/load.rs
@@ -1,8 +1,9 @@
-//! How fast a front is: what it adds to a call's set-up, what it costs, and the rate that one core holds.
+//! Load measurement of one front: the latency it adds to the set-up of a call, its use of processor and
+//! memory, and the rate that one core sustains.
 //!
-//! What a front adds is the time from the caller's send to the server's read, and from the server's answer to
-//! the caller's read: both ends are clocked by the laboratory. The laboratory's own part is told apart by the
-//! same load on a front that answers at once and does nothing else.
+//! The latency added is the time from the caller's send to the server's read plus the time from the server's
+//! answer to the caller's read, all by the testbed's clock. It includes the testbed's own latency, which is
+//! measured with the same load on a program that only answers at once.
 
 use crate::call_rules_checker::Breach;
 use crate::day::Day;
@@ -15,33 +16,34 @@
 use std::collections::BTreeMap;
 use std::fmt;
 
-/// One load, and what it came to.
+/// The result of one load.
 #[derive(Debug)]
 pub struct Load {
-    /// Calls a second that were asked for.
+    /// Calls offered per second.
     pub per_s: f64,
-    /// For so long.
+    /// Duration of the load.
     pub seconds: u64,
-    /// Calls offered, and how many of them were answered 'stands'.
+    /// Number of calls offered, and of those established.
     pub calls: (u64, u64),
-    /// Rules broken.
+    /// Violations of the call rules.
     pub breaches: Vec<Breach>,
-    /// What the front added to each call that stood at its first attempt, in microseconds.
+    /// Latency that the front added to each call established at its first attempt, in microseconds.
     pub added_us: Histogram<u64>,
-    /// The laboratory's own round trip under the same load, in microseconds.
-    pub own_us: Histogram<u64>,
-    /// What the front's process used.
+    /// The testbed's own round trip under the same load, in microseconds.
+    pub testbed_us: Histogram<u64>,
+    /// Resources used by the front's process.
     pub front: Used,
-    /// Processor time of the laboratory while the front ran.
-    pub lab_cpu_s: f64,
+    /// Processor time of the testbed while the front ran, in seconds.
+    pub testbed_cpu_s: f64,
 }
 
-/// Sockets of callers, and servers that are never short.
+/// Number of callers' sockets.
 const CALLERS: usize = 8;
+/// Number of servers, whose capacity is never exceeded.
 const SERVERS: usize = 4;
 
 /// A day of steady load on one front.
-fn steady(per_s: f64, seconds: u64) -> Result<Day, String> {
+fn steady_load(per_s: f64, seconds: u64) -> Result<Day, String> {
     let server = |i: usize| format!("\t{{name: \"r{i}\", pool: \"p{i}\", per_s: 1000000}},\n");
     let text = format!(
         "length: \"{seconds}s\"\nedges: 1\ncallers_per_edge: {CALLERS}\nper_s: {per_s:?}\n\
@@ -53,42 +55,42 @@
     Day::from_text("load", &text).map_err(|e| e.to_string())
 }
 
-/// Puts a steady load on a front, and the same on one that does nothing.
+/// Measures a front under a steady load, and the testbed alone under the same load.
 pub fn load(program: &Program, per_s: f64, seconds: u64) -> Result<Load, String> {
-    let day = steady(per_s, seconds)?;
-    let told = |e: PlayError| e.to_string();
+    let day = steady_load(per_s, seconds)?;
+    let text = |e: PlayError| e.to_string();
     let before = used(std::process::id()).unwrap_or_default();
-    let Played { records, breaches, used: fronts, report, .. } = play(&day, program).map_err(told)?;
+    let Played { records, breaches, used: fronts, report, .. } = play(&day, program).map_err(text)?;
     let after = used(std::process::id()).unwrap_or_default();
-    let added_us = added(&records);
+    let added_us = added_latency(&records);
     let calls = (
         report.classes.iter().map(|c| c.offered).sum(),
         report.classes.iter().map(|c| c.in_time + c.late).sum(),
     );
     drop(records);
-    // A tenth of the time is enough for the laboratory's own part.
-    let idle = play(&steady(per_s, (seconds / 10).max(5))?, &Program::Null).map_err(told)?;
-    let mut own_us = histogram();
-    idle.report.classes.iter().for_each(|c| own_us.add(&c.setup_us).unwrap_or(()));
+    // A tenth of the time is enough for the testbed's own latency.
+    let alone = play(&steady_load(per_s, (seconds / 10).max(5))?, &Program::Null).map_err(text)?;
+    let mut testbed_us = histogram();
+    alone.report.classes.iter().for_each(|c| testbed_us.add(&c.setup_us).unwrap_or(()));
     Ok(Load {
         per_s,
         seconds,
         calls,
         breaches,
         added_us,
-        own_us,
+        testbed_us,
         front: fronts.first().copied().unwrap_or_default(),
-        lab_cpu_s: after.cpu_s - before.cpu_s,
+        testbed_cpu_s: after.cpu_s - before.cpu_s,
     })
 }
 
-/// What the front added to calls that stood at their first attempt.
-fn added(records: &[Record]) -> Histogram<u64> {
+/// The latency that the front added to calls established at their first attempt, in microseconds.
+fn added_latency(records: &[Record]) -> Histogram<u64> {
     let mut offered: BTreeMap<&str, Nanos> = BTreeMap::new();
-    // By call: the set-up's read, and the answer's send.
+    // By call: the time at which its server read the set-up and the time at which it answered.
     let mut at_server: BTreeMap<&str, (Nanos, Option<Nanos>)> = BTreeMap::new();
     let mut call_of: BTreeMap<(usize, u64), &str> = BTreeMap::new();
-    let mut out = histogram();
+    let mut added_us = histogram();
     for Record { at_ns, seen } in records {
         match seen {
             Seen::Offered { call, .. } => drop(offered.insert(call, *at_ns)),
@@ -108,19 +110,20 @@
                     continue;
                 };
                 let added_ns = read.saturating_sub(sent) + at_ns.saturating_sub(answered);
-                out.saturating_record(added_ns / 1000);
+                added_us.saturating_record(added_ns / 1000);
             }
             _ => {}
         }
     }
-    out
+    added_us
 }
 
 impl fmt::Display for Load {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let ms = |h: &Histogram<u64>, q: f64| h.value_at_quantile(q) as f64 / 1000.0;
-        let (added, own) = (&self.added_us, &self.own_us);
-        let core = |cpu_s: f64| 100.0 * cpu_s / self.seconds as f64;
+        let ms =
+            |histogram: &Histogram<u64>, quantile: f64| histogram.value_at_quantile(quantile) as f64 / 1000.0;
+        let (added, testbed) = (&self.added_us, &self.testbed_us);
+        let percent_of_core = |cpu_s: f64| 100.0 * cpu_s / self.seconds as f64;
         write!(
             f,
             "{:>7.0}/s {:>5} s {:>9} calls {:>9} stood  added ms p50 {:.2} p99 {:.2} p99.9 {:.2}  own {:.2} {:.2} {:.2}  \
@@ -132,12 +135,12 @@
             ms(added, 0.5),
             ms(added, 0.99),
             ms(added, 0.999),
-            ms(own, 0.5),
-            ms(own, 0.99),
-            ms(own, 0.999),
-            core(self.front.cpu_s),
+            ms(testbed, 0.5),
+            ms(testbed, 0.99),
+            ms(testbed, 0.999),
+            percent_of_core(self.front.cpu_s),
             self.front.peak_mib,
-            core(self.lab_cpu_s),
+            percent_of_core(self.testbed_cpu_s),
             self.breaches.len()
         )
     }
--- a/crates/lilacpitch-testbed/src/newcomers.rs
+++ b/crates/lilacpitch-testbed/src/newcomers.rs
@@ -1,5 +1,6 @@
-//! How a front that starts anew does in its first minute, beside the warm ones: alone, with peers, with all their
-//! messages lost, and with one of them confused; on the same days.
+//! Service of fronts in their first minute after a restart, compared with that of fronts that have run for a
+//! while: on the same days without gossip, with gossip, with all gossip lost, and with a peer that sends
+//! false reports.
 
 use crate::day::{Day, Kind, Trouble};
 use crate::record::{Record, Seen};
@@ -11,80 +12,88 @@
 use lilacpitch_edge::core::Safeguards;
 use std::fmt;
 
-/// What counts as a front's beginning.
-const FIRST_NS: Nanos = 60_000_000_000;
+/// Time after its start in which a front counts as new.
+const NEW_NS: Nanos = 60_000_000_000;
 
-/// How fronts know each other on a day.
+/// The state of the gossip among fronts on a day.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Talk {
-    /// They don't.
+pub enum GossipMode {
+    /// Fronts do not gossip.
     None,
-    /// They do.
+    /// Gossip works.
     Sound,
-    /// All messages are lost.
+    /// All datagrams are lost.
     Lost,
-    /// One of the peers that are asked first tells nonsense.
+    /// A peer that new fronts send requests to first reports that all servers are silent.
     Confused,
 }
 
-impl Talk {
-    /// All of them.
-    pub const ALL: [Talk; 4] = [Talk::None, Talk::Sound, Talk::Lost, Talk::Confused];
+impl GossipMode {
+    /// All modes.
+    pub const ALL: [GossipMode; 4] =
+        [GossipMode::None, GossipMode::Sound, GossipMode::Lost, GossipMode::Confused];
 }
 
-/// Service over the same span of the fronts that started anew, and of all others.
+/// Service of new fronts, and of the others over the same time.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Beginning {
-    /// Of those that started anew.
+pub struct NewcomerService {
+    /// Service of fronts in their first minute after a restart.
     pub new: f64,
-    /// Of the others.
+    /// Service of fronts that are not restarted.
     pub warm: f64,
-    /// Rules broken on the day.
+    /// Violations of the call rules.
     pub breaches: usize,
 }
 
-/// Plays a day with its restarts, for so many seeds, and takes the means.
-pub fn beginnings(day: &Day, talk: Talk, seeds: u64) -> Result<Beginning, ConfigError> {
-    let mut day = Day { peers: talk != Talk::None, ..day.clone() };
-    match talk {
-        Talk::Lost => day.peer_loss = 100,
-        Talk::Confused => {
-            let (kind, at_ns, for_ns, size) = (Kind::PeersConfused, 0, 0, 1.0);
-            let (servers, edges, wait_ns, by, first) = (Vec::new(), vec![0], 0, By::Setup, 0);
-            day.troubles.push(Trouble { kind, at_ns, for_ns, size, servers, edges, wait_ns, by, first });
-        }
-        Talk::None | Talk::Sound => {}
+/// Runs a day that has restarts with this many seeds, and returns the means.
+pub fn newcomer_service(day: &Day, gossip: GossipMode, seeds: u64) -> Result<NewcomerService, ConfigError> {
+    let mut day = Day { peers: gossip != GossipMode::None, ..day.clone() };
+    match gossip {
+        GossipMode::Lost => day.peer_loss = 100,
+        GossipMode::Confused => day.troubles.push(Trouble {
+            kind: Kind::PeersConfused,
+            at_ns: 0,
+            for_ns: 0,
+            size: 1.0,
+            servers: Vec::new(),
+            edges: vec![0],
+            wait_ns: 0,
+            by: By::Setup,
+            first: 0,
+        }),
+        GossipMode::None | GossipMode::Sound => {}
     }
     let script = day.script();
-    let starts: Vec<(Nanos, usize)> = script.restart.iter().map(|(_, to, edge)| (*to, *edge)).collect();
-    let mut sum = Beginning { new: 0.0, warm: 0.0, breaches: 0 };
+    let starts: Vec<(Nanos, usize)> = script.restart.iter().map(|(_, up, edge)| (*up, *edge)).collect();
+    let mut sum = NewcomerService { new: 0.0, warm: 0.0, breaches: 0 };
     for _ in 0..seeds {
         let played = play(&day, Safeguards::default())?;
-        let in_first = |at: Nanos, from: Nanos| (from..from + FIRST_NS).contains(&at);
-        let new = |edge: usize, at: Nanos| starts.iter().any(|(from, e)| *e == edge && in_first(at, *from));
-        let warm = |edge: usize, at: Nanos| {
-            starts.iter().all(|(_, e)| *e != edge) && starts.iter().any(|(from, _)| in_first(at, *from))
+        let is_within = |at: Nanos, start: Nanos| (start..start + NEW_NS).contains(&at);
+        let is_new =
+            |edge: usize, at: Nanos| starts.iter().any(|(start, e)| *e == edge && is_within(at, *start));
+        let is_warm = |edge: usize, at: Nanos| {
+            starts.iter().all(|(_, e)| *e != edge) && starts.iter().any(|(start, _)| is_within(at, *start))
         };
-        sum.new += service(&day, &played.records, new);
-        sum.warm += service(&day, &played.records, warm);
+        sum.new += service(&day, &played.records, is_new);
+        sum.warm += service(&day, &played.records, is_warm);
         sum.breaches += played.breaches.len();
         day.seed += 1;
     }
     let count = seeds.max(1) as f64;
-    Ok(Beginning { new: sum.new / count, warm: sum.warm / count, ..sum })
+    Ok(NewcomerService { new: sum.new / count, warm: sum.warm / count, ..sum })
 }
 
-/// Service of the calls that were first offered to some fronts at some times.
-fn service(day: &Day, records: &[Record], counts: impl Fn(usize, Nanos) -> bool) -> f64 {
-    let keep = |record: &&Record| match &record.seen {
-        Seen::Offered { edge, .. } => counts(*edge, record.at_ns),
+/// Service of the calls whose first try is selected by front and time.
+fn service(day: &Day, records: &[Record], is_selected: impl Fn(usize, Nanos) -> bool) -> f64 {
+    let is_kept = |record: &&Record| match &record.seen {
+        Seen::Offered { edge, .. } => is_selected(*edge, record.at_ns),
         _ => true,
     };
-    let kept: Vec<Record> = records.iter().filter(keep).cloned().collect();
+    let kept: Vec<Record> = records.iter().filter(is_kept).cloned().collect();
     report(day, &kept, 0).service
 }
 
-impl fmt::Display for Beginning {
+impl fmt::Display for NewcomerService {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let (new, warm) = (self.new, self.warm);
         write!(f, "first minute of new fronts {new:.3}, warm fronts {warm:.3}, breaches {}", self.breaches)
--- a/crates/lilacpitch-testbed/src/simulated_network.rs
+++ b/crates/lilacpitch-testbed/src/simulated_network.rs
@@ -1,5 +1,5 @@
-//! Fronts that know each other on a simulated network: datagrams are lost, late and cut off as it is told to, in
-//! virtual time, from one seed. Membership alone: no calls, no servers.
+//! Gossip among fronts on a simulated network in virtual time, with loss, delay and partitions from one seed.
+//! It runs membership alone, without calls and servers.
 
 use lilacpitch::interface::Nanos;
 use lilacpitch_gossip::sealed_datagram::MAX_DATAGRAM_BYTES;
@@ -10,27 +10,28 @@
 use std::net::{Ipv4Addr, SocketAddr};
 
 const MS: Nanos = 1_000_000;
-/// Virtual days begin here, in nanoseconds since 1970: identities need a date.
+/// Start of virtual time, in nanoseconds of Unix time; incarnations of fronts need a date.
 pub const START_NS: Nanos = 1_700_000_000_000_000_000;
 const FIRST_PORT: u16 = 10_000;
-/// One way, half of it drawn.
-const WAY_NS: Nanos = 2 * MS;
-/// The fronts that all know from their settings.
+/// Longest latency of a datagram that is not delayed; half of it is random.
+const MAX_LATENCY_NS: Nanos = 2 * MS;
+/// Number of fronts that are seeds in the settings of all fronts.
 const SEEDS: usize = 3;
 
-/// What the network does with datagrams.
+/// The faults of the network.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct Weather {
-    /// Of 100, so many are lost.
+    /// Percentage of datagrams lost.
     pub lost: u32,
-    /// Of 100, so many are damaged on the way: see [`damaged`].
+    /// Percentage of datagrams damaged; see [`damaged`].
     pub damaged: u32,
-    /// Fronts below this index and those from it on don't reach each other; 0: all do.
+    /// A partition: fronts below this index and the others can't reach each other; 0: no partition.
     pub split: usize,
 }
 
 impl Weather {
-    /// What of a datagram arrives, each with how much later than usual; `to`: `None` where that is nobody's address.
+    /// The datagrams that arrive in place of one that is sent, each with its additional delay. `to` is `None`
+    /// if the address belongs to no front. `draw` returns a random number.
     pub fn carry(
         &self,
         from: usize,
@@ -38,10 +39,11 @@
         bytes: Vec<u8>,
         mut draw: impl FnMut() -> u64,
     ) -> Vec<(Nanos, Vec<u8>)> {
-        // Drawn in any case, so that one that is cut off does not shift the others' chances.
-        let lost = draw() % 100 < u64::from(self.lost);
-        let cut_off = to.is_none_or(|to| self.split > 0 && (from < self.split) != (to < self.split));
-        if lost || cut_off {
+        // Drawn also for a datagram that can't arrive, so that a partition doesn't change the fate of the
+        // others.
+        let is_lost = draw() % 100 < u64::from(self.lost);
+        let is_unreachable = to.is_none_or(|to| self.split > 0 && (from < self.split) != (to < self.split));
+        if is_lost || is_unreachable {
             Vec::new()
         } else if self.damaged > 0 && draw() % 100 < u64::from(self.damaged) {
             damaged(bytes, draw())
@@ -51,23 +53,24 @@
     }
 }
 
-/// What a bad path makes of a datagram, drawn from a seed: a bit changed, the end cut off, twice, again after up to three
-/// seconds, or longer than any may be.
+/// Damages a datagram in one of these ways, chosen at random: a bit is flipped, it is truncated, duplicated,
+/// repeated after up to three seconds, or extended beyond the longest valid length. Returns the datagrams
+/// that arrive, each with its additional delay.
 pub fn damaged(mut bytes: Vec<u8>, seed: u64) -> Vec<(Nanos, Vec<u8>)> {
     let mut rng = StdRng::seed_from_u64(seed);
-    let whole = bytes.clone();
+    let original = bytes.clone();
     match rng.random_range(0..5) {
         0 => {
-            let at = rng.random_range(0..bytes.len().max(1));
-            bytes.iter_mut().skip(at).take(1).for_each(|byte| *byte ^= 1 << rng.random_range(0..8));
+            let offset = rng.random_range(0..bytes.len().max(1));
+            bytes.iter_mut().skip(offset).take(1).for_each(|byte| *byte ^= 1 << rng.random_range(0..8));
             vec![(0, bytes)]
         }
         1 => {
             bytes.truncate(rng.random_range(0..bytes.len().max(1)));
             vec![(0, bytes)]
         }
-        2 => vec![(0, whole), (MS, bytes)],
-        3 => vec![(0, whole), (rng.random_range(10..3_000) * MS, bytes)],
+        2 => vec![(0, original), (MS, bytes)],
+        3 => vec![(0, original), (rng.random_range(10..3_000) * MS, bytes)],
         _ => {
             bytes.resize(MAX_DATAGRAM_BYTES + rng.random_range(1..500), 0);
             vec![(0, bytes)]
@@ -75,201 +78,212 @@
     }
 }
 
-/// What one front has sent.
+/// The datagrams that a front has sent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct Sent {
-    /// Datagrams.
+    /// Number of datagrams.
     pub datagrams: u64,
-    /// Their bytes, without UDP's own.
+    /// Their bytes, without the headers of UDP and IP.
     pub bytes: u64,
 }
 
-/// What a front has noticed of another.
+/// A change in one front's view of the membership of another.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Noticed {
-    /// When, in virtual time.
+pub struct MembershipChange {
+    /// Virtual time of the change.
     pub at_ns: Nanos,
-    /// Who noticed.
-    pub by: usize,
-    /// Of whom.
-    pub of: usize,
-    /// It came, or it went.
-    pub there: bool,
-    /// The word is of the life that the other leads, or led last.
-    pub of_this_life: bool,
-    /// The other runs.
-    pub runs: bool,
+    /// The front whose view has changed.
+    pub observer: usize,
+    /// The front that joined or left.
+    pub member: usize,
+    /// Whether it joined; otherwise it left or was declared dead.
+    pub joined: bool,
+    /// Whether the change concerns the current or last incarnation of the member rather than an older one.
+    pub is_current_incarnation: bool,
+    /// Whether the member is running.
+    pub is_running: bool,
 }
 
-struct Row {
+struct Front {
+    /// `None` while the front is not running.
     peers: Option<Peers>,
-    /// The epoch of its life: later ones of the same life are renewals.
-    life: Nanos,
+    /// Start of the current or last incarnation. Higher epochs than this are renewals of the same
+    /// incarnation.
+    started_ns: Nanos,
     sent: Sent,
 }
 
-/// The fronts and what is on its way between them.
+/// The fronts and the datagrams in transit between them.
 pub struct Network {
-    /// The time there.
+    /// The virtual time.
     pub now: Nanos,
-    /// In force from now on.
+    /// The faults in effect.
     pub weather: Weather,
-    rows: Vec<Row>,
-    due: BTreeSet<(Nanos, usize)>,
-    due_of: Vec<Option<Nanos>>,
-    flying: BTreeMap<(Nanos, u64), (usize, Vec<u8>)>,
+    fronts: Vec<Front>,
+    /// The next timeout of each front, by time.
+    timeouts: BTreeSet<(Nanos, usize)>,
+    /// The same by front.
+    timeout_of: Vec<Option<Nanos>>,
+    /// Receiver and bytes of datagrams in transit, by time of arrival and serial number.
+    in_transit: BTreeMap<(Nanos, u64), (usize, Vec<u8>)>,
     serial: u64,
     rng: StdRng,
     keys: Keys,
 }
 
 impl Network {
-    /// So many fronts, none of which runs yet.
+    /// A network of this many fronts, none of which is running.
     pub fn new(fronts: usize, seed: u64) -> Self {
         let mut rng = StdRng::seed_from_u64(seed);
         let key: [u8; 32] = rng.random();
-        let rows = (0..fronts).map(|_| Row { peers: None, life: 0, sent: Sent::default() }).collect();
+        let front = |_| Front { peers: None, started_ns: 0, sent: Sent::default() };
         Network {
             now: START_NS,
             weather: Weather::default(),
-            rows,
-            due: BTreeSet::new(),
-            due_of: vec![None; fronts],
-            flying: BTreeMap::new(),
+            fronts: (0..fronts).map(front).collect(),
+            timeouts: BTreeSet::new(),
+            timeout_of: vec![None; fronts],
+            in_transit: BTreeMap::new(),
             serial: 0,
             rng,
             keys: Keys::from_bytes(key),
         }
     }
 
-    /// Starts a front, or starts it anew under its name and address.
+    /// Starts a front, or restarts it with the same name and address.
     pub fn start(&mut self, front: usize) {
         let settings = Settings {
             name: format!("edge-{front}"),
             address: address(front),
-            seeds: (0..SEEDS.min(self.rows.len())).map(address).collect(),
+            seeds: (0..SEEDS.min(self.fronts.len())).map(address).collect(),
             keys: self.keys.clone(),
-            fronts: self.rows.len() as u32,
+            fronts: self.fronts.len() as u32,
         };
         let mut peers = Peers::new(settings, self.now, self.rng.random());
-        let mut out = Vec::new();
-        peers.start(self.now, &mut out);
-        self.rows[front].life = self.now;
-        self.rows[front].peers = Some(peers);
-        self.said(front, out, &mut Vec::new());
+        let mut effects = Vec::new();
+        peers.start(self.now, &mut effects);
+        self.fronts[front].started_ns = self.now;
+        self.fronts[front].peers = Some(peers);
+        self.carry_out(front, effects, &mut Vec::new());
     }
 
-    /// Ends a front without a word.
+    /// Kills a front; the others get no message from it.
     pub fn kill(&mut self, front: usize) {
-        self.rows[front].peers = None;
-        self.set_due(front);
+        self.fronts[front].peers = None;
+        self.update_timeout(front);
     }
 
-    /// Whether a front runs.
+    /// Whether a front is running.
     pub fn runs(&self, front: usize) -> bool {
-        self.rows[front].peers.is_some()
+        self.fronts[front].peers.is_some()
     }
 
-    /// How many others a front sees that run; those of an earlier life are not counted.
+    /// The number of other running fronts that a front knows; former incarnations are not counted.
     pub fn sees(&self, front: usize) -> usize {
-        let Some(peers) = &self.rows[front].peers else { return 0 };
-        let lives = |peer: &lilacpitch_gossip::MemberId| {
-            index(peer.address, self.rows.len())
-                .is_some_and(|of| self.runs(of) && peer.epoch >= self.rows[of].life)
+        let Some(peers) = &self.fronts[front].peers else { return 0 };
+        let is_current = |peer: &lilacpitch_gossip::MemberId| {
+            index(peer.address, self.fronts.len())
+                .is_some_and(|member| self.runs(member) && peer.epoch >= self.fronts[member].started_ns)
         };
-        peers.member_ids().filter(|peer| lives(peer)).count()
+        peers.member_ids().filter(|peer| is_current(peer)).count()
     }
 
-    /// Whether each front that runs sees all others that run.
+    /// Whether each running front knows all other running fronts.
     pub fn all_see_all(&self) -> bool {
-        let running: Vec<usize> = (0..self.rows.len()).filter(|i| self.runs(*i)).collect();
+        let running: Vec<usize> = (0..self.fronts.len()).filter(|i| self.runs(*i)).collect();
         running.iter().all(|i| self.sees(*i) + 1 == running.len())
     }
 
-    /// What each front has sent since the network began.
+    /// What each front has sent so far.
     pub fn sent(&self) -> Vec<Sent> {
-        self.rows.iter().map(|row| row.sent).collect()
+        self.fronts.iter().map(|front| front.sent).collect()
     }
 
-    /// Lets time pass; what fronts noticed of each other meanwhile.
-    pub fn run(&mut self, span_ns: Nanos) -> Vec<Noticed> {
-        let (end, mut noticed) = (self.now + span_ns, Vec::new());
+    /// Runs the network for a period. Returns the changes of membership in it.
+    pub fn run(&mut self, duration_ns: Nanos) -> Vec<MembershipChange> {
+        let (end, mut changes) = (self.now + duration_ns, Vec::new());
         loop {
-            let timer = self.due.first().copied();
-            let flight = self.flying.first_key_value().map(|((at, _), _)| *at);
-            let next = timer.map(|(at, _)| at).into_iter().chain(flight).min().filter(|at| *at <= end);
+            let timeout = self.timeouts.first().copied();
+            let arrival = self.in_transit.first_key_value().map(|((at, _), _)| *at);
+            let next = timeout.map(|(at, _)| at).into_iter().chain(arrival).min().filter(|at| *at <= end);
             let Some(next) = next else { break };
             self.now = self.now.max(next);
-            let mut out = Vec::new();
-            let front = if flight == Some(next) {
-                let Some((_, (to, bytes))) = self.flying.pop_first() else { break };
-                if let Some(peers) = &mut self.rows[to].peers {
-                    // A refusal is counted there, and is nothing to the network.
-                    let _ = peers.handle_datagram(self.now, &bytes, &mut out);
+            let mut effects = Vec::new();
+            let front = if arrival == Some(next) {
+                let Some((_, (receiver, bytes))) = self.in_transit.pop_first() else { break };
+                if let Some(peers) = &mut self.fronts[receiver].peers {
+                    // A front that rejects the datagram counts it itself.
+                    let _ = peers.handle_datagram(self.now, &bytes, &mut effects);
                 }
-                to
+                receiver
             } else {
-                let Some((_, front)) = timer else { break };
-                if let Some(peers) = &mut self.rows[front].peers {
-                    peers.handle_timeout(self.now, &mut out);
+                let Some((_, front)) = timeout else { break };
+                if let Some(peers) = &mut self.fronts[front].peers {
+                    peers.handle_timeout(self.now, &mut effects);
                 }
                 front
             };
-            self.said(front, out, &mut noticed);
+            self.carry_out(front, effects, &mut changes);
         }
         self.now = end;
-        noticed
+        changes
     }
 
-    fn said(&mut self, from: usize, out: Vec<Effect>, noticed: &mut Vec<Noticed>) {
-        for effect in out {
-            let (peer, there) = match effect {
+    /// Carries out the effects of a front; changes of membership are added to `changes`.
+    fn carry_out(&mut self, front: usize, effects: Vec<Effect>, changes: &mut Vec<MembershipChange>) {
+        for effect in effects {
+            let (peer, joined) = match effect {
                 Effect::Send(to, bytes) => {
-                    self.send(from, to, bytes);
+                    self.send(front, to, bytes);
                     continue;
                 }
-                Effect::ReportsRequested(asker) => {
-                    let mut answer = Vec::new();
-                    if let Some(peers) = &mut self.rows[from].peers {
-                        peers.answer_request(self.now, asker, Vec::new(), &mut answer);
+                Effect::ReportsRequested(requester) => {
+                    let mut response = Vec::new();
+                    if let Some(peers) = &mut self.fronts[front].peers {
+                        peers.answer_request(self.now, requester, Vec::new(), &mut response);
                     }
-                    self.said(from, answer, noticed);
+                    self.carry_out(front, response, changes);
                     continue;
                 }
                 Effect::MemberJoined(peer) => (peer, true),
                 Effect::MemberLeft(peer) => (peer, false),
                 Effect::ReportsWanted | Effect::ReportsReceived(..) | Effect::RumorsReceived(_) => continue,
             };
-            let Some(of) = index(peer.address, self.rows.len()) else { continue };
-            let (at_ns, runs) = (self.now, self.runs(of));
-            let of_this_life = peer.epoch >= self.rows[of].life;
-            noticed.push(Noticed { at_ns, by: from, of, there, of_this_life, runs });
+            let Some(member) = index(peer.address, self.fronts.len()) else { continue };
+            changes.push(MembershipChange {
+                at_ns: self.now,
+                observer: front,
+                member,
+                joined,
+                is_current_incarnation: peer.epoch >= self.fronts[member].started_ns,
+                is_running: self.runs(member),
+            });
         }
-        self.set_due(from);
+        self.update_timeout(front);
     }
 
     fn send(&mut self, from: usize, to: SocketAddr, bytes: Vec<u8>) {
-        let sent = &mut self.rows[from].sent;
+        let sent = &mut self.fronts[from].sent;
         sent.datagrams += 1;
         sent.bytes += bytes.len() as u64;
-        let arrives = self.weather.carry(from, index(to, self.rows.len()), bytes, || self.rng.random());
-        let at = self.now + WAY_NS / 2 + self.rng.random_range(0..=WAY_NS / 2);
-        let Some(to) = index(to, self.rows.len()) else { return };
-        for (late_ns, bytes) in arrives {
+        let arriving = self.weather.carry(from, index(to, self.fronts.len()), bytes, || self.rng.random());
+        let arrival = self.now + MAX_LATENCY_NS / 2 + self.rng.random_range(0..=MAX_LATENCY_NS / 2);
+        let Some(to) = index(to, self.fronts.len()) else { return };
+        for (delay_ns, bytes) in arriving {
             self.serial += 1;
-            self.flying.insert((at + late_ns, self.serial), (to, bytes));
+            self.in_transit.insert((arrival + delay_ns, self.serial), (to, bytes));
         }
     }
 
-    fn set_due(&mut self, front: usize) {
-        if let Some(was) = self.due_of[front].take() {
-            self.due.remove(&(was, front));
+    fn update_timeout(&mut self, front: usize) {
+        if let Some(previous) = self.timeout_of[front].take() {
+            self.timeouts.remove(&(previous, front));
         }
-        let next = self.rows[front].peers.as_ref().and_then(Peers::next_timeout);
+        let next = self.fronts[front].peers.as_ref().and_then(Peers::next_timeout);
         if let Some(next) = next {
-            self.due.insert((next, front));
+            self.timeouts.insert((next, front));
         }
-        self.due_of[front] = next;
+        self.timeout_of[front] = next;
     }
 }
 
@@ -277,6 +291,7 @@
     SocketAddr::from((Ipv4Addr::LOCALHOST, FIRST_PORT + front as u16))
 }
 
+/// Index of the front with an address; `None` if there is none.
 fn index(address: SocketAddr, fronts: usize) -> Option<usize> {
     address.port().checked_sub(FIRST_PORT).map(usize::from).filter(|index| *index < fronts)
 }
