--- a/crates/lilacpitch-testbed/src/call_rules_checker.rs
+++ b/crates/lilacpitch-testbed/src/call_rules_checker.rs
@@ -1,8 +1,8 @@
-//! The judge of the five rules. It knows what stand-in callers and servers recorded at their sockets, and
-//! nothing of the front's own doings.
+//! Checks a run against the five rules for calls. It uses only what the simulated callers and servers
+//! recorded at their sockets, and no internal state of the fronts.
 //!
-//! What crosses a socket takes a moment, so a record is some milliseconds later than the deed. Where that could
-//! accuse a front wrongly, [`CROSSING_NS`] is allowed; where it could only excuse, nothing is.
+//! A message is recorded some milliseconds after it was sent. Where this delay could turn correct behaviour
+//! into a violation, [`RECORDING_TOLERANCE_NS`] is allowed. Where it could only hide a violation, nothing is.
 
 use crate::record::{Record, Seen};
 use lilacpitch::interface::Nanos;
@@ -10,42 +10,44 @@
 use std::collections::BTreeMap;
 use std::fmt;
 
-/// Allowed for a message's way, and for the scheduling of a busy machine.
-pub const CROSSING_NS: Nanos = 20_000_000;
+/// Tolerance for the delay between sending and recording a message, including scheduling on a busy machine,
+/// in nanoseconds.
+pub const RECORDING_TOLERANCE_NS: Nanos = 20_000_000;
 
-/// How often fronts of the laboratory look at their list, and a little more.
-const LOOK_NS: Nanos = 100_000_000;
+/// Interval at which fronts of the testbed poll their endpoint list, with some margin, in nanoseconds.
+const LIST_POLL_NS: Nanos = 100_000_000;
 
-/// The figures of the rules.
+/// Time limits that the rules depend on.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Figures {
-    /// Grace after a drain was told.
+    /// How long a server may still receive new attempts after its drain was announced, in nanoseconds.
     pub drain_grace_ns: Nanos,
-    /// Rest of a call after a time-out, reset or cancel.
+    /// Minimum gap between an attempt that ended by a timeout, reset or cancel and the call's next attempt,
+    /// in nanoseconds.
     pub release_ns: Nanos,
 }
 
-/// The five rules.
+/// One of the five rules for calls.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Rule {
-    /// Exactly one final answer in time, nothing sent after.
+    /// A call gets exactly one final answer before its deadline, and no set-up is sent for it afterwards.
     OneAnswer,
-    /// Never two attempts out.
+    /// A call never has two attempts in progress.
     OneAttempt,
-    /// Nothing new past the grace after a drain.
+    /// A draining server gets no new attempt after the grace period.
     Drains,
-    /// No cold server pushed over.
+    /// No server that is still warming up is overloaded until it fails.
     ColdServers,
-    /// The release is awaited.
+    /// After a timeout, reset or cancel, the next attempt waits until the server has released the call.
     Release,
 }
 
 impl Rule {
-    /// All of them.
+    /// All rules.
     pub const ALL: [Rule; 5] =
         [Rule::OneAnswer, Rule::OneAttempt, Rule::Drains, Rule::ColdServers, Rule::Release];
 
-    /// What it asks.
+    /// Returns a short description of the rule for reports.
     pub fn text(self) -> &'static str {
         match self {
             Rule::OneAnswer => "one final answer in time, nothing after",
@@ -57,14 +59,14 @@
     }
 }
 
-/// A rule broken, and the record that shows it.
+/// A violation of a rule.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Breach {
-    /// The rule.
+    /// The rule that was violated.
     pub rule: Rule,
-    /// When.
+    /// When the violation was recorded, in nanoseconds of the run's clock.
     pub at_ns: Nanos,
-    /// What was seen.
+    /// Description of the records that show the violation.
     pub what: String,
 }
 
@@ -80,29 +82,37 @@
     edge: usize,
     offered_ns: Nanos,
     answers: Vec<(Nanos, Answer)>,
-    /// Not taken, given up, or its caller gone: no answer is owed.
-    excused_ns: Option<Nanos>,
-    out: Vec<Attempt>,
+    /// When the call stopped needing an answer: it was not taken, the caller ended it, or the caller
+    /// disconnected.
+    answer_waived_ns: Option<Nanos>,
+    attempts: Vec<Attempt>,
 }
 
 #[derive(Debug)]
 struct Attempt {
     server: String,
     number: u64,
-    /// When it was over at its server, and whether the release must be awaited then.
-    ended: Option<(Nanos, bool)>,
-    stands: bool,
+    end: Option<AttemptEnd>,
+    established: bool,
 }
 
-/// Judges a day's records, whatever their order. No breach: all rules were kept.
+/// The end of an attempt at its server.
+#[derive(Debug, Clone, Copy)]
+struct AttemptEnd {
+    at_ns: Nanos,
+    /// Whether the call's next attempt must wait until the server has released the call.
+    requires_release: bool,
+}
+
+/// Checks a run's records, in any order, and returns the violations by time.
 pub fn judge(records: &[Record], figures: Figures) -> Vec<Breach> {
-    let mut order: Vec<&Record> = records.iter().collect();
-    order.sort_by_key(|r| r.at_ns);
-    let mut bench = Bench { figures, ..Bench::default() };
-    for record in order {
-        bench.hear(record);
+    let mut ordered: Vec<&Record> = records.iter().collect();
+    ordered.sort_by_key(|record| record.at_ns);
+    let mut checker = Checker { figures, ..Checker::default() };
+    for record in ordered {
+        checker.observe(record);
     }
-    bench.close()
+    checker.finish()
 }
 
 impl Default for Figures {
@@ -112,65 +122,71 @@
 }
 
 #[derive(Default)]
-struct Bench {
+struct Checker {
     figures: Figures,
     calls: BTreeMap<String, Call>,
-    /// Which call an attempt is of.
-    attempts: BTreeMap<(usize, u64), String>,
-    /// Servers that may not be sent to, and since when.
-    drained: BTreeMap<String, Nanos>,
-    /// When each front was frozen, and for how long.
+    /// The call of each attempt, by the front's number and the attempt's number.
+    call_by_attempt: BTreeMap<(usize, u64), String>,
+    /// Draining servers, and when the drain was announced.
+    draining: BTreeMap<String, Nanos>,
+    /// For each front, the spans in which it was frozen; `None` as the end: still frozen.
     frozen: BTreeMap<usize, Vec<(Nanos, Option<Nanos>)>>,
     breaches: Vec<Breach>,
 }
 
-impl Bench {
+impl Checker {
     fn breach(&mut self, rule: Rule, at_ns: Nanos, what: String) {
         self.breaches.push(Breach { rule, at_ns, what });
     }
 
-    fn hear(&mut self, record: &Record) {
+    fn observe(&mut self, record: &Record) {
         let at = record.at_ns;
         match &record.seen {
             Seen::Offered { call, edge, budget_ns, .. } => {
-                let entry = Call { due_ns: at + budget_ns, edge: *edge, offered_ns: at, ..Call::default() };
-                self.calls.insert(call.clone(), entry);
+                let offered = Call { due_ns: at + budget_ns, edge: *edge, offered_ns: at, ..Call::default() };
+                self.calls.insert(call.clone(), offered);
             }
-            Seen::Final { call, answer } => self.answer(at, call, *answer),
+            Seen::Final { call, answer } => self.observe_answer(at, call, *answer),
             Seen::Released { call, .. } => {
-                let stood =
-                    self.calls.get(call).is_some_and(|c| c.answers.iter().any(|a| a.1 == Answer::Stands));
-                if !stood {
+                let was_established = self
+                    .calls
+                    .get(call)
+                    .is_some_and(|call| call.answers.iter().any(|(_, answer)| *answer == Answer::Stands));
+                if !was_established {
                     self.breach(Rule::OneAnswer, at, format!("call {call} released without having stood"));
                 }
             }
-            Seen::NotTaken { call } | Seen::CallerEnded { call } => self.excuse(at, call),
-            Seen::CallerGone { calls } => calls.iter().for_each(|call| self.excuse(at, call)),
+            Seen::NotTaken { call } | Seen::CallerEnded { call } => self.waive_answer(at, call),
+            Seen::CallerGone { calls } => calls.iter().for_each(|call| self.waive_answer(at, call)),
             Seen::Setup { server, edge, attempt, call, repeat } => {
-                self.setup(at, server, (*edge, *attempt), call, *repeat);
+                self.observe_setup(at, server, (*edge, *attempt), call, *repeat);
             }
             Seen::Answered { edge, attempt, stands, .. } => {
-                if let Some(attempt) = self.attempt(*edge, *attempt).filter(|a| a.ended.is_none()) {
-                    attempt.stands = *stands;
+                if let Some(attempt) = self.ongoing_attempt(*edge, *attempt) {
+                    attempt.established = *stands;
                     if !stands {
-                        attempt.ended = Some((at, false));
+                        attempt.end = Some(AttemptEnd { at_ns: at, requires_release: false });
                     }
                 }
             }
             Seen::Ended { edge, attempt, cancel, .. } => {
-                if let Some(attempt) = self.attempt(*edge, *attempt).filter(|a| a.ended.is_none()) {
-                    attempt.ended = Some((at, *cancel));
+                if let Some(attempt) = self.ongoing_attempt(*edge, *attempt) {
+                    attempt.end = Some(AttemptEnd { at_ns: at, requires_release: *cancel });
                 }
             }
             Seen::LinkEnded { server, edge } => {
-                let calls = self.calls.values_mut().filter(|c| c.edge == *edge);
-                let open =
-                    calls.flat_map(|c| &mut c.out).filter(|a| a.ended.is_none() && a.server == *server);
-                // A set-up that was out was reset.
-                open.for_each(|attempt| attempt.ended = Some((at, !attempt.stands)));
+                let calls = self.calls.values_mut().filter(|call| call.edge == *edge);
+                let ongoing = calls
+                    .flat_map(|call| &mut call.attempts)
+                    .filter(|attempt| attempt.end.is_none() && attempt.server == *server);
+                for attempt in ongoing {
+                    // The end of the connection resets an unanswered set-up.
+                    let requires_release = !attempt.established;
+                    attempt.end = Some(AttemptEnd { at_ns: at, requires_release });
+                }
             }
-            Seen::Told { server, running: true } => drop(self.drained.remove(server)),
-            Seen::Told { server, running: false } => drop(self.drained.entry(server.clone()).or_insert(at)),
+            Seen::Told { server, running: true } => drop(self.draining.remove(server)),
+            Seen::Told { server, running: false } => drop(self.draining.entry(server.clone()).or_insert(at)),
             Seen::Fell { server, multiple } => {
                 let what = format!("{server} fell over, sent {multiple:.2} times what it could do");
                 self.breach(Rule::ColdServers, at, what);
@@ -178,8 +194,8 @@
             Seen::Frozen { edge } => {
                 let spans = self.frozen.entry(*edge).or_default();
                 match spans.last_mut() {
-                    // Frozen already, or it hardly ran meanwhile.
-                    Some((_, until)) if until.is_none_or(|until| at < until + LOOK_NS) => *until = None,
+                    // Still frozen, or thawed too shortly to poll its list: both count as one span.
+                    Some((_, until)) if until.is_none_or(|until| at < until + LIST_POLL_NS) => *until = None,
                     _ => spans.push((at, None)),
                 }
             }
@@ -191,54 +207,66 @@
         }
     }
 
-    fn attempt(&mut self, edge: usize, attempt: u64) -> Option<&mut Attempt> {
-        let call = self.attempts.get(&(edge, attempt))?;
-        self.calls.get_mut(call)?.out.iter_mut().find(|a| a.number == attempt)
+    fn ongoing_attempt(&mut self, edge: usize, number: u64) -> Option<&mut Attempt> {
+        let call = self.call_by_attempt.get(&(edge, number))?;
+        let attempts = &mut self.calls.get_mut(call)?.attempts;
+        attempts.iter_mut().find(|attempt| attempt.number == number).filter(|attempt| attempt.end.is_none())
     }
 
-    fn excuse(&mut self, at: Nanos, call: &str) {
+    fn waive_answer(&mut self, at: Nanos, call: &str) {
         if let Some(call) = self.calls.get_mut(call) {
-            call.excused_ns.get_or_insert(at);
+            call.answer_waived_ns.get_or_insert(at);
         }
     }
 
-    /// When an answer is due at the latest. A front that is frozen is not running: what falls due meanwhile is
-    /// due once it runs again.
-    fn latest(&self, call: &Call) -> Nanos {
+    /// Returns the latest time at which an answer is still in time. If the deadline passes while the front is
+    /// frozen, the answer is due when the front thaws.
+    fn answer_deadline_ns(&self, call: &Call) -> Nanos {
         let spans = self.frozen.get(&call.edge).into_iter().flatten();
-        let within =
-            spans.filter(|(from, until)| *from <= call.due_ns && until.is_none_or(|u| call.due_ns <= u));
-        let thawed = within.filter_map(|(_, until)| *until).max();
-        thawed.unwrap_or(call.due_ns).max(call.due_ns) + CROSSING_NS
+        let around_due = spans
+            .filter(|(from, until)| *from <= call.due_ns && until.is_none_or(|until| call.due_ns <= until));
+        let thawed = around_due.filter_map(|(_, until)| *until).max();
+        thawed.unwrap_or(call.due_ns).max(call.due_ns) + RECORDING_TOLERANCE_NS
     }
 
-    /// When a front could read what was written at a moment, by the list or a caller: one that is frozen reads nothing until it runs
-    /// again, and one that froze just after may not have come to it.
-    fn told_ns(&self, edge: usize, written_ns: Nanos) -> Nanos {
+    /// Returns when a front could read what the endpoint list or a caller wrote at `written_ns`. A frozen
+    /// front reads nothing until it thaws, and one that froze shortly afterwards may not have read it before.
+    fn readable_since_ns(&self, edge: usize, written_ns: Nanos) -> Nanos {
         let spans = self.frozen.get(&edge).into_iter().flatten();
-        let over = spans.filter(|(from, _)| *from <= written_ns + LOOK_NS).filter_map(|(_, until)| *until);
-        over.filter(|until| *until >= written_ns).max().unwrap_or(written_ns)
+        let thawed =
+            spans.filter(|(from, _)| *from <= written_ns + LIST_POLL_NS).filter_map(|(_, until)| *until);
+        thawed.filter(|until| *until >= written_ns).max().unwrap_or(written_ns)
     }
 
-    fn answer(&mut self, at: Nanos, name: &str, answer: Answer) {
+    fn observe_answer(&mut self, at: Nanos, name: &str, answer: Answer) {
         let Some(call) = self.calls.get_mut(name) else {
             return self.breach(Rule::OneAnswer, at, format!("answer for {name}, which nobody offered"));
         };
         call.answers.push((at, answer));
         let count = call.answers.len();
-        let (call, late) = (&self.calls[name], at > self.latest(&self.calls[name]));
-        let over_ms = at.saturating_sub(call.due_ns) / 1_000_000;
+        let call = &self.calls[name];
+        let is_late = at > self.answer_deadline_ns(call);
+        let late_by_ms = at.saturating_sub(call.due_ns) / 1_000_000;
         if count > 1 {
             self.breach(Rule::OneAnswer, at, format!("answer {count} for call {name}: {answer:?}"));
-        } else if late {
-            self.breach(Rule::OneAnswer, at, format!("call {name} answered {over_ms} ms late"));
+        } else if is_late {
+            self.breach(Rule::OneAnswer, at, format!("call {name} answered {late_by_ms} ms late"));
         }
     }
 
-    fn setup(&mut self, at: Nanos, server: &str, (edge, number): (usize, u64), name: &str, repeat: bool) {
-        let seen = self.drained.get(server).map(|told| self.told_ns(edge, *told));
-        if let Some(told) = seen.filter(|told| !repeat && at > told + self.figures.drain_grace_ns) {
-            let after_ms = (at - told) / 1_000_000;
+    fn observe_setup(
+        &mut self,
+        at: Nanos,
+        server: &str,
+        (edge, number): (usize, u64),
+        name: &str,
+        repeat: bool,
+    ) {
+        let drain_ns =
+            self.draining.get(server).map(|announced_ns| self.readable_since_ns(edge, *announced_ns));
+        let past_grace = drain_ns.filter(|drain_ns| !repeat && at > drain_ns + self.figures.drain_grace_ns);
+        if let Some(drain_ns) = past_grace {
+            let after_ms = (at - drain_ns) / 1_000_000;
             let what =
                 format!("attempt {number} of {name} reached {server} {after_ms} ms after its drain was told");
             self.breach(Rule::Drains, at, what);
@@ -250,51 +278,65 @@
                 format!("set-up at {server} for {name}, which nobody offered"),
             );
         };
-        let left_ns = call.excused_ns.map(|at| self.told_ns(edge, at));
-        let over = call.answers.first().map(|a| a.0).into_iter().chain(left_ns).min();
-        if let Some(over) = over.filter(|over| at > over + CROSSING_NS) {
-            let after_ms = (at - over) / 1_000_000;
+        let waived_ns = call.answer_waived_ns.map(|at| self.readable_since_ns(edge, at));
+        let answered_ns = call.answers.first().map(|(at_ns, _)| *at_ns);
+        let over_ns = answered_ns.into_iter().chain(waived_ns).min();
+        if let Some(over_ns) = over_ns.filter(|over_ns| at > over_ns + RECORDING_TOLERANCE_NS) {
+            let after_ms = (at - over_ns) / 1_000_000;
             let what =
                 format!("attempt {number} of {name} reached {server} {after_ms} ms after the call was over");
             self.breach(Rule::OneAnswer, at, what);
         }
-        if repeat || self.attempts.contains_key(&(edge, number)) {
+        if repeat || self.call_by_attempt.contains_key(&(edge, number)) {
             return;
         }
         let call = &self.calls[name];
-        let other = call.out.iter().find(|a| a.ended.is_none()).map(|a| (a.number, a.server.clone()));
-        let rested =
-            call.out.iter().filter_map(|a| a.ended.filter(|(_, rest)| *rest)).map(|(end, _)| end).max();
-        if let Some((first, where_)) = other {
-            let what =
-                format!("attempt {number} of {name} reached {server} with attempt {first} out at {where_}");
+        let ongoing = call
+            .attempts
+            .iter()
+            .find(|attempt| attempt.end.is_none())
+            .map(|attempt| (attempt.number, attempt.server.clone()));
+        let last_release_needed_ns = call
+            .attempts
+            .iter()
+            .filter_map(|attempt| attempt.end.filter(|end| end.requires_release))
+            .map(|end| end.at_ns)
+            .max();
+        if let Some((ongoing_number, ongoing_server)) = ongoing {
+            let what = format!(
+                "attempt {number} of {name} reached {server} with attempt {ongoing_number} out at \
+                 {ongoing_server}"
+            );
             self.breach(Rule::OneAttempt, at, what);
         }
-        let rest_ns = self.figures.release_ns.saturating_sub(CROSSING_NS);
-        if let Some(end) = rested.filter(|end| at < end + rest_ns) {
-            let after_ms = at.saturating_sub(end) / 1_000_000;
+        let release_ns = self.figures.release_ns.saturating_sub(RECORDING_TOLERANCE_NS);
+        if let Some(end_ns) = last_release_needed_ns.filter(|end_ns| at < end_ns + release_ns) {
+            let after_ms = at.saturating_sub(end_ns) / 1_000_000;
             let what =
                 format!("attempt {number} of {name} reached {server} {after_ms} ms after the one before");
             self.breach(Rule::Release, at, what);
         }
-        self.attempts.insert((edge, number), name.to_string());
+        self.call_by_attempt.insert((edge, number), name.to_string());
         if let Some(call) = self.calls.get_mut(name) {
-            call.out.push(Attempt { server: server.into(), number, ended: None, stands: false });
+            call.attempts.push(Attempt { server: server.into(), number, end: None, established: false });
         }
     }
 
-    fn close(mut self) -> Vec<Breach> {
-        let silent = self.calls.iter().filter(|(_, c)| c.answers.is_empty() && c.excused_ns.is_none());
-        let silent: Vec<_> = silent.map(|(name, c)| (c.due_ns, name.clone(), c.offered_ns)).collect();
-        for (due, name, offered) in silent {
-            let at = offered as f64 / 1e9;
+    /// Reports the calls that were never answered, and returns all violations by time.
+    fn finish(mut self) -> Vec<Breach> {
+        let unanswered =
+            self.calls.iter().filter(|(_, call)| call.answers.is_empty() && call.answer_waived_ns.is_none());
+        let unanswered: Vec<_> =
+            unanswered.map(|(name, call)| (call.due_ns, name.clone(), call.offered_ns)).collect();
+        for (due_ns, name, offered_ns) in unanswered {
+            let offered_s = offered_ns as f64 / 1e9;
             self.breach(
                 Rule::OneAnswer,
-                due,
-                format!("call {name}, offered at {at:.3} s, was never answered"),
+                due_ns,
+                format!("call {name}, offered at {offered_s:.3} s, was never answered"),
             );
         }
-        self.breaches.sort_by_key(|b| (b.at_ns, b.rule));
+        self.breaches.sort_by_key(|breach| (breach.at_ns, breach.rule));
         self.breaches
     }
 }
--- a/crates/lilacpitch-testbed/tests/call_rules_checker.rs
+++ b/crates/lilacpitch-testbed/tests/call_rules_checker.rs
@@ -1,4 +1,5 @@
-//! The judge itself: a clean record passes, and each way of breaking a rule is found, by the right rule.
+//! Tests of the checker of the rules for calls: correct records pass, and each kind of violation is reported
+//! under the rule that it violates.
 
 use lilacpitch_protocol::message::call::Answer;
 use lilacpitch_testbed::call_rules_checker::{judge, Figures, Rule};
@@ -31,12 +32,14 @@
     at(ms, Seen::Ended { server: server.into(), edge: 0, attempt, cancel })
 }
 
-fn told(ms: u64, server: &str, running: bool) -> Record {
+fn announced(ms: u64, server: &str, running: bool) -> Record {
     at(ms, Seen::Told { server: server.into(), running })
 }
 
-/// A call refused once by a full server, called off at a silent one, and standing at a third.
-fn clean() -> Vec<Record> {
+/// Records without a violation. Call `a` is refused by a full server, cancelled at a server that does not
+/// answer and established at a third. Call `b` is sent to a draining server within the grace period and is
+/// refused after its connection ended.
+fn correct_records() -> Vec<Record> {
     vec![
         offered(0, "a"),
         setup(2, "r1", 1, "a"),
@@ -47,7 +50,7 @@
         answered(1_250, "r3", 3, true),
         answer(1_252, "a", Answer::Stands),
         ended(5_000, "r3", 3, false),
-        told(2_000, "r2", false),
+        announced(2_000, "r2", false),
         offered(2_100, "b"),
         setup(2_499, "r2", 4, "b"),
         at(2_700, Seen::LinkEnded { server: "r2".into(), edge: 0 }),
@@ -55,13 +58,13 @@
     ]
 }
 
-fn rules(records: &[Record]) -> Vec<Rule> {
-    judge(records, Figures::default()).into_iter().map(|b| b.rule).collect()
+fn violated_rules(records: &[Record]) -> Vec<Rule> {
+    judge(records, Figures::default()).into_iter().map(|breach| breach.rule).collect()
 }
 
 #[test]
-fn a_clean_record_passes_in_any_order() {
-    let mut records = clean();
+fn correct_records_pass_in_any_order() {
+    let mut records = correct_records();
     assert_eq!(judge(&records, Figures::default()), vec![]);
     records.reverse();
     assert_eq!(judge(&records, Figures::default()), vec![]);
@@ -72,38 +75,48 @@
     clippy::too_many_lines,
     reason = "the testbed is split by concern after the packages in service; see docs/ROADMAP.md"
 )]
-fn each_breach_is_found_by_its_rule_and_named() {
-    let with = |more: Vec<Record>| [clean(), more].concat();
+fn reports_each_violation_under_its_rule() {
+    let with_added = |more: Vec<Record>| [correct_records(), more].concat();
     let without = |index: usize| {
-        let mut records = clean();
+        let mut records = correct_records();
         records.remove(index);
         records
     };
     let cases: Vec<(&str, Vec<Record>, Rule, &str)> = vec![
-        ("no answer", without(13), Rule::OneAnswer, "call b, offered at 2.100 s, was never answered"),
+        ("no final answer", without(13), Rule::OneAnswer, "call b, offered at 2.100 s, was never answered"),
         (
-            "two answers",
-            with(vec![answer(1_300, "a", Answer::Refused)]),
+            "two final answers",
+            with_added(vec![answer(1_300, "a", Answer::Refused)]),
             Rule::OneAnswer,
             "answer 2 for call a",
         ),
         (
-            "late",
-            with(vec![offered(0, "c"), answer(3_021, "c", Answer::Refused)]),
+            "answer after the deadline",
+            with_added(vec![offered(0, "c"), answer(3_021, "c", Answer::Refused)]),
             Rule::OneAnswer,
             "call c answered 21 ms late",
         ),
-        ("of nobody", with(vec![answer(9, "z", Answer::Failed)]), Rule::OneAnswer, "z, which nobody offered"),
-        ("set-up of nobody", with(vec![setup(9, "r1", 9, "z")]), Rule::OneAnswer, "z, which nobody offered"),
         (
-            "sent after its answer",
-            with(vec![setup(5_140, "r1", 9, "b")]),
+            "answer for an unknown call",
+            with_added(vec![answer(9, "z", Answer::Failed)]),
+            Rule::OneAnswer,
+            "z, which nobody offered",
+        ),
+        (
+            "set-up for an unknown call",
+            with_added(vec![setup(9, "r1", 9, "z")]),
+            Rule::OneAnswer,
+            "z, which nobody offered",
+        ),
+        (
+            "set-up after the final answer",
+            with_added(vec![setup(5_140, "r1", 9, "b")]),
             Rule::OneAnswer,
             "attempt 9 of b reached r1 30 ms after the call was over",
         ),
         (
-            "repeated after its answer",
-            with(vec![at(
+            "set-up resent after the final answer",
+            with_added(vec![at(
                 5_140,
                 Seen::Setup { server: "r2".into(), edge: 0, attempt: 4, call: "b".into(), repeat: true },
             )]),
@@ -111,8 +124,8 @@
             "attempt 4 of b reached r2 30 ms after the call was over",
         ),
         (
-            "sent after its caller left",
-            with(vec![
+            "set-up after the caller disconnected",
+            with_added(vec![
                 offered(6_000, "c"),
                 at(6_100, Seen::CallerGone { calls: vec!["c".into()] }),
                 setup(6_130, "r1", 9, "c"),
@@ -121,14 +134,14 @@
             "30 ms after the call was over",
         ),
         (
-            "released without standing",
-            with(vec![at(5_200, Seen::Released { call: "b".into(), cut: true })]),
+            "release of a call that was not established",
+            with_added(vec![at(5_200, Seen::Released { call: "b".into(), cut: true })]),
             Rule::OneAnswer,
             "call b released without having stood",
         ),
         (
-            "two out",
-            with(vec![
+            "two unanswered attempts",
+            with_added(vec![
                 offered(6_000, "c"),
                 setup(6_001, "r1", 8, "c"),
                 setup(6_900, "r3", 9, "c"),
@@ -138,8 +151,8 @@
             "attempt 9 of c reached r3 with attempt 8 out at r1",
         ),
         (
-            "two out, one standing",
-            with(vec![
+            "second attempt while the first is established",
+            with_added(vec![
                 offered(6_000, "c"),
                 setup(6_001, "r1", 8, "c"),
                 answered(6_002, "r1", 8, true),
@@ -150,15 +163,19 @@
             "attempt 9 of c reached r3 with attempt 8 out at r1",
         ),
         (
-            "drain",
-            with(vec![offered(2_300, "c"), setup(2_501, "r2", 9, "c"), answer(2_600, "c", Answer::Stands)]),
+            "set-up to a draining server after the grace period",
+            with_added(vec![
+                offered(2_300, "c"),
+                setup(2_501, "r2", 9, "c"),
+                answer(2_600, "c", Answer::Stands),
+            ]),
             Rule::Drains,
             "attempt 9 of c reached r2 501 ms after its drain was told",
         ),
         (
-            "drain told again",
-            with(vec![
-                told(2_400, "r2", false),
+            "repeated drain announcement does not extend the grace period",
+            with_added(vec![
+                announced(2_400, "r2", false),
                 offered(2_300, "c"),
                 setup(2_501, "r2", 9, "c"),
                 answer(2_600, "c", Answer::Stands),
@@ -167,14 +184,14 @@
             "501 ms after",
         ),
         (
-            "pushed over",
-            with(vec![at(1, Seen::Fell { server: "r1".into(), multiple: 3.2 })]),
+            "server overloaded until it failed",
+            with_added(vec![at(1, Seen::Fell { server: "r1".into(), multiple: 3.2 })]),
             Rule::ColdServers,
             "r1 fell over, sent 3.20 times",
         ),
         (
-            "too soon after a cancel",
-            with(vec![
+            "next attempt too soon after a cancel",
+            with_added(vec![
                 offered(6_000, "c"),
                 setup(6_001, "r1", 8, "c"),
                 ended(6_500, "r1", 8, true),
@@ -185,8 +202,8 @@
             "attempt 9 of c reached r3 279 ms after the one before",
         ),
         (
-            "too soon after a reset",
-            with(vec![
+            "next attempt too soon after a reset",
+            with_added(vec![
                 offered(6_000, "c"),
                 setup(6_001, "r1", 8, "c"),
                 at(6_100, Seen::LinkEnded { server: "r1".into(), edge: 0 }),
@@ -206,27 +223,31 @@
 }
 
 #[test]
-fn what_a_front_may_do_is_no_breach() {
+fn accepts_permitted_behaviour() {
     let frozen = vec![
         offered(0, "a"),
         at(500, Seen::Frozen { edge: 0 }),
         at(3_500, Seen::Thawed { edge: 0 }),
         answer(3_515, "a", Answer::Refused),
     ];
-    assert_eq!(rules(&frozen), vec![], "a front that is stopped is not running");
+    assert_eq!(
+        violated_rules(&frozen),
+        vec![],
+        "a deadline that passes while the front is frozen moves to its thaw"
+    );
     let not_taken = vec![offered(0, "a"), at(3, Seen::NotTaken { call: "a".into() })];
-    assert_eq!(rules(&not_taken), vec![]);
-    let back = [
-        clean(),
+    assert_eq!(violated_rules(&not_taken), vec![]);
+    let drain_ended = [
+        correct_records(),
         vec![
-            told(6_000, "r2", true),
+            announced(6_000, "r2", true),
             offered(6_001, "c"),
             setup(6_002, "r2", 9, "c"),
             answer(6_003, "c", Answer::Stands),
         ],
     ];
-    assert_eq!(rules(&back.concat()), vec![], "a drained server that runs again may be used");
-    let full = vec![
+    assert_eq!(violated_rules(&drain_ended.concat()), vec![], "a server whose drain ended may be used");
+    let refused_by_full_server = vec![
         offered(0, "a"),
         setup(1, "r1", 1, "a"),
         answered(2, "r1", 1, false),
@@ -234,25 +255,33 @@
         answered(4, "r2", 2, true),
         answer(5, "a", Answer::Stands),
     ];
-    assert_eq!(rules(&full), vec![], "what never ran needs no rest");
-    let told_while_frozen = vec![
+    assert_eq!(
+        violated_rules(&refused_by_full_server),
+        vec![],
+        "an attempt that was refused needs no wait for its release"
+    );
+    let drained_while_frozen = vec![
         at(400, Seen::Frozen { edge: 0 }),
-        told(500, "r1", false),
+        announced(500, "r1", false),
         at(1_500, Seen::Thawed { edge: 0 }),
         offered(1_800, "a"),
         setup(1_990, "r1", 1, "a"),
         answered(1_995, "r1", 1, true),
         answer(1_996, "a", Answer::Stands),
     ];
-    assert_eq!(rules(&told_while_frozen), vec![], "a front that is stopped is told nothing");
-    let frozen_long_after =
-        [vec![at(1_000, Seen::Frozen { edge: 0 })], told_while_frozen[1..].to_vec()].concat();
-    assert_eq!(rules(&frozen_long_after), vec![Rule::Drains]);
-    let late_but_thawed_long_ago = vec![
+    assert_eq!(
+        violated_rules(&drained_while_frozen),
+        vec![],
+        "the grace period starts when a frozen front can read the list again"
+    );
+    let frozen_long_after_drain =
+        [vec![at(1_000, Seen::Frozen { edge: 0 })], drained_while_frozen[1..].to_vec()].concat();
+    assert_eq!(violated_rules(&frozen_long_after_drain), vec![Rule::Drains]);
+    let late_long_after_thaw = vec![
         offered(0, "a"),
         at(500, Seen::Frozen { edge: 0 }),
         at(700, Seen::Thawed { edge: 0 }),
         answer(3_515, "a", Answer::Refused),
     ];
-    assert_eq!(rules(&late_but_thawed_long_ago), vec![Rule::OneAnswer]);
+    assert_eq!(violated_rules(&late_long_after_thaw), vec![Rule::OneAnswer]);
 }
