--- a/crates/lilacpitch-testbed/src/fleet/scenario.rs
+++ b/crates/lilacpitch-testbed/src/fleet/scenario.rs
@@ -1,9 +1,9 @@
-//! A town in which one thing happens after the other: what people read there is kept for the judge.
+//! Scripted steps in a cluster. Everything that is read from admin pages is kept for the checker.
 
 use super::caller::Caller;
-use super::cluster::{Plan, Town, TownError};
-use super::day::case;
-use super::promises_checker::{self, Breach, Judged, Look, Progress};
+use super::cluster::{Cluster, ClusterError, Plan};
+use super::day::describe_fleet;
+use super::promises_checker::{self, Breach, Judged, LocateReading, PurgeProgress};
 use lilacpitch_edge::net::fetch;
 use lilacpitch_location::Number;
 use lilacpitch_rpc::steady_ns;
@@ -11,98 +11,121 @@
 use std::path::Path;
 use std::time::Duration;
 
-/// Looks a number up on a front's page; `None`: no page came.
-pub fn look(pages: SocketAddr, front: usize, number: &str) -> Option<Look> {
+/// Locates a number on a front's admin page. Returns `None` if the request failed.
+pub fn read_locate(admin: SocketAddr, front: usize, number: &str) -> Option<LocateReading> {
     let began_ns = steady_ns();
     let (_, page) =
-        fetch(pages, "GET", &format!("/locate?number={number}")).ok().filter(|said| said.0 == 200)?;
+        fetch(admin, "GET", &format!("/locate?number={number}")).ok().filter(|(status, _)| *status == 200)?;
     let ended_ns = steady_ns();
-    Some(Look { front, number: Number::new(number).ok()?, began_ns, ended_ns, page })
+    Some(LocateReading { front, number: Number::new(number).ok()?, began_ns, ended_ns, page })
 }
 
-/// Reads how far purges are on a site's page; `None`: it does not say.
-pub fn progress(pages: SocketAddr, by: usize) -> Option<Progress> {
+/// Reads the progress of purges from a site process's admin page. Returns `None` if the request failed or the
+/// page doesn't state it.
+pub fn read_purge_progress(admin: SocketAddr, process: usize) -> Option<PurgeProgress> {
     let began_ns = steady_ns();
-    let (_, page) = fetch(pages, "GET", "/purges").ok().filter(|said| said.0 == 200)?;
+    let (_, page) = fetch(admin, "GET", "/purges").ok().filter(|(status, _)| *status == 200)?;
     let ended_ns = steady_ns();
     let field = |name: &str| page.lines().find_map(|line| line.strip_prefix(name));
     let (log, ordered) = field("ordered ")?.split_once('/')?;
     let log = u64::from_str_radix(log, 16).ok()?;
     let (ordered, complete) = (ordered.parse().ok()?, field("complete ")?.parse().ok()?);
-    Some(Progress { by, began_ns, ended_ns, log, ordered, complete })
+    Some(PurgeProgress { process, began_ns, ended_ns, log, ordered, complete })
 }
 
-/// A town, and what was read there.
-pub struct Scene {
-    /// The town.
-    pub town: Town,
+/// A running cluster and what was read from its admin pages.
+pub struct Scenario {
+    /// The running cluster.
+    pub cluster: Cluster,
     plan: Plan,
-    looks: Vec<Look>,
-    progress: Vec<Progress>,
+    locate_readings: Vec<LocateReading>,
+    progress_readings: Vec<PurgeProgress>,
 }
 
-impl Scene {
-    /// Starts a town and waits until all of it is at work.
-    pub fn start(plan: Plan, program: &Path, patience: Duration) -> Result<Self, TownError> {
-        let town = Town::start(plan.clone(), program)?;
-        if !town.settled(patience) {
-            return Err(TownError::NotReady("the town".into(), "no leases or summaries in time".into()));
+impl Scenario {
+    /// Starts a cluster and waits until every front has a lease and all summaries.
+    ///
+    /// # Errors
+    ///
+    /// Returns an error if the cluster doesn't start or isn't ready within `timeout`.
+    pub fn start(plan: Plan, program: &Path, timeout: Duration) -> Result<Self, ClusterError> {
+        let cluster = Cluster::start(plan.clone(), program)?;
+        if !cluster.wait_until_ready(timeout) {
+            return Err(ClusterError::NotReady(
+                "the cluster".into(),
+                "no leases or summaries in time".into(),
+            ));
         }
-        Ok(Scene { town, plan, looks: Vec::new(), progress: Vec::new() })
+        Ok(Scenario { cluster, plan, locate_readings: Vec::new(), progress_readings: Vec::new() })
     }
 
-    /// A handset that connects at a front.
+    /// Connects a handset with a number to a front.
+    ///
+    /// # Errors
+    ///
+    /// Returns an error if the connection or its handshake fails.
     pub fn handset(&self, front: &str, number: &str) -> std::io::Result<Caller> {
-        Caller::connect(self.town.callers(self.town.index(front)), Some(number))
+        Caller::connect(self.cluster.caller_address(self.cluster.index(front)), Some(number))
     }
 
-    /// Looks a number up; the page, empty where none came.
-    pub fn look(&mut self, front: &str, number: &str) -> String {
-        let at = self.town.index(front);
-        let seen = look(self.town.pages(at), at, number);
-        let page = seen.as_ref().map_or(String::new(), |look| look.page.clone());
-        self.looks.extend(seen);
+    /// Locates a number at a front and returns the page; empty if the request failed.
+    pub fn locate(&mut self, front: &str, number: &str) -> String {
+        let front = self.cluster.index(front);
+        let reading = read_locate(self.cluster.admin_address(front), front, number);
+        let page = reading.as_ref().map_or(String::new(), |reading| reading.page.clone());
+        self.locate_readings.extend(reading);
         page
     }
 
-    /// Keeps a look that somebody else took.
-    pub fn keep(&mut self, seen: Option<Look>) {
-        self.looks.extend(seen);
+    /// Keeps a locate that was read elsewhere, for the checker.
+    pub fn keep(&mut self, reading: Option<LocateReading>) {
+        self.locate_readings.extend(reading);
     }
 
-    /// Reads how far purges are.
-    pub fn progress(&mut self, process: &str) -> Option<Progress> {
-        let at = self.town.index(process);
-        let read = progress(self.town.pages(at), at);
-        self.progress.extend(read);
-        read
+    /// Reads the progress of purges at a site process.
+    pub fn progress(&mut self, process: &str) -> Option<PurgeProgress> {
+        let process = self.cluster.index(process);
+        let reading = read_purge_progress(self.cluster.admin_address(process), process);
+        self.progress_readings.extend(reading);
+        reading
     }
 
-    /// Does something again and again until it says that it is done; `false`: it was not in time.
-    pub fn until(&mut self, patience: Duration, mut done: impl FnMut(&mut Scene) -> bool) -> bool {
-        let until_ns = steady_ns() + patience.as_nanos() as u64;
+    /// Repeats `done` until it returns `true`. Returns `false` if that takes longer than `timeout`.
+    pub fn wait_until(&mut self, timeout: Duration, mut done: impl FnMut(&mut Scenario) -> bool) -> bool {
+        let deadline_ns = steady_ns() + timeout.as_nanos() as u64;
         loop {
             if done(self) {
                 return true;
             }
-            if steady_ns() >= until_ns {
+            if steady_ns() >= deadline_ns {
                 return false;
             }
             std::thread::sleep(Duration::from_millis(10));
         }
     }
 
-    /// Orders a purge of a number that nobody has; the order's number.
+    /// Orders a purge of a number and returns the index of the order.
     pub fn purge(&self, process: &str, number: &str) -> Option<u64> {
-        let asked = self.town.page(self.town.index(process), "POST", &format!("/purge?number={number}"));
-        let (_, said) = asked.ok().filter(|said| said.0 == 200)?;
-        said.trim().rsplit_once('/')?.1.parse().ok()
+        let response =
+            self.cluster.page(self.cluster.index(process), "POST", &format!("/purge?number={number}"));
+        let (_, body) = response.ok().filter(|(status, _)| *status == 200)?;
+        body.trim().rsplit_once('/')?.1.parse().ok()
     }
 
-    /// Judges all that crossed and was read so far, where leases and stragglers' spans are this long.
-    pub fn judged(&self, lease: Duration) -> (Vec<Breach>, Judged) {
+    /// Checks everything recorded so far. `lease` is the length of leases and also the time after which a
+    /// front counts as a straggler.
+    pub fn check(&self, lease: Duration) -> (Vec<Breach>, Judged) {
         let lease_ns = lease.as_nanos() as u64;
-        let of = promises_checker::Town { lease_ns, straggler_ns: lease_ns, ..case(&self.town, &self.plan) };
-        promises_checker::judge(&of, &self.town.wires.crossed(), &self.looks, &self.progress)
+        let fleet = promises_checker::FleetDescription {
+            lease_ns,
+            straggler_ns: lease_ns,
+            ..describe_fleet(&self.cluster, &self.plan)
+        };
+        promises_checker::check(
+            &fleet,
+            &self.cluster.proxy.recorded_frames(),
+            &self.locate_readings,
+            &self.progress_readings,
+        )
     }
 }
--- a/crates/lilacpitch-testbed/src/fleet/simulated_cluster.rs
+++ b/crates/lilacpitch-testbed/src/fleet/simulated_cluster.rs
@@ -1,13 +1,15 @@
-//! The same cores in virtual time: sites in tiers and fronts by the hundred, from one seed. A site is one process with
-//! a disk that outlives it; links hold what they are cut for, messages take their time, clocks run at different speeds.
-//! Promises are judged with sight of every node.
+//! A simulated fleet in virtual time: the production state machines, with sites in tiers and hundreds of
+//! fronts, from one seed. Each site is one process with a disk that survives restarts. Messages have latency,
+//! interrupted links hold their messages, and clocks run at different rates. The guarantees are checked
+//! against the state of all nodes.
 
 use lilacpitch_fleet::ack_aggregator::{AckAggregator, AggregatedAck, ChildId};
 use lilacpitch_fleet::cache::Cache;
 use lilacpitch_fleet::catalogue::{shard_updates_since, Catalogue, MAX_UPDATE_BYTES};
+use lilacpitch_fleet::error::LocateError;
 use lilacpitch_fleet::lease::LeaseTerms;
 use lilacpitch_fleet::lease_holder::{LeaseHolder, LeaseUpdate};
-use lilacpitch_fleet::locate::{Locate, LocateAnswer, SiteOutcome as SiteSaid};
+use lilacpitch_fleet::locate::{Locate, LocateAnswer, SiteOutcome};
 use lilacpitch_fleet::log_tail::LogTail;
 use lilacpitch_fleet::message::{
     CommandAction, FleetCommand, LogPosition, PurgeScope, RecordChange, RejectReason, Request, Response,
@@ -22,46 +24,54 @@
 use rand::{Rng, SeedableRng};
 use std::collections::{BTreeMap, BTreeSet};
 
+/// Nanoseconds in a millisecond.
 const MS: Nanos = 1_000_000;
+/// When the first handset connects, after the start of all nodes.
+const FIRST_MOVE_NS: Nanos = 2_000 * MS;
+/// When the day begins: the first locate, and the earliest fault.
+const DAY_START_NS: Nanos = 2_500 * MS;
+/// How long a request may take by the requester's clock.
+const REQUEST_TIMEOUT_NS: Nanos = 300 * MS;
 
-/// What a virtual town is like.
+/// Topology and parameters of a simulated cluster.
 #[derive(Debug, Clone)]
 pub struct Shape {
-    /// For each site the one above, by number; the first is the root and names itself.
-    pub above: Vec<usize>,
-    /// Homes of fronts, by site.
+    /// The parent of each site, by index. The first site is the root and its own parent.
+    pub parents: Vec<usize>,
+    /// The home site of each front, by index.
     pub homes: Vec<usize>,
-    /// What is agreed on.
+    /// Terms of leases.
     pub terms: LeaseTerms,
-    /// Promise 1.
+    /// Time after which every locate must find an acknowledged row (guarantee 1), in nanoseconds.
     pub settle_ns: Nanos,
-    /// Between summaries.
-    pub poll_ns: Nanos,
-    /// One way of a message; as much again is drawn.
-    pub way_ns: Nanos,
-    /// Numbers of handsets.
+    /// Interval between requests for summaries, in nanoseconds.
+    pub poll_interval_ns: Nanos,
+    /// Minimum latency of a message, in nanoseconds; the maximum is twice as long.
+    pub latency_ns: Nanos,
+    /// Number of handsets, each with its own number.
     pub numbers: u32,
-    /// Between moves of handsets, and between looks.
-    pub move_ns: Nanos,
-    /// See [`Shape::move_ns`].
-    pub look_ns: Nanos,
-    /// Faults in the first three quarters of a day.
+    /// Interval between moves of handsets, in nanoseconds.
+    pub move_interval_ns: Nanos,
+    /// Interval between locates, in nanoseconds.
+    pub locate_interval_ns: Nanos,
+    /// Number of faults, all in the first three quarters of the day.
     pub faults: usize,
-    /// A day.
+    /// Length of the day, in nanoseconds.
     pub length_ns: Nanos,
-    /// What is switched off.
-    pub guards: Safeguards,
+    /// The safeguards that are enabled.
+    pub safeguards: Safeguards,
 }
 
 impl Shape {
-    /// A root, so many regions, so many leaves below each, so many fronts at each leaf.
+    /// Returns a shape with a root, `regions` regions below it, `leaves_each` leaves per region and
+    /// `fronts_each` fronts per leaf. Without leaves, the fronts are at the regions.
     pub fn tiers(regions: usize, leaves_each: usize, fronts_each: usize) -> Self {
-        let mut above = vec![0; 1 + regions];
+        let mut parents = vec![0; 1 + regions];
         let mut homes = Vec::new();
         for region in 1..=regions {
             for _ in 0..leaves_each {
-                homes.extend(vec![above.len(); fronts_each]);
-                above.push(region);
+                homes.extend(vec![parents.len(); fronts_each]);
+                parents.push(region);
             }
         }
         if leaves_each == 0 {
@@ -69,227 +79,248 @@
         }
         let terms = LeaseTerms { lease_ns: 1_500 * MS, clock_allowance: 0.01, lagging_after_ns: 1_500 * MS };
         Shape {
-            above,
+            parents,
             homes,
             terms,
             settle_ns: 1_500 * MS,
-            poll_ns: 150 * MS,
-            way_ns: MS / 2,
+            poll_interval_ns: 150 * MS,
+            latency_ns: MS / 2,
             numbers: 40,
-            move_ns: 30 * MS,
-            look_ns: 5 * MS,
+            move_interval_ns: 30 * MS,
+            locate_interval_ns: 5 * MS,
             faults: 12,
             length_ns: 12_000 * MS,
-            guards: Safeguards::default(),
+            safeguards: Safeguards::default(),
         }
     }
 }
 
-/// What a day showed.
+/// The result of a day.
 #[derive(Debug, Clone, Default)]
 pub struct Played {
-    /// Promises broken, by number, and how.
+    /// Violations: the number of the guarantee and a description.
     pub breaches: Vec<(u32, String)>,
-    /// Looks that were answered, complete, from the cache; sites asked in all.
-    pub looks: (usize, usize, usize),
-    /// Sites asked in all.
-    pub asked: usize,
-    /// Rows that had to be found, and withdrawn rows that must not be shown.
-    pub judged: (usize, usize),
-    /// Spans from an order to its completion, in milliseconds.
+    /// Numbers of answered locates, of complete answers and of answers from a cache.
+    pub locates: (usize, usize, usize),
+    /// Number of queries to sites.
+    pub sites_asked: usize,
+    /// Numbers of checks that a row is found, and that a withdrawn row isn't.
+    pub checked: (usize, usize),
+    /// Time from each order to its completion, in milliseconds.
     pub complete_ms: Vec<f64>,
-    /// Messages, and bytes of them as they are encoded, without seals.
+    /// Number of messages, and of their encoded bytes without authentication.
     pub messages: (u64, u64),
-    /// Messages of orders, acknowledgements and sums.
+    /// The same for messages about purges: orders, acknowledgements and their aggregates.
     pub purge_messages: (u64, u64),
 }
 
+/// What a node does with the response to a request.
 #[derive(Debug, Clone)]
-enum Then {
-    /// A lease was asked for.
+enum PendingRequest {
+    /// Use the lease.
     Lease {
-        asked_ns: Nanos,
+        requested_ns: Nanos,
     },
-    /// Summaries were asked of one, so often in a row.
+    /// Apply the summaries, and request more if there are any. `round` counts the requests in a row.
     Summaries {
-        asked_ns: Nanos,
+        requested_ns: Nanos,
         to: usize,
         round: u32,
     },
-    /// A child's orders were sent.
+    /// Record the orders that a child has applied.
     Orders {
         child: usize,
     },
     Nothing,
-    /// Rows were written: so many.
+    /// Remove `count` written changes, numbered from `first`, from the queue.
     Written {
         first: u64,
         count: usize,
     },
-    /// Changes up to this were submitted.
+    /// Mark the changes up to a number as purged.
     Ordered {
-        upto: u64,
+        last_change: u64,
     },
-    /// For somebody else.
-    Pass {
+    /// Forward the response to another node.
+    Forward {
         to: usize,
         id: u64,
     },
-    /// A locate.
+    /// Add the response to a locate.
     Find {
-        look: u64,
+        locate_id: u64,
         site: usize,
     },
 }
 
+/// A message between nodes, with the id of its request.
 #[derive(Debug, Clone)]
-enum Carried {
-    Ask(u64, Request),
-    Answer(u64, Response),
+enum Message {
+    Request(u64, Request),
+    Response(u64, Response),
 }
 
-enum Happens {
-    /// `by`: the life of the sender that sent it, its connection's.
-    Comes {
+/// A scheduled event of the simulation.
+enum Event {
+    /// A message arrives. `incarnation` and `sender_incarnation` are the incarnations of the ends of its
+    /// connection.
+    Deliver {
         from: usize,
         to: usize,
-        life: u64,
-        by: u64,
-        what: Box<Carried>,
+        incarnation: u64,
+        sender_incarnation: u64,
+        message: Box<Message>,
     },
-    Late {
-        of: usize,
-        life: u64,
+    RequestTimeout {
+        node_index: usize,
+        incarnation: u64,
         id: u64,
     },
+    /// A node renews its lease and retries unfinished work.
     Tick {
-        of: usize,
-        life: u64,
+        node_index: usize,
+        incarnation: u64,
     },
+    /// A node requests summaries from its neighbours.
     Poll {
-        of: usize,
-        life: u64,
+        node_index: usize,
+        incarnation: u64,
     },
-    Move,
-    Look,
-    LookEnds(u64),
+    MoveHandset,
+    BeginLocate,
+    EndLocate(u64),
+    /// A fault starts (`true`) or ends.
     Fault(usize, bool),
 }
 
+/// The state of a site's process.
 struct SiteNode {
     state: SiteState,
-    relay: AckAggregator,
+    aggregator: AckAggregator,
     catalogue: Catalogue,
+    /// Whether a purge of its changes is being submitted.
     ordering: bool,
-    said: Option<LogPosition>,
-    links: BTreeMap<usize, u64>,
-    sending: BTreeSet<usize>,
+    /// The acknowledged position that it last reported to its parent.
+    reported: Option<LogPosition>,
+    /// The connected children, by node index, and their incarnations.
+    children: BTreeMap<usize, u64>,
+    /// The children that orders are being sent to.
+    sending_to: BTreeSet<usize>,
 }
 
+/// The state of a front.
 struct FrontNode {
     cache: Cache,
     catalogue: Catalogue,
+    /// The rows of its connected handsets.
     rows: BTreeMap<u32, LocationRecord>,
-    waiting: Vec<RecordChange>,
-    done: u64,
+    /// Changes that its site hasn't acknowledged.
+    unwritten: Vec<RecordChange>,
+    /// Number of changes that its site has acknowledged.
+    written_count: u64,
+    /// Whether a write is in progress.
     writing: bool,
-    register: Option<u64>,
+    /// The store that its rows were written to.
+    store_id: Option<u64>,
     serial: u64,
 }
 
-enum Kindly {
+enum NodeKind {
     Site(Box<SiteNode>),
     Front(Box<FrontNode>),
 }
 
+/// A process of the simulated cluster.
 struct Node {
     name: String,
-    life: u64,
+    incarnation: u64,
     up: bool,
-    /// Stands still: what comes waits.
+    /// Number of freezes in effect. Events are held back meanwhile.
     frozen: u32,
-    held: Vec<Happens>,
-    /// Local time is `rate * t + offset`.
+    held: Vec<Event>,
+    /// Its local time is `rate * time + offset`.
     rate: f64,
     offset: f64,
     holder: LeaseHolder,
-    pending: BTreeMap<u64, Then>,
-    kind: Kindly,
+    pending: BTreeMap<u64, PendingRequest>,
+    kind: NodeKind,
 }
 
-struct Looking {
+/// A locate in progress.
+struct OngoingLocate {
     front: usize,
-    life: u64,
+    incarnation: u64,
     number: Number,
     began_ns: Nanos,
     locate: Option<Locate>,
 }
 
-/// A row's life as all see it.
+/// The history of a row with regard to all nodes, by the simulation's time.
 #[derive(Debug, Default, Clone)]
-struct Truth {
+struct RowHistory {
     site: usize,
     acked_ns: Option<Nanos>,
     withdrawn_ns: Option<Nanos>,
-    /// The change that withdrew it, at its site, and the order of that.
-    gone_change: Option<u64>,
+    /// Number of the change that withdrew it, at its site.
+    withdrawing_change: Option<u64>,
+    /// Position of the order that purges it.
     order: Option<LogPosition>,
     complete_ns: Option<Nanos>,
 }
 
+/// A fault of nodes, or of the link from one node to another.
 #[derive(Debug, Clone)]
 enum Fault {
     Kill(usize),
     Freeze(usize),
     CutOneWay(usize, usize),
     Slow(usize, usize, Nanos),
-    Lost(usize, usize),
+    Lossy(usize, usize),
 }
 
-/// A virtual town.
-pub struct VirtualTown {
+/// A simulated cluster.
+pub struct SimulatedCluster {
     shape: Shape,
     now: Nanos,
     rng: StdRng,
     nodes: Vec<Node>,
-    queue: BTreeMap<(Nanos, u64), Happens>,
-    serial: u64,
+    /// Events by time and sequence number.
+    queue: BTreeMap<(Nanos, u64), Event>,
+    event_count: u64,
     next_id: u64,
     faults: Vec<Fault>,
     cut: BTreeMap<(usize, usize), u32>,
     slow: BTreeMap<(usize, usize), Nanos>,
     lossy: BTreeMap<(usize, usize), u32>,
-    held: BTreeMap<(usize, usize), Vec<Happens>>,
-    looks: BTreeMap<u64, Looking>,
-    truth: BTreeMap<Key, Truth>,
+    held: BTreeMap<(usize, usize), Vec<Event>>,
+    locates: BTreeMap<u64, OngoingLocate>,
+    row_histories: BTreeMap<Key, RowHistory>,
     ordered_ns: BTreeMap<(u64, u64), Nanos>,
     handsets: BTreeMap<u32, usize>,
     complete: LogPosition,
     played: Played,
 }
 
-const PATIENCE_NS: Nanos = 300 * MS;
-
-impl VirtualTown {
-    /// A town of this shape, from a seed.
+impl SimulatedCluster {
+    /// Creates a cluster from a shape and a seed.
     pub fn new(shape: Shape, seed: u64) -> Self {
         let mut rng = StdRng::seed_from_u64(seed);
         let a = shape.terms.clock_allowance;
-        let sites = shape.above.len();
+        let sites = shape.parents.len();
         let names: Vec<String> = (0..sites).map(|site| format!("s{site}")).collect();
         let mut nodes = Vec::new();
         for index in 0..sites + shape.homes.len() {
             let (rate, offset) = (rng.random_range(1.0 - a..=1.0 + a), rng.random_range(1e9..1e12));
             let (name, kind) = if index < sites {
-                (names[index].clone(), Kindly::Site(Box::new(site_node(&shape, &names, index, None))))
+                (names[index].clone(), NodeKind::Site(Box::new(site_node(&shape, &names, index, None))))
             } else {
-                (format!("e{}", index - sites), Kindly::Front(Box::new(front_node(&shape, &names))))
+                (format!("e{}", index - sites), NodeKind::Front(Box::new(front_node(&shape, &names))))
             };
             let holder = LeaseHolder::default();
             let pending = BTreeMap::new();
             nodes.push(Node {
                 name,
-                life: 1,
+                incarnation: 1,
                 up: true,
                 frozen: 0,
                 held: Vec::new(),
@@ -300,68 +331,72 @@
                 kind,
             });
         }
-        let mut town = VirtualTown {
+        let mut cluster = SimulatedCluster {
             now: 0,
             rng,
             nodes,
             queue: BTreeMap::new(),
-            serial: 0,
+            event_count: 0,
             next_id: 1,
             faults: Vec::new(),
             cut: BTreeMap::new(),
             slow: BTreeMap::new(),
             lossy: BTreeMap::new(),
             held: BTreeMap::new(),
-            looks: BTreeMap::new(),
-            truth: BTreeMap::new(),
+            locates: BTreeMap::new(),
+            row_histories: BTreeMap::new(),
             ordered_ns: BTreeMap::new(),
             handsets: BTreeMap::new(),
             complete: LogPosition::default(),
             played: Played::default(),
             shape,
         };
-        if let Kindly::Site(root) = &town.nodes[0].kind {
+        if let NodeKind::Site(root) = &cluster.nodes[0].kind {
             root.state.apply(Command::BeginLog(7));
         }
-        for index in 0..town.nodes.len() {
-            town.begin(index);
+        for index in 0..cluster.nodes.len() {
+            cluster.start_node(index);
         }
-        town.at(2_000 * MS, Happens::Move);
-        town.at(2_500 * MS, Happens::Look);
-        town.draw_faults();
-        town
+        cluster.schedule(FIRST_MOVE_NS, Event::MoveHandset);
+        cluster.schedule(DAY_START_NS, Event::BeginLocate);
+        cluster.draw_faults();
+        cluster
     }
 
     fn sites(&self) -> usize {
-        self.shape.above.len()
+        self.shape.parents.len()
     }
 
-    fn at(&mut self, at: Nanos, what: Happens) {
-        self.serial += 1;
-        self.queue.insert((at, self.serial), what);
+    fn schedule(&mut self, at: Nanos, event: Event) {
+        self.event_count += 1;
+        self.queue.insert((at, self.event_count), event);
     }
 
-    fn local(&self, node: usize) -> Nanos {
+    /// Returns the time of a node's clock.
+    fn local_ns(&self, node: usize) -> Nanos {
         let node = &self.nodes[node];
         (self.now as f64 * node.rate + node.offset) as Nanos
     }
 
-    /// A span of a node's clock, in true time.
+    /// Converts a duration of a node's clock to simulation time.
     fn true_span(&self, node: usize, span_ns: Nanos) -> Nanos {
         (span_ns as f64 / self.nodes[node].rate) as Nanos
     }
 
-    fn begin(&mut self, node: usize) {
-        let life = self.nodes[node].life;
-        let (tick, poll) = (self.rng.random_range(0..50 * MS), self.rng.random_range(0..self.shape.poll_ns));
-        self.at(self.now + tick, Happens::Tick { of: node, life });
-        self.at(self.now + poll, Happens::Poll { of: node, life });
+    /// Schedules the first periodic events of a started node.
+    fn start_node(&mut self, node: usize) {
+        let incarnation = self.nodes[node].incarnation;
+        let (tick, poll) =
+            (self.rng.random_range(0..50 * MS), self.rng.random_range(0..self.shape.poll_interval_ns));
+        self.schedule(self.now + tick, Event::Tick { node_index: node, incarnation });
+        self.schedule(self.now + poll, Event::Poll { node_index: node, incarnation });
         if node == 0 {
-            // The root's one process leads from its start: holders of its former life are reckoned with.
-            let now = self.local(0);
-            if let Kindly::Site(root) = &mut self.nodes[0].kind {
-                root.relay.reset(root.state.with_metadata(|beside| beside.command_log.clone()));
-                root.relay.become_origin(now);
+            // The root has a single process, which leads at once and must allow for leases of its former
+            // incarnation.
+            let now = self.local_ns(0);
+            if let NodeKind::Site(root) = &mut self.nodes[0].kind {
+                root.aggregator.reset(root.state.with_metadata(|metadata| metadata.command_log.clone()));
+                root.aggregator.become_origin(now);
             }
         }
     }
@@ -369,209 +404,229 @@
     fn draw_faults(&mut self) {
         let nodes = self.nodes.len();
         for index in 0..self.shape.faults {
-            let one = self.rng.random_range(0..nodes);
-            // Along the tree mostly, where links carry something.
-            let other = match self.above(one) {
-                Some(above) if self.rng.random_bool(0.7) => above,
+            let target = self.rng.random_range(0..nodes);
+            // Mostly links along the tree, since they carry most of the traffic.
+            let other = match self.parent(target) {
+                Some(parent) if self.rng.random_bool(0.7) => parent,
                 _ => self.rng.random_range(0..nodes),
             };
             let fault = match self.rng.random_range(0..6) {
-                0 | 1 => Fault::Kill(one),
-                2 => Fault::Freeze(one),
-                3 if self.rng.random_bool(0.5) => Fault::CutOneWay(one, other),
-                3 => Fault::CutOneWay(other, one),
-                4 => Fault::Slow(one, other, self.rng.random_range(10..400) * MS),
-                _ => Fault::Lost(one, other),
+                0 | 1 => Fault::Kill(target),
+                2 => Fault::Freeze(target),
+                3 if self.rng.random_bool(0.5) => Fault::CutOneWay(target, other),
+                3 => Fault::CutOneWay(other, target),
+                4 => Fault::Slow(target, other, self.rng.random_range(10..400) * MS),
+                _ => Fault::Lossy(target, other),
             };
             self.faults.push(fault);
-            let from = 2_500 * MS + self.rng.random_range(0..self.shape.length_ns * 6 / 10);
+            let from = DAY_START_NS + self.rng.random_range(0..self.shape.length_ns * 6 / 10);
             let to = from + self.rng.random_range(50..4_000) * MS;
-            self.at(from, Happens::Fault(index, true));
-            self.at(to.min(self.shape.length_ns * 3 / 4 + 2_500 * MS), Happens::Fault(index, false));
+            self.schedule(from, Event::Fault(index, true));
+            self.schedule(to.min(self.shape.length_ns * 3 / 4 + DAY_START_NS), Event::Fault(index, false));
         }
     }
 
-    fn above(&self, node: usize) -> Option<usize> {
+    /// Returns the parent of a site or the home of a front, or `None` for the root.
+    fn parent(&self, node: usize) -> Option<usize> {
         match node.checked_sub(self.sites()) {
             Some(front) => Some(self.shape.homes[front]),
             None if node == 0 => None,
-            None => Some(self.shape.above[node]),
+            None => Some(self.shape.parents[node]),
         }
     }
 
-    /// Plays the day.
+    /// Runs the day and returns its result.
     pub fn play(mut self) -> Played {
-        let end = self.shape.length_ns + 2_500 * MS;
-        while let Some(((at, _), what)) = self.queue.pop_first() {
+        let end = self.shape.length_ns + DAY_START_NS;
+        while let Some(((at, _), event)) = self.queue.pop_first() {
             if at > end {
                 break;
             }
             self.now = self.now.max(at);
-            self.happens(what);
+            self.process(event);
         }
         self.played
     }
 
-    fn happens(&mut self, what: Happens) {
-        let of = match &what {
-            Happens::Comes { to, .. } => Some(*to),
-            Happens::Late { of, .. } | Happens::Tick { of, .. } | Happens::Poll { of, .. } => Some(*of),
+    fn process(&mut self, event: Event) {
+        let node_index = match &event {
+            Event::Deliver { to, .. } => Some(*to),
+            Event::RequestTimeout { node_index, .. }
+            | Event::Tick { node_index, .. }
+            | Event::Poll { node_index, .. } => Some(*node_index),
             _ => None,
         };
-        if let Some(of) = of.filter(|of| self.nodes[*of].frozen > 0) {
-            self.nodes[of].held.push(what);
+        if let Some(node_index) = node_index.filter(|node_index| self.nodes[*node_index].frozen > 0) {
+            self.nodes[node_index].held.push(event);
             return;
         }
-        match what {
-            Happens::Comes { from, to, life, by, what } => {
-                // A connection ends with either end's life.
-                if self.nodes[to].up && self.nodes[to].life == life {
-                    match *what {
-                        Carried::Ask(id, request) => self.asked((from, by), to, id, request),
-                        Carried::Answer(id, response) => self.answered(to, id, response),
+        match event {
+            Event::Deliver { from, to, incarnation, sender_incarnation, message } => {
+                // A message is lost if the receiver's incarnation, and so the connection, has ended.
+                if self.nodes[to].up && self.nodes[to].incarnation == incarnation {
+                    match *message {
+                        Message::Request(id, request) => {
+                            self.handle_request((from, sender_incarnation), to, id, request)
+                        }
+                        Message::Response(id, response) => self.handle_response(to, id, response),
                     }
                 }
             }
-            Happens::Late { of, life, id } => {
-                if self.nodes[of].life == life {
-                    self.late(of, id);
+            Event::RequestTimeout { node_index, incarnation, id } => {
+                if self.nodes[node_index].incarnation == incarnation {
+                    self.handle_timeout(node_index, id);
                 }
             }
-            Happens::Tick { of, life } if self.nodes[of].life == life => self.tick(of),
-            Happens::Poll { of, life } if self.nodes[of].life == life => self.poll(of),
-            Happens::Tick { .. } | Happens::Poll { .. } => {}
-            Happens::Move => self.move_handset(),
-            Happens::Look => self.begin_look(),
-            Happens::LookEnds(look) => self.end_look(look),
-            Happens::Fault(index, begins) => self.fault(index, begins),
+            Event::Tick { node_index, incarnation } if self.nodes[node_index].incarnation == incarnation => {
+                self.tick(node_index)
+            }
+            Event::Poll { node_index, incarnation } if self.nodes[node_index].incarnation == incarnation => {
+                self.poll(node_index)
+            }
+            Event::Tick { .. } | Event::Poll { .. } => {}
+            Event::MoveHandset => self.move_handset(),
+            Event::BeginLocate => self.begin_locate(),
+            Event::EndLocate(locate_id) => self.end_locate(locate_id),
+            Event::Fault(index, begins) => self.fault(index, begins),
         }
     }
 
     fn fault(&mut self, index: usize, begins: bool) {
-        let count = |of: &mut u32| if begins { *of += 1 } else { *of -= 1 };
+        let count = |counter: &mut u32| if begins { *counter += 1 } else { *counter -= 1 };
         match self.faults[index].clone() {
-            Fault::Kill(one) => {
+            Fault::Kill(target) => {
                 let sites: Vec<String> = (0..self.sites()).map(|site| format!("s{site}")).collect();
-                if begins && self.nodes[one].up {
-                    self.nodes[one].up = false;
-                    self.nodes[one].life += 1;
-                    self.nodes[one].pending.clear();
-                    self.nodes[one].held.clear();
-                    if one >= self.sites() {
-                        // Its callers are gone with it.
-                        self.handsets.retain(|_, at| *at != one);
-                        for (_, truth) in
-                            self.truth.iter_mut().filter(|(key, _)| key.owner.front == self.nodes[one].name)
+                if begins && self.nodes[target].up {
+                    self.nodes[target].up = false;
+                    self.nodes[target].incarnation += 1;
+                    self.nodes[target].pending.clear();
+                    self.nodes[target].held.clear();
+                    if target >= self.sites() {
+                        // Its handsets disconnect.
+                        self.handsets.retain(|_, at| *at != target);
+                        for (_, history) in self
+                            .row_histories
+                            .iter_mut()
+                            .filter(|(key, _)| key.owner.front == self.nodes[target].name)
                         {
-                            truth.withdrawn_ns.get_or_insert(self.now);
+                            history.withdrawn_ns.get_or_insert(self.now);
                         }
                     }
-                } else if !begins && !self.nodes[one].up {
-                    self.nodes[one].up = true;
-                    self.nodes[one].holder = LeaseHolder::default();
-                    let node = &mut self.nodes[one];
+                } else if !begins && !self.nodes[target].up {
+                    self.nodes[target].up = true;
+                    self.nodes[target].holder = LeaseHolder::default();
+                    let node = &mut self.nodes[target];
                     match &mut node.kind {
-                        Kindly::Site(site) => {
-                            let old = std::mem::replace(&mut site.state, empty());
-                            **site = site_node(&self.shape, &sites, one, Some(old));
+                        NodeKind::Site(site) => {
+                            let old = std::mem::replace(&mut site.state, empty_state());
+                            **site = site_node(&self.shape, &sites, target, Some(old));
                         }
-                        Kindly::Front(front) => **front = front_node(&self.shape, &sites),
+                        NodeKind::Front(front) => **front = front_node(&self.shape, &sites),
                     }
-                    self.begin(one);
+                    self.start_node(target);
                 }
             }
-            Fault::Freeze(one) => {
-                count(&mut self.nodes[one].frozen);
-                if self.nodes[one].frozen == 0 {
-                    for what in std::mem::take(&mut self.nodes[one].held) {
-                        self.happens(what);
+            Fault::Freeze(target) => {
+                count(&mut self.nodes[target].frozen);
+                if self.nodes[target].frozen == 0 {
+                    for event in std::mem::take(&mut self.nodes[target].held) {
+                        self.process(event);
                     }
                 }
             }
             Fault::CutOneWay(from, to) => {
                 count(self.cut.entry((from, to)).or_default());
                 if self.cut[&(from, to)] == 0 {
-                    for what in self.held.remove(&(from, to)).unwrap_or_default() {
-                        self.happens(what);
+                    for event in self.held.remove(&(from, to)).unwrap_or_default() {
+                        self.process(event);
                     }
                 }
             }
             Fault::Slow(from, to, by) => drop(self.slow.insert((from, to), if begins { by } else { 0 })),
-            Fault::Lost(from, to) => count(self.lossy.entry((from, to)).or_default()),
+            Fault::Lossy(from, to) => count(self.lossy.entry((from, to)).or_default()),
         }
     }
 
     // ---- Messages ----
 
-    fn carry(&mut self, from: usize, to: usize, what: Carried) {
-        let bytes = match &what {
-            Carried::Ask(_, request) => postcard::to_allocvec(request).map_or(0, |b| b.len() as u64),
-            Carried::Answer(_, response) => postcard::to_allocvec(response).map_or(0, |b| b.len() as u64),
+    fn send(&mut self, from: usize, to: usize, message: Message) {
+        let bytes = match &message {
+            Message::Request(_, request) => {
+                postcard::to_allocvec(request).map_or(0, |bytes| bytes.len() as u64)
+            }
+            Message::Response(_, response) => {
+                postcard::to_allocvec(response).map_or(0, |bytes| bytes.len() as u64)
+            }
         };
-        let purge = matches!(
-            &what,
-            Carried::Ask(
+        let is_about_purges = matches!(
+            &message,
+            Message::Request(
                 _,
                 Request::Commands { .. } | Request::ReportAcknowledged { .. } | Request::Submit(_)
-            ) | Carried::Answer(_, Response::Applied(_) | Response::Committed(_))
+            ) | Message::Response(_, Response::Applied(_) | Response::Committed(_))
         );
         self.played.messages = (self.played.messages.0 + 1, self.played.messages.1 + bytes);
-        if purge {
+        if is_about_purges {
             self.played.purge_messages =
                 (self.played.purge_messages.0 + 1, self.played.purge_messages.1 + bytes);
         }
-        if self.lossy.get(&(from, to)).is_some_and(|n| *n > 0) && self.rng.random_bool(0.3) {
+        if self.lossy.get(&(from, to)).is_some_and(|count| *count > 0) && self.rng.random_bool(0.3) {
             return;
         }
-        let late = self.slow.get(&(from, to)).copied().unwrap_or(0);
-        let at = self.now + self.shape.way_ns + self.rng.random_range(0..=self.shape.way_ns) + late;
-        let (life, by) = (self.nodes[to].life, self.nodes[from].life);
-        let comes = Happens::Comes { from, to, life, by, what: Box::new(what) };
-        if self.cut.get(&(from, to)).is_some_and(|n| *n > 0) {
-            self.held.entry((from, to)).or_default().push(comes);
+        let extra_delay = self.slow.get(&(from, to)).copied().unwrap_or(0);
+        let at =
+            self.now + self.shape.latency_ns + self.rng.random_range(0..=self.shape.latency_ns) + extra_delay;
+        let (incarnation, sender_incarnation) = (self.nodes[to].incarnation, self.nodes[from].incarnation);
+        let delivery =
+            Event::Deliver { from, to, incarnation, sender_incarnation, message: Box::new(message) };
+        if self.cut.get(&(from, to)).is_some_and(|count| *count > 0) {
+            self.held.entry((from, to)).or_default().push(delivery);
         } else {
-            self.at(at, comes);
+            self.schedule(at, delivery);
         }
     }
 
-    fn ask(&mut self, from: usize, to: usize, request: Request, then: Then) {
+    fn request(&mut self, from: usize, to: usize, request: Request, pending: PendingRequest) {
         let id = self.next_id;
         self.next_id += 1;
-        self.nodes[from].pending.insert(id, then);
-        let life = self.nodes[from].life;
-        self.at(self.now + self.true_span(from, PATIENCE_NS), Happens::Late { of: from, life, id });
-        self.carry(from, to, Carried::Ask(id, request));
+        self.nodes[from].pending.insert(id, pending);
+        let incarnation = self.nodes[from].incarnation;
+        self.schedule(
+            self.now + self.true_span(from, REQUEST_TIMEOUT_NS),
+            Event::RequestTimeout { node_index: from, incarnation, id },
+        );
+        self.send(from, to, Message::Request(id, request));
     }
 
-    fn late(&mut self, of: usize, id: u64) {
-        match self.nodes[of].pending.remove(&id) {
-            Some(Then::Orders { child }) => {
-                if let Kindly::Site(site) = &mut self.nodes[of].kind {
-                    site.sending.remove(&child);
-                    site.links.remove(&child);
+    fn handle_timeout(&mut self, node_index: usize, id: u64) {
+        match self.nodes[node_index].pending.remove(&id) {
+            Some(PendingRequest::Orders { child }) => {
+                if let NodeKind::Site(site) = &mut self.nodes[node_index].kind {
+                    site.sending_to.remove(&child);
+                    site.children.remove(&child);
                 }
             }
-            Some(Then::Ordered { .. }) => {
-                if let Kindly::Site(site) = &mut self.nodes[of].kind {
+            Some(PendingRequest::Ordered { .. }) => {
+                if let NodeKind::Site(site) = &mut self.nodes[node_index].kind {
                     site.ordering = false;
                 }
-                self.order_changes(of);
+                self.order_changes(node_index);
             }
-            Some(Then::Written { .. }) => {
-                if let Kindly::Front(front) = &mut self.nodes[of].kind {
+            Some(PendingRequest::Written { .. }) => {
+                if let NodeKind::Front(front) = &mut self.nodes[node_index].kind {
                     front.writing = false;
                 }
-                self.write(of);
+                self.write(node_index);
             }
-            Some(Then::Pass { to, id }) => {
-                self.carry(
-                    of,
+            Some(PendingRequest::Forward { to, id }) => {
+                self.send(
+                    node_index,
                     to,
-                    Carried::Answer(id, Response::Rejected(RejectReason::Failed("late".into()))),
+                    Message::Response(id, Response::Rejected(RejectReason::Failed("late".into()))),
                 );
             }
-            Some(Then::Find { look, site }) => {
-                self.found(look, site, Err(lilacpitch_fleet::error::LocateError::Late));
+            Some(PendingRequest::Find { locate_id, site }) => {
+                self.add_result(locate_id, site, Err(LocateError::Late));
             }
             _ => {}
         }
@@ -581,43 +636,55 @@
         clippy::too_many_lines,
         reason = "the testbed is split by concern after the packages in service; see docs/ROADMAP.md"
     )]
-    fn asked(&mut self, (from, by): (usize, u64), to: usize, id: u64, request: Request) {
-        let now = self.local(to);
-        let who = ChildId { name: self.nodes[from].name.clone(), incarnation: by };
+    fn handle_request(
+        &mut self,
+        (from, sender_incarnation): (usize, u64),
+        to: usize,
+        id: u64,
+        request: Request,
+    ) {
+        let now = self.local_ns(to);
+        let sender = ChildId { name: self.nodes[from].name.clone(), incarnation: sender_incarnation };
         let is_front = from >= self.sites();
-        let (own, own_life) = (self.nodes[to].name.clone(), self.nodes[to].life);
+        let (own, own_incarnation) = (self.nodes[to].name.clone(), self.nodes[to].incarnation);
         let response = match (&mut self.nodes[to].kind, request) {
-            (Kindly::Site(site), Request::RenewLease(applied)) => {
-                let register = site.state.store_id_for(&who.name);
-                let said = site.relay.renew_lease(now, &who, is_front, applied, register);
-                if matches!(said, Response::LeaseGranted { .. }) {
-                    site.links.insert(from, who.incarnation);
+            (NodeKind::Site(site), Request::RenewLease(applied)) => {
+                let store_id = site.state.store_id_for(&sender.name);
+                let response = site.aggregator.renew_lease(now, &sender, is_front, applied, store_id);
+                if matches!(response, Response::LeaseGranted { .. }) {
+                    site.children.insert(from, sender.incarnation);
                 }
-                Some(said)
+                Some(response)
             }
-            (Kindly::Site(site), Request::ReportAcknowledged { acknowledged, missing, missing_count }) => {
-                site.relay
-                    .record_aggregated_ack(&who, AggregatedAck { acknowledged, missing, missing_count });
+            (NodeKind::Site(site), Request::ReportAcknowledged { acknowledged, missing, missing_count }) => {
+                site.aggregator
+                    .record_aggregated_ack(&sender, AggregatedAck { acknowledged, missing, missing_count });
                 Some(Response::Done)
             }
-            (Kindly::Site(site), Request::FindRecords { query, after, limit, .. }) => {
+            (NodeKind::Site(site), Request::FindRecords { query, after, limit, .. }) => {
                 let page = site.state.records.find(&query, after.as_ref(), limit as usize);
                 Some(Response::Found { page, process: own })
             }
-            (Kindly::Site(site), Request::Summaries(known)) => {
-                let mut all = Vec::new();
+            (NodeKind::Site(site), Request::Summaries(known)) => {
+                let mut updates_of_sites = Vec::new();
                 if let Some(known) = known.iter().find(|known| known.site == own) {
                     let (pending, ordered) = site.state.summary_purges();
-                    let register = &site.state.records;
-                    let (total, mut room) = (register.versions().iter().sum(), MAX_UPDATE_BYTES);
-                    let shard = |at: usize, version| register.summary(at, Some(version));
-                    let life = own_life;
-                    let updates =
-                        shard_updates_since(known, life, total, register.shards(), &mut room, shard);
-                    let (shards, site) = (register.shards() as u32, own.clone());
-                    all.push(SiteSummaryUpdate {
+                    let records = &site.state.records;
+                    let (total, mut remaining_bytes) = (records.versions().iter().sum(), MAX_UPDATE_BYTES);
+                    let shard = |index: usize, version| records.summary(index, Some(version));
+                    let incarnation = own_incarnation;
+                    let updates = shard_updates_since(
+                        known,
+                        incarnation,
+                        total,
+                        records.shards(),
+                        &mut remaining_bytes,
+                        shard,
+                    );
+                    let (shards, site) = (records.shards() as u32, own.clone());
+                    updates_of_sites.push(SiteSummaryUpdate {
                         site,
-                        incarnation: life,
+                        incarnation,
                         shards,
                         total: updates.total,
                         age_ns: 0,
@@ -627,12 +694,12 @@
                         has_more: updates.has_more,
                     });
                 }
-                all.extend(site.catalogue.updates_since(now, &known, |site| *site == own));
-                Some(Response::Summaries(all))
+                updates_of_sites.extend(site.catalogue.updates_since(now, &known, |site| *site == own));
+                Some(Response::Summaries(updates_of_sites))
             }
-            (Kindly::Site(site), Request::Write { first, changes }) => {
-                if site.relay.accepts_writes_from(now, &who) {
-                    let ends: Vec<Key> = changes
+            (NodeKind::Site(site), Request::Write { first, changes }) => {
+                if site.aggregator.accepts_writes_from(now, &sender) {
+                    let withdrawn_keys: Vec<Key> = changes
                         .iter()
                         .filter_map(|change| {
                             if let RecordChange::Withdraw(key) = change {
@@ -643,16 +710,16 @@
                         })
                         .collect();
                     let written = RecordWrite {
-                        front: who.name,
-                        incarnation: who.incarnation,
+                        front: sender.name,
+                        incarnation: sender.incarnation,
                         first_change: first,
                         changes,
                     };
                     site.state.apply(Command::WriteRecords(vec![written]));
-                    let change = site.state.with_metadata(|beside| beside.last_change);
-                    for key in ends {
-                        if let Some(truth) = self.truth.get_mut(&key) {
-                            truth.gone_change.get_or_insert(change);
+                    let change = site.state.with_metadata(|metadata| metadata.last_change);
+                    for key in withdrawn_keys {
+                        if let Some(history) = self.row_histories.get_mut(&key) {
+                            history.withdrawing_change.get_or_insert(change);
                         }
                     }
                     Some(Response::Written)
@@ -660,307 +727,349 @@
                     Some(Response::Rejected(RejectReason::Fenced))
                 }
             }
-            (Kindly::Site(_), Request::Submit(what)) => self.submit(from, to, id, what),
-            (Kindly::Site(_), Request::Commands { log, commands }) => {
-                Some(self.take_orders(to, log, commands))
+            (NodeKind::Site(_), Request::Submit(action)) => self.submit(from, to, id, action),
+            (NodeKind::Site(_), Request::Commands { log, commands }) => {
+                Some(self.apply_commands(to, log, commands))
             }
-            (Kindly::Front(_), Request::Commands { log, commands }) => {
-                Some(self.take_orders(to, log, commands))
+            (NodeKind::Front(_), Request::Commands { log, commands }) => {
+                Some(self.apply_commands(to, log, commands))
             }
             _ => Some(Response::Rejected(RejectReason::Unsupported)),
         };
         if let Some(response) = response {
-            self.carry(to, from, Carried::Answer(id, response));
+            self.send(to, from, Message::Response(id, response));
         }
-        self.after(to);
+        self.send_updates(to);
     }
 
-    fn submit(&mut self, from: usize, to: usize, id: u64, what: CommandAction) -> Option<Response> {
+    fn submit(&mut self, from: usize, to: usize, id: u64, action: CommandAction) -> Option<Response> {
         if to != 0 {
-            let above = self.shape.above[to];
-            self.ask(to, above, Request::Submit(what), Then::Pass { to: from, id });
+            let parent = self.shape.parents[to];
+            self.request(to, parent, Request::Submit(action), PendingRequest::Forward { to: from, id });
             return None;
         }
-        let now = self.local(0);
-        let Kindly::Site(root) = &mut self.nodes[0].kind else { return None };
-        root.state.apply(Command::AppendCommands(vec![what.clone()]));
-        let position = root.relay.append_command(now, what);
+        let now = self.local_ns(0);
+        let NodeKind::Site(root) = &mut self.nodes[0].kind else { return None };
+        root.state.apply(Command::AppendCommands(vec![action.clone()]));
+        let position = root.aggregator.append_command(now, action);
         self.ordered_ns.insert((position.log, position.index), self.now);
         Some(Response::Committed(position))
     }
 
-    fn take_orders(&mut self, to: usize, log: u64, orders: Vec<FleetCommand>) -> Response {
-        let next = self.nodes[to].holder.select_next_commands(log, orders).unwrap_or_default();
+    fn apply_commands(&mut self, to: usize, log: u64, commands: Vec<FleetCommand>) -> Response {
+        let next = self.nodes[to].holder.select_next_commands(log, commands).unwrap_or_default();
         self.apply(to, next);
         Response::Applied(self.nodes[to].holder.position().unwrap_or_default())
     }
 
-    fn apply(&mut self, to: usize, orders: Vec<FleetCommand>) {
-        let now = self.local(to);
+    fn apply(&mut self, to: usize, commands: Vec<FleetCommand>) {
+        let now = self.local_ns(to);
         let node = &mut self.nodes[to];
-        for order in orders {
+        for command in commands {
             match &mut node.kind {
-                Kindly::Front(front) => front.cache.apply(now, &order),
-                Kindly::Site(site) => drop(site.relay.append_command(now, order.action.clone())),
+                NodeKind::Front(front) => front.cache.apply(now, &command),
+                NodeKind::Site(site) => drop(site.aggregator.append_command(now, command.action.clone())),
             }
-            node.holder.record_applied(&order);
+            node.holder.record_applied(&command);
         }
     }
 
-    fn answered(&mut self, of: usize, id: u64, response: Response) {
-        let Some(then) = self.nodes[of].pending.remove(&id) else { return };
-        let now = self.local(of);
-        match then {
-            Then::Lease { asked_ns } => self.leased(of, asked_ns, response),
-            Then::Summaries { asked_ns, to, round } => {
-                if let Response::Summaries(news) = response {
-                    let applied = match &mut self.nodes[of].kind {
-                        Kindly::Site(site) => site.catalogue.apply_updates(asked_ns, news),
-                        Kindly::Front(front) => front.catalogue.apply_updates(asked_ns, news),
+    fn handle_response(&mut self, node_index: usize, id: u64, response: Response) {
+        let Some(pending) = self.nodes[node_index].pending.remove(&id) else { return };
+        match pending {
+            PendingRequest::Lease { requested_ns } => {
+                self.handle_lease_response(node_index, requested_ns, response)
+            }
+            PendingRequest::Summaries { requested_ns, to, round } => {
+                if let Response::Summaries(updates) = response {
+                    let applied = match &mut self.nodes[node_index].kind {
+                        NodeKind::Site(site) => site.catalogue.apply_updates(requested_ns, updates),
+                        NodeKind::Front(front) => front.catalogue.apply_updates(requested_ns, updates),
                     };
-                    assert!(applied.errors.is_empty(), "nothing is damaged here: {:?}", applied.errors);
+                    assert!(applied.errors.is_empty(), "summaries are valid: {:?}", applied.errors);
                     if applied.has_more && round < 8 {
-                        self.ask_summaries(of, to, round + 1);
+                        self.request_summaries(node_index, to, round + 1);
                     }
                 }
             }
-            Then::Orders { child } => {
-                let who =
-                    ChildId { name: self.nodes[child].name.clone(), incarnation: self.nodes[child].life };
-                if let Kindly::Site(site) = &mut self.nodes[of].kind {
-                    site.sending.remove(&child);
-                    if let (Response::Applied(upto), Some(life)) = (response, site.links.get(&child)) {
-                        site.relay.record_applied(&ChildId { incarnation: *life, ..who }, upto);
+            PendingRequest::Orders { child } => {
+                let child_id = ChildId {
+                    name: self.nodes[child].name.clone(),
+                    incarnation: self.nodes[child].incarnation,
+                };
+                if let NodeKind::Site(site) = &mut self.nodes[node_index].kind {
+                    site.sending_to.remove(&child);
+                    if let (Response::Applied(position), Some(incarnation)) =
+                        (response, site.children.get(&child))
+                    {
+                        site.aggregator
+                            .record_applied(&ChildId { incarnation: *incarnation, ..child_id }, position);
                     }
                 }
             }
-            Then::Written { first, count } => self.written(of, first, count, response == Response::Written),
-            Then::Ordered { upto } => {
-                if let (Kindly::Site(site), Response::Committed(position)) =
-                    (&mut self.nodes[of].kind, &response)
+            PendingRequest::Written { first, count } => {
+                self.handle_write_response(node_index, first, count, response == Response::Written)
+            }
+            PendingRequest::Ordered { last_change } => {
+                if let (NodeKind::Site(site), Response::Committed(position)) =
+                    (&mut self.nodes[node_index].kind, &response)
                 {
-                    site.state.apply(Command::MarkPurged(upto, *position));
-                    for truth in self.truth.values_mut().filter(|t| t.site == of) {
-                        if truth.order.is_none() && truth.gone_change.is_some_and(|change| change <= upto) {
-                            truth.order = Some(*position);
+                    site.state.apply(Command::MarkPurged(last_change, *position));
+                    for history in
+                        self.row_histories.values_mut().filter(|history| history.site == node_index)
+                    {
+                        if history.order.is_none()
+                            && history.withdrawing_change.is_some_and(|change| change <= last_change)
+                        {
+                            history.order = Some(*position);
                         }
                     }
                 }
-                if let Kindly::Site(site) = &mut self.nodes[of].kind {
+                if let NodeKind::Site(site) = &mut self.nodes[node_index].kind {
                     site.ordering = false;
                 }
-                self.order_changes(of);
+                self.order_changes(node_index);
             }
-            Then::Pass { to, id } => self.carry(of, to, Carried::Answer(id, response)),
-            Then::Find { look, site } => {
-                let said = match response {
+            PendingRequest::Forward { to, id } => self.send(node_index, to, Message::Response(id, response)),
+            PendingRequest::Find { locate_id, site } => {
+                let result = match response {
                     Response::Found { page, process } => Ok((page, process)),
-                    Response::Rejected(why) => Err(lilacpitch_fleet::error::LocateError::Refused(why)),
-                    _ => Err(lilacpitch_fleet::error::LocateError::Late),
+                    Response::Rejected(reason) => Err(LocateError::Refused(reason)),
+                    _ => Err(LocateError::Late),
                 };
-                self.found(look, site, said);
+                self.add_result(locate_id, site, result);
             }
-            Then::Nothing => {}
+            PendingRequest::Nothing => {}
         }
-        let _ = now;
-        self.after(of);
+        self.send_updates(node_index);
     }
 
-    fn leased(&mut self, of: usize, asked_ns: Nanos, response: Response) {
-        let (now, is_site) = (self.local(of), of < self.sites());
+    fn handle_lease_response(&mut self, node_index: usize, requested_ns: Nanos, response: Response) {
+        let (now, is_site) = (self.local_ns(node_index), node_index < self.sites());
         let granted = match &response {
             Response::LeaseGranted { for_ns, position, store_id, .. } => {
-                if let Kindly::Front(front) = &mut self.nodes[of].kind {
-                    if front.register != Some(*store_id) {
-                        front.register = Some(*store_id);
-                        let all: Vec<RecordChange> =
+                if let NodeKind::Front(front) = &mut self.nodes[node_index].kind {
+                    if front.store_id != Some(*store_id) {
+                        front.store_id = Some(*store_id);
+                        let all_rows: Vec<RecordChange> =
                             front.rows.values().cloned().map(RecordChange::Upsert).collect();
-                        front.waiting.extend(all);
+                        front.unwritten.extend(all_rows);
                     }
                 }
-                Some((asked_ns + for_ns, *position))
+                Some((requested_ns + for_ns, *position))
             }
             _ => None,
         };
-        match self.nodes[of].holder.handle_response(asked_ns, response) {
-            LeaseUpdate::Commands(orders) => self.apply(of, orders),
+        match self.nodes[node_index].holder.handle_response(requested_ns, response) {
+            LeaseUpdate::Commands(commands) => self.apply(node_index, commands),
             LeaseUpdate::Reset => {
-                let position = self.nodes[of].holder.position().unwrap_or_default();
-                match &mut self.nodes[of].kind {
-                    Kindly::Front(front) => front.cache.clear(now),
-                    Kindly::Site(site) => site.relay.reset(LogTail::starting_at(position, BTreeSet::new())),
+                let position = self.nodes[node_index].holder.position().unwrap_or_default();
+                match &mut self.nodes[node_index].kind {
+                    NodeKind::Front(front) => front.cache.clear(now),
+                    NodeKind::Site(site) => {
+                        site.aggregator.reset(LogTail::starting_at(position, BTreeSet::new()))
+                    }
                 }
-                self.ask_lease(of);
+                self.request_lease(node_index);
             }
             LeaseUpdate::Unchanged => {}
         }
-        if let (Some((until_ns, needs)), Kindly::Site(site)) = (granted, &mut self.nodes[of].kind) {
-            site.relay.allow_grants_until(until_ns, needs);
+        if let (Some((until_ns, required)), NodeKind::Site(site)) =
+            (granted, &mut self.nodes[node_index].kind)
+        {
+            site.aggregator.allow_grants_until(until_ns, required);
         }
         if !is_site {
-            self.write(of);
+            self.write(node_index);
         }
     }
 
-    // ---- What nodes do by themselves ----
+    // ---- Periodic work of nodes ----
 
-    fn ask_lease(&mut self, of: usize) {
-        let Some(above) = self.above(of) else { return };
-        let (asked_ns, applied) = (self.local(of), self.nodes[of].holder.position());
-        self.ask(of, above, Request::RenewLease(applied), Then::Lease { asked_ns });
+    fn request_lease(&mut self, node_index: usize) {
+        let Some(parent) = self.parent(node_index) else { return };
+        let (requested_ns, applied) = (self.local_ns(node_index), self.nodes[node_index].holder.position());
+        self.request(
+            node_index,
+            parent,
+            Request::RenewLease(applied),
+            PendingRequest::Lease { requested_ns },
+        );
     }
 
-    fn tick(&mut self, of: usize) {
-        let life = self.nodes[of].life;
-        let gap = self.true_span(of, renewal_interval_ns(&self.shape.terms));
-        self.at(self.now + gap, Happens::Tick { of, life });
-        if of == 0 {
-            // Its leadership needs nobody's word.
-            let (now, lease_ns) = (self.local(0), self.shape.terms.lease_ns);
-            if let Kindly::Site(root) = &mut self.nodes[0].kind {
-                let position = root.relay.position();
-                root.relay.allow_grants_until(now + lease_ns, position);
+    fn tick(&mut self, node_index: usize) {
+        let incarnation = self.nodes[node_index].incarnation;
+        let interval_ns = self.true_span(node_index, renewal_interval_ns(&self.shape.terms));
+        self.schedule(self.now + interval_ns, Event::Tick { node_index, incarnation });
+        if node_index == 0 {
+            // The root needs no lease of its own to grant leases.
+            let (now, lease_ns) = (self.local_ns(0), self.shape.terms.lease_ns);
+            if let NodeKind::Site(root) = &mut self.nodes[0].kind {
+                let position = root.aggregator.position();
+                root.aggregator.allow_grants_until(now + lease_ns, position);
             }
         }
-        self.ask_lease(of);
-        if let Kindly::Site(site) = &mut self.nodes[of].kind {
-            site.said = None;
+        self.request_lease(node_index);
+        if let NodeKind::Site(site) = &mut self.nodes[node_index].kind {
+            site.reported = None;
         }
-        self.order_changes(of);
-        self.write(of);
-        self.after(of);
+        self.order_changes(node_index);
+        self.write(node_index);
+        self.send_updates(node_index);
     }
 
-    fn ask_summaries(&mut self, of: usize, to: usize, round: u32) {
-        let asked_ns = self.local(of);
-        let known = match &self.nodes[of].kind {
-            Kindly::Site(site) => site.catalogue.known_summaries(),
-            Kindly::Front(front) => front.catalogue.known_summaries(),
+    fn request_summaries(&mut self, node_index: usize, to: usize, round: u32) {
+        let requested_ns = self.local_ns(node_index);
+        let known = match &self.nodes[node_index].kind {
+            NodeKind::Site(site) => site.catalogue.known_summaries(),
+            NodeKind::Front(front) => front.catalogue.known_summaries(),
         };
-        self.ask(of, to, Request::Summaries(known), Then::Summaries { asked_ns, to, round });
+        self.request(
+            node_index,
+            to,
+            Request::Summaries(known),
+            PendingRequest::Summaries { requested_ns, to, round },
+        );
     }
 
-    fn poll(&mut self, of: usize) {
-        let life = self.nodes[of].life;
-        self.at(self.now + self.true_span(of, self.shape.poll_ns), Happens::Poll { of, life });
-        let below = (1..self.sites()).filter(|site| of < self.sites() && self.shape.above[*site] == of);
-        let to: Vec<usize> = self.above(of).into_iter().chain(below).collect();
-        to.into_iter().for_each(|to| self.ask_summaries(of, to, 0));
+    fn poll(&mut self, node_index: usize) {
+        let incarnation = self.nodes[node_index].incarnation;
+        self.schedule(
+            self.now + self.true_span(node_index, self.shape.poll_interval_ns),
+            Event::Poll { node_index, incarnation },
+        );
+        let child_sites = (1..self.sites())
+            .filter(|site| node_index < self.sites() && self.shape.parents[*site] == node_index);
+        let neighbours: Vec<usize> = self.parent(node_index).into_iter().chain(child_sites).collect();
+        neighbours.into_iter().for_each(|neighbour| self.request_summaries(node_index, neighbour, 0));
     }
 
-    /// Orders downwards, sums upwards, as far as there is news; at the root, what is complete.
-    fn after(&mut self, of: usize) {
-        let now = self.local(of);
-        let above = self.above(of);
-        let (mut sends, mut says) = (Vec::new(), None);
-        if let Kindly::Site(site) = &mut self.nodes[of].kind {
-            let log = site.relay.position().log;
-            for (child, life) in &site.links {
-                let name = if *child < self.shape.above.len() {
+    /// Sends new orders to children and a changed acknowledgement to the parent. At the root, records what is
+    /// complete.
+    fn send_updates(&mut self, node_index: usize) {
+        let now = self.local_ns(node_index);
+        let parent = self.parent(node_index);
+        let (mut sends, mut report) = (Vec::new(), None);
+        if let NodeKind::Site(site) = &mut self.nodes[node_index].kind {
+            let log = site.aggregator.position().log;
+            for (child, incarnation) in &site.children {
+                let name = if *child < self.shape.parents.len() {
                     format!("s{child}")
                 } else {
-                    format!("e{}", child - self.shape.above.len())
+                    format!("e{}", child - self.shape.parents.len())
                 };
-                let id = ChildId { name, incarnation: *life };
-                let orders = site.relay.missing_commands(&id).map_or(Vec::new(), |missing| missing.commands);
-                if !orders.is_empty() && !site.sending.contains(child) {
-                    sends.push((*child, log, orders));
+                let id = ChildId { name, incarnation: *incarnation };
+                let commands =
+                    site.aggregator.missing_commands(&id).map_or(Vec::new(), |missing| missing.commands);
+                if !commands.is_empty() && !site.sending_to.contains(child) {
+                    sends.push((*child, log, commands));
                 }
             }
-            let sum = site.relay.aggregate(now);
-            if site.said != Some(sum.acknowledged) {
-                site.said = Some(sum.acknowledged);
-                says = Some(sum);
+            let sum = site.aggregator.aggregate(now);
+            if site.reported != Some(sum.acknowledged) {
+                site.reported = Some(sum.acknowledged);
+                report = Some(sum);
             }
-            site.sending.extend(sends.iter().map(|(child, ..)| *child));
+            site.sending_to.extend(sends.iter().map(|(child, ..)| *child));
         }
-        for (child, log, orders) in sends {
-            self.ask(of, child, Request::Commands { log, commands: orders }, Then::Orders { child });
+        for (child, log, commands) in sends {
+            self.request(
+                node_index,
+                child,
+                Request::Commands { log, commands },
+                PendingRequest::Orders { child },
+            );
         }
-        let Some(sum) = says else { return };
-        match above {
-            Some(above) => {
+        let Some(sum) = report else { return };
+        match parent {
+            Some(parent) => {
                 let AggregatedAck { acknowledged, missing, missing_count } = sum;
-                self.ask(
-                    of,
-                    above,
+                self.request(
+                    node_index,
+                    parent,
                     Request::ReportAcknowledged { acknowledged, missing, missing_count },
-                    Then::Nothing,
+                    PendingRequest::Nothing,
                 );
             }
-            None => self.completed(sum.acknowledged),
+            None => self.record_completion(sum.acknowledged),
         }
     }
 
-    fn order_changes(&mut self, of: usize) {
-        if of >= self.sites() || !self.nodes[of].up {
+    /// Submits a purge for the changes of a site that need one.
+    fn order_changes(&mut self, node_index: usize) {
+        if node_index >= self.sites() || !self.nodes[node_index].up {
             return;
         }
-        let Kindly::Site(site) = &mut self.nodes[of].kind else { return };
+        let NodeKind::Site(site) = &mut self.nodes[node_index].kind else { return };
         if site.ordering {
             return;
         }
-        let Some(UnpurgedChanges { last_change: upto, numbers }) = site.state.unpurged_changes(512) else {
+        let Some(UnpurgedChanges { last_change, numbers }) = site.state.unpurged_changes(512) else {
             return;
         };
-        let what = CommandAction::Purge(numbers.into_iter().map(PurgeScope::Number).collect());
-        if of == 0 {
-            // No row is written at the root here.
+        let action = CommandAction::Purge(numbers.into_iter().map(PurgeScope::Number).collect());
+        if node_index == 0 {
+            // No front has its home at the root here.
             return;
         }
         site.ordering = true;
-        let above = self.shape.above[of];
-        self.ask(of, above, Request::Submit(what), Then::Ordered { upto });
+        let parent = self.shape.parents[node_index];
+        self.request(node_index, parent, Request::Submit(action), PendingRequest::Ordered { last_change });
     }
 
-    fn write(&mut self, of: usize) {
-        let Some(home) = self.above(of).filter(|_| of >= self.sites() && self.nodes[of].up) else { return };
-        let Kindly::Front(front) = &mut self.nodes[of].kind else { return };
-        if front.writing || front.waiting.is_empty() {
+    /// Writes a front's changes to its site.
+    fn write(&mut self, node_index: usize) {
+        let Some(home) =
+            self.parent(node_index).filter(|_| node_index >= self.sites() && self.nodes[node_index].up)
+        else {
+            return;
+        };
+        let NodeKind::Front(front) = &mut self.nodes[node_index].kind else { return };
+        if front.writing || front.unwritten.is_empty() {
             return;
         }
         front.writing = true;
-        let (first, changes) = (front.done + 1, front.waiting.clone());
-        let then = Then::Written { first, count: changes.len() };
-        self.ask(of, home, Request::Write { first, changes }, then);
+        let (first, changes) = (front.written_count + 1, front.unwritten.clone());
+        let pending = PendingRequest::Written { first, count: changes.len() };
+        self.request(node_index, home, Request::Write { first, changes }, pending);
     }
 
-    fn written(&mut self, of: usize, first: u64, count: usize, taken: bool) {
-        let Kindly::Front(front) = &mut self.nodes[of].kind else { return };
+    fn handle_write_response(&mut self, node_index: usize, first: u64, count: usize, accepted: bool) {
+        let NodeKind::Front(front) = &mut self.nodes[node_index].kind else { return };
         front.writing = false;
-        if !taken {
+        if !accepted {
             return;
         }
-        debug_assert_eq!(first, front.done + 1);
-        front.done += count as u64;
-        let done: Vec<RecordChange> = front.waiting.drain(..count).collect();
-        for change in done {
+        debug_assert_eq!(first, front.written_count + 1);
+        front.written_count += count as u64;
+        let written: Vec<RecordChange> = front.unwritten.drain(..count).collect();
+        for change in written {
             if let RecordChange::Upsert(row) = change {
-                if let Some(truth) = self.truth.get_mut(&row.key) {
-                    truth.acked_ns.get_or_insert(self.now);
+                if let Some(history) = self.row_histories.get_mut(&row.key) {
+                    history.acked_ns.get_or_insert(self.now);
                 }
             }
         }
-        self.write(of);
-        self.order_changes(self.above(of).unwrap_or(0));
+        self.write(node_index);
+        self.order_changes(self.parent(node_index).unwrap_or(0));
     }
 
-    // ---- Handsets and looks ----
+    // ---- Handsets and locates ----
 
     fn number(n: u32) -> Option<Number> {
         Number::new(&format!("1555{n:04}")).ok()
     }
 
     fn move_handset(&mut self) {
-        self.at(self.now + self.shape.move_ns, Happens::Move);
+        self.schedule(self.now + self.shape.move_interval_ns, Event::MoveHandset);
         let n = self.rng.random_range(0..self.shape.numbers);
         if let Some(at) = self.handsets.remove(&n) {
-            if let Kindly::Front(front) = &mut self.nodes[at].kind {
+            if let NodeKind::Front(front) = &mut self.nodes[at].kind {
                 if let Some(row) = front.rows.remove(&n) {
-                    if let Some(truth) = self.truth.get_mut(&row.key) {
-                        truth.withdrawn_ns.get_or_insert(self.now);
+                    if let Some(history) = self.row_histories.get_mut(&row.key) {
+                        history.withdrawn_ns.get_or_insert(self.now);
                     }
-                    front.waiting.push(RecordChange::Withdraw(row.key));
+                    front.unwritten.push(RecordChange::Withdraw(row.key));
                 }
             }
             self.write_unless_frozen(at);
@@ -970,20 +1079,23 @@
         if !self.nodes[at].up || self.nodes[at].frozen > 0 || !self.rng.random_bool(0.8) {
             return;
         }
-        let (Some(number), life, since_ms) = (Self::number(n), self.nodes[at].life, self.now / MS) else {
+        let (Some(number), incarnation, since_ms) =
+            (Self::number(n), self.nodes[at].incarnation, self.now / MS)
+        else {
             return;
         };
         let name = self.nodes[at].name.clone();
-        let Kindly::Front(front) = &mut self.nodes[at].kind else { return };
+        let NodeKind::Front(front) = &mut self.nodes[at].kind else { return };
         front.serial += 1;
-        let holder = RowHolder { name: name.clone(), front: name, incarnation: life, serial: front.serial };
+        let holder = RowHolder { name: name.clone(), front: name, incarnation, serial: front.serial };
         let key = Key { number, kind: Kind::Binding, owner: holder };
         let row =
             LocationRecord { key: key.clone(), class: String::new(), trunk_group: "p".into(), since_ms };
         front.rows.insert(n, row.clone());
-        front.waiting.push(RecordChange::Upsert(row));
+        front.unwritten.push(RecordChange::Upsert(row));
         self.handsets.insert(n, at);
-        self.truth.insert(key, Truth { site: self.shape.homes[at - sites], ..Truth::default() });
+        self.row_histories
+            .insert(key, RowHistory { site: self.shape.homes[at - sites], ..RowHistory::default() });
         self.write_unless_frozen(at);
     }
 
@@ -993,199 +1105,208 @@
         }
     }
 
-    fn begin_look(&mut self) {
-        self.at(self.now + self.shape.look_ns, Happens::Look);
+    fn begin_locate(&mut self) {
+        self.schedule(self.now + self.shape.locate_interval_ns, Event::BeginLocate);
         let sites = self.sites();
         let at = sites + self.rng.random_range(0..self.shape.homes.len());
         let n = self.rng.random_range(0..self.shape.numbers);
         let Some(number) = Self::number(n).filter(|_| self.nodes[at].up && self.nodes[at].frozen == 0) else {
             return;
         };
-        let now = self.local(at);
+        let now = self.local_ns(at);
         let node = &self.nodes[at];
-        let Kindly::Front(front) = &node.kind else { return };
+        let NodeKind::Front(front) = &node.kind else { return };
         let position = node.holder.position().unwrap_or_default();
-        let usable = node.holder.valid_until(now).is_ok() || !self.shape.guards.cache_leases;
-        let borne = front.catalogue.confirms_cached(now, number.hash64(), position);
-        let (life, began_ns) = (node.life, self.now);
-        if let Some(answer) = front.cache.get(&number).filter(|_| usable && borne) {
-            self.played.looks.2 += 1;
-            self.judge_look(&Looking { front: at, life, number, began_ns, locate: None }, &answer);
+        let usable = node.holder.valid_until(now).is_ok() || !self.shape.safeguards.cache_leases;
+        let is_confirmed = front.catalogue.confirms_cached(now, number.hash64(), position);
+        let (incarnation, began_ns) = (node.incarnation, self.now);
+        if let Some(answer) = front.cache.get(&number).filter(|_| usable && is_confirmed) {
+            self.played.locates.2 += 1;
+            self.check_answer(
+                &OngoingLocate { front: at, incarnation, number, began_ns, locate: None },
+                &answer,
+            );
             return;
         }
         let query = Query::binding_of(number.clone());
-        let locate = Locate::begin(now, query, None, 16, &front.catalogue, self.shape.guards);
-        let open: Vec<usize> = locate.pending_sites().filter_map(|site| site[1..].parse().ok()).collect();
+        let locate = Locate::begin(now, query, None, 16, &front.catalogue, self.shape.safeguards);
+        let sites_to_ask: Vec<usize> =
+            locate.pending_sites().filter_map(|site| site[1..].parse().ok()).collect();
         self.next_id += 1;
-        let look = self.next_id;
-        self.looks.insert(
-            look,
-            Looking { front: at, life, number: number.clone(), began_ns, locate: Some(locate) },
+        let locate_id = self.next_id;
+        self.locates.insert(
+            locate_id,
+            OngoingLocate { front: at, incarnation, number: number.clone(), began_ns, locate: Some(locate) },
         );
-        self.played.asked += open.len();
-        if open.is_empty() {
-            return self.end_look(look);
+        self.played.sites_asked += sites_to_ask.len();
+        if sites_to_ask.is_empty() {
+            return self.end_locate(locate_id);
         }
-        for site in open {
+        for site in sites_to_ask {
             let query = Query::binding_of(number.clone());
             let find = Request::FindRecords { query, after: None, limit: 16, urgent: true };
-            self.ask(at, site, find, Then::Find { look, site });
+            self.request(at, site, find, PendingRequest::Find { locate_id, site });
         }
-        self.at(self.now + PATIENCE_NS * 2, Happens::LookEnds(look));
+        self.schedule(self.now + REQUEST_TIMEOUT_NS * 2, Event::EndLocate(locate_id));
     }
 
-    fn found(
+    fn add_result(
         &mut self,
-        look: u64,
+        locate_id: u64,
         site: usize,
-        said: Result<(lilacpitch_location::Page, String), lilacpitch_fleet::error::LocateError>,
+        result: Result<(lilacpitch_location::Page, String), LocateError>,
     ) {
-        let Some(looking) = self.looks.get_mut(&look) else { return };
-        let Some(locate) = &mut looking.locate else { return };
-        locate.record_response(&format!("s{site}"), said);
+        let Some(ongoing) = self.locates.get_mut(&locate_id) else { return };
+        let Some(locate) = &mut ongoing.locate else { return };
+        locate.record_response(&format!("s{site}"), result);
         if locate.pending_sites().next().is_none() {
-            self.end_look(look);
+            self.end_locate(locate_id);
         }
     }
 
-    fn end_look(&mut self, look: u64) {
-        let Some(mut looking) = self.looks.remove(&look) else { return };
-        let node = &self.nodes[looking.front];
-        if !node.up || node.life != looking.life || node.frozen > 0 {
+    fn end_locate(&mut self, locate_id: u64) {
+        let Some(mut ongoing) = self.locates.remove(&locate_id) else { return };
+        let node = &self.nodes[ongoing.front];
+        if !node.up || node.incarnation != ongoing.incarnation || node.frozen > 0 {
             return;
         }
-        let Some(locate) = looking.locate.take() else { return };
+        let Some(locate) = ongoing.locate.take() else { return };
         let read_from_ns = locate.read_from_ns();
         let answer = locate.into_answer();
-        if let (Kindly::Front(front), true) = (&node.kind, answer.is_complete) {
-            front.cache.fill(read_from_ns, &looking.number, &answer);
+        if let (NodeKind::Front(front), true) = (&node.kind, answer.is_complete) {
+            front.cache.fill(read_from_ns, &ongoing.number, &answer);
         }
-        self.judge_look(&looking, &answer);
+        self.check_answer(&ongoing, &answer);
     }
 
-    // ---- The judge ----
+    // ---- Checks of the guarantees ----
 
-    fn breach(&mut self, promise: u32, what: String) {
-        self.played.breaches.push((promise, format!("{} ms: {what}", self.now / MS)));
+    fn breach(&mut self, guarantee: u32, what: String) {
+        self.played.breaches.push((guarantee, format!("{} ms: {what}", self.now / MS)));
     }
 
-    fn judge_look(&mut self, look: &Looking, answer: &LocateAnswer) {
-        self.played.looks.0 += 1;
-        self.played.looks.1 += usize::from(answer.is_complete);
-        let mut wrong = Vec::new();
-        let missing = answer.sites.values().any(|said| matches!(said, SiteSaid::Unreachable(_)));
+    /// Checks the answer to a locate against guarantees 1 to 4.
+    fn check_answer(&mut self, locate: &OngoingLocate, answer: &LocateAnswer) {
+        self.played.locates.0 += 1;
+        self.played.locates.1 += usize::from(answer.is_complete);
+        let mut violations = Vec::new();
+        let missing = answer.sites.values().any(|outcome| matches!(outcome, SiteOutcome::Unreachable(_)));
         if answer.sites.len() != self.sites() || answer.is_complete == missing {
-            wrong.push((
+            violations.push((
                 2,
                 format!("{} sites of {}, complete {}", answer.sites.len(), self.sites(), answer.is_complete),
             ));
         }
         let settle = (self.shape.settle_ns as f64 * (1.0 + self.shape.terms.clock_allowance)) as Nanos;
-        for (key, truth) in self.truth.iter().filter(|(key, _)| key.number == look.number) {
+        for (key, history) in self.row_histories.iter().filter(|(key, _)| key.number == locate.number) {
             let shown = answer.records.iter().any(|row| row.key == *key);
-            let site = format!("s{}", truth.site);
-            let not_reached = matches!(answer.sites.get(&site), Some(SiteSaid::Unreachable(_)) | None);
-            let due = truth.acked_ns.is_some_and(|at| at + settle < look.began_ns);
-            if due && truth.withdrawn_ns.is_none_or(|at| at > self.now) {
-                self.played.judged.0 += 1;
+            let site = format!("s{}", history.site);
+            let not_reached = matches!(answer.sites.get(&site), Some(SiteOutcome::Unreachable(_)) | None);
+            let must_be_found = history.acked_ns.is_some_and(|at| at + settle < locate.began_ns);
+            if must_be_found && history.withdrawn_ns.is_none_or(|at| at > self.now) {
+                self.played.checked.0 += 1;
                 if !shown && !not_reached {
-                    wrong.push((
+                    violations.push((
                         1,
-                        format!("{key:?} of {site} not found at {}: {:?}", look.front, answer.sites),
+                        format!("{key:?} of {site} not found at {}: {:?}", locate.front, answer.sites),
                     ));
                 }
             }
-            if truth.complete_ns.is_some_and(|at| at < look.began_ns) {
-                self.played.judged.1 += 1;
+            if history.complete_ns.is_some_and(|at| at < locate.began_ns) {
+                self.played.checked.1 += 1;
                 if shown {
-                    wrong.push((3, format!("{key:?} shown at {} after its purge was complete", look.front)));
+                    violations
+                        .push((3, format!("{key:?} shown at {} after its purge was complete", locate.front)));
                 }
             }
-            let applied = self.nodes[look.front].holder.position();
-            let passed =
-                truth.order.is_some_and(|order| applied.is_some_and(|applied| applied.includes(order)));
-            if passed && shown && answer.is_cached {
-                wrong.push((4, format!("{key:?} cached at {} past its purge", look.front)));
+            let applied = self.nodes[locate.front].holder.position();
+            let has_applied_purge =
+                history.order.is_some_and(|order| applied.is_some_and(|applied| applied.includes(order)));
+            if has_applied_purge && shown && answer.is_cached {
+                violations.push((4, format!("{key:?} cached at {} past its purge", locate.front)));
             }
         }
-        wrong.into_iter().for_each(|(promise, what)| self.breach(promise, what));
+        violations.into_iter().for_each(|(guarantee, what)| self.breach(guarantee, what));
     }
 
-    /// The root reports purges complete: no front may use what they withdrew.
-    fn completed(&mut self, upto: LogPosition) {
-        if self.complete.log == upto.log && self.complete.index >= upto.index {
+    /// Records that the root reports all orders up to a position as complete, and checks guarantee 5: no
+    /// front may still use what they purge.
+    fn record_completion(&mut self, completed: LogPosition) {
+        if self.complete.log == completed.log && self.complete.index >= completed.index {
             return;
         }
-        for order in self.complete.index + 1..=upto.index {
-            if let Some(at) = self.ordered_ns.get(&(upto.log, order)) {
+        for order in self.complete.index + 1..=completed.index {
+            if let Some(at) = self.ordered_ns.get(&(completed.log, order)) {
                 self.played.complete_ms.push((self.now - at) as f64 / MS as f64);
             }
         }
-        self.complete = upto;
-        let mut wrong = Vec::new();
+        self.complete = completed;
+        let mut violations = Vec::new();
         for index in self.sites()..self.nodes.len() {
             let node = &self.nodes[index];
-            let behind = node.holder.position().is_none_or(|position| !position.includes(upto));
-            // One that stands still judges its lease when it wakes, by a clock that went on.
-            if node.up && node.holder.valid_until(self.local(index)).is_ok() && behind {
-                wrong.push(format!(
-                    "{upto} complete and {} may use what it has at {:?}",
+            let is_behind = node.holder.position().is_none_or(|position| !position.includes(completed));
+            // A frozen front checks its lease when it resumes, by a clock that has continued.
+            if node.up && node.holder.valid_until(self.local_ns(index)).is_ok() && is_behind {
+                violations.push(format!(
+                    "{completed} complete, but {} may use its cache at {:?}",
                     node.name,
                     node.holder.position()
                 ));
             }
         }
-        wrong.into_iter().for_each(|what| self.breach(5, what));
-        for truth in self.truth.values_mut() {
-            if truth.complete_ns.is_none() && truth.order.is_some_and(|order| upto.includes(order)) {
-                truth.complete_ns = Some(self.now);
+        violations.into_iter().for_each(|what| self.breach(5, what));
+        for history in self.row_histories.values_mut() {
+            if history.complete_ns.is_none() && history.order.is_some_and(|order| completed.includes(order)) {
+                history.complete_ns = Some(self.now);
             }
         }
     }
 }
 
-fn empty() -> SiteState {
+/// Returns a site state without rows.
+fn empty_state() -> SiteState {
     SiteState::new(1).unwrap_or_else(|_| unreachable!("one shard is allowed"))
 }
 
-/// A site's process; with the disk of its former life, if it had one.
+/// Returns a started site process, with the disk of its previous incarnation if there was one.
 fn site_node(shape: &Shape, names: &[String], index: usize, disk: Option<SiteState>) -> SiteNode {
     let others = names.iter().enumerate().filter(|(at, _)| *at != index).map(|(_, name)| name.as_str());
-    // A process that starts again reads its rows from its disk: its summary has versions of its own.
-    let state = SiteState::new(8).unwrap_or_else(|_| empty());
+    // A restarted process reads its rows from its disk into a new state, whose summary versions start anew.
+    let state = SiteState::new(8).unwrap_or_else(|_| empty_state());
     if let Some(disk) = disk {
         let rows: Vec<LocationRecord> =
             disk.records.snapshot().iter().flat_map(|rows| rows.values().cloned()).collect();
-        let beside = disk.with_metadata(Clone::clone);
-        if state.restore(rows, beside).is_err() {
-            unreachable!("its own rows are sound");
+        let metadata = disk.with_metadata(Clone::clone);
+        if state.restore(rows, metadata).is_err() {
+            unreachable!("rows from its own disk are valid");
         }
     }
     SiteNode {
         state,
-        relay: AckAggregator::new(shape.terms, shape.guards),
-        catalogue: Catalogue::new(others, shape.settle_ns, shape.terms, shape.guards),
+        aggregator: AckAggregator::new(shape.terms, shape.safeguards),
+        catalogue: Catalogue::new(others, shape.settle_ns, shape.terms, shape.safeguards),
         ordering: false,
-        said: None,
-        links: BTreeMap::new(),
-        sending: BTreeSet::new(),
+        reported: None,
+        children: BTreeMap::new(),
+        sending_to: BTreeSet::new(),
     }
 }
 
+/// Returns a started front without state.
 fn front_node(shape: &Shape, names: &[String]) -> FrontNode {
     FrontNode {
-        cache: Cache::new(10_000, shape.guards),
+        cache: Cache::new(10_000, shape.safeguards),
         catalogue: Catalogue::new(
             names.iter().map(String::as_str),
             shape.settle_ns,
             shape.terms,
-            shape.guards,
+            shape.safeguards,
         ),
         rows: BTreeMap::new(),
-        waiting: Vec::new(),
-        done: 0,
+        unwritten: Vec::new(),
+        written_count: 0,
         writing: false,
-        register: None,
+        store_id: None,
         serial: 0,
     }
 }
--- a/crates/lilacpitch-testbed/tests/fleet/days.rs
+++ b/crates/lilacpitch-testbed/tests/fleet/days.rs
@@ -1,7 +1,7 @@
-//! Days of a town with faults, judged.
+//! Runs of a cluster with random faults, checked against the guarantees.
 
-use lilacpitch_testbed::fleet::cluster::{Plan, Town};
-use lilacpitch_testbed::fleet::day::{draw, play, Day, Drawn, Played, TERMS};
+use lilacpitch_testbed::fleet::cluster::{Cluster, Plan};
+use lilacpitch_testbed::fleet::day::{draw_faults, play, Day, Played, ScheduledFault, TERMS};
 use std::path::Path;
 use std::time::Duration;
 
@@ -9,21 +9,27 @@
     Plan { terms: TERMS.into(), ..Plan::leaves(3, 2, 1) }
 }
 
-pub(crate) fn played(plan: Plan, day: &Day, troubles: impl FnOnce(&Town) -> Vec<Drawn>) -> Played {
-    play(plan, day, Path::new(env!("CARGO_BIN_EXE_lilacpitch-testbed")), troubles).unwrap()
+/// Runs a day and returns its result.
+pub(crate) fn run_day(
+    plan: Plan,
+    day: &Day,
+    choose_faults: impl FnOnce(&Cluster) -> Vec<ScheduledFault>,
+) -> Played {
+    play(plan, day, Path::new(env!("CARGO_BIN_EXE_lilacpitch-testbed")), choose_faults).unwrap()
 }
 
-fn kept(played: &Played) {
+/// Asserts that no guarantee was violated, no process exited, and there was something to check.
+fn assert_guarantees_kept(played: &Played) {
     assert_eq!(played.breaches, vec![], "{played:?}");
     assert_eq!(played.fallen, Vec::<String>::new());
     assert!(played.judged.found > 0 && played.judged.answers > 0, "{played:?}");
 }
 
 #[test]
-fn a_calm_day_keeps_all_promises_and_asks_little() {
+fn run_without_faults_keeps_all_guarantees() {
     let day = Day { length: Duration::from_secs(4), after: Duration::from_secs(2), ..Day::default() };
-    let played = played(plan(), &day, |_| Vec::new());
-    kept(&played);
+    let played = run_day(plan(), &day, |_| Vec::new());
+    assert_guarantees_kept(&played);
     let judged = played.judged;
     assert!(
         judged.gone > 0 && judged.not_refilled > 0 && judged.acknowledged > 0 && judged.leases > 0,
@@ -33,10 +39,10 @@
 }
 
 #[test]
-fn a_drawn_day_keeps_all_promises_and_comes_back() {
+fn run_with_random_faults_keeps_all_guarantees_and_recovers() {
     let day = Day::default();
-    let played = played(plan(), &day, |town| draw(town, day.length, 12, day.seed));
-    kept(&played);
+    let played = run_day(plan(), &day, |cluster| draw_faults(cluster, day.length, 12, day.seed));
+    assert_guarantees_kept(&played);
     assert!(played.after.0 * 2 >= played.after.1, "{:?}", played.after);
 }
 
@@ -49,9 +55,10 @@
     let mut broken = 0;
     for seed in first..first + days {
         let day = Day { seed, ..Day::default() };
-        let played = played(Plan { seed, ..plan() }, &day, |town| draw(town, day.length, 12, seed));
+        let played =
+            run_day(Plan { seed, ..plan() }, &day, |cluster| draw_faults(cluster, day.length, 12, seed));
         println!("seed {seed}: {played:?}");
         broken += usize::from(!played.breaches.is_empty() || !played.fallen.is_empty());
     }
-    assert_eq!(broken, 0, "days with a promise broken");
+    assert_eq!(broken, 0, "days with a violated guarantee");
 }
--- a/crates/lilacpitch-testbed/tests/fleet/main.rs
+++ b/crates/lilacpitch-testbed/tests/fleet/main.rs
@@ -1,4 +1,4 @@
-//! The fleet as real processes, with faults between them.
+//! Tests of the fleet as real processes, with faults between them.
 
 mod broken;
 mod busy;
@@ -7,38 +7,39 @@
 mod parted;
 mod thin;
 
-use lilacpitch_testbed::fleet::cluster::{Plan, Town};
+use lilacpitch_testbed::fleet::cluster::{Cluster, Plan};
 use std::path::Path;
 use std::time::Duration;
 
-/// Wide room: machines are noisy.
-pub const SOON: Duration = Duration::from_secs(30);
+/// Timeout for conditions that normally hold within a second or two; generous because of busy machines.
+pub const TIMEOUT: Duration = Duration::from_secs(30);
 
-pub(crate) fn town(plan: Plan) -> Town {
-    let town = Town::start(plan, Path::new(env!("CARGO_BIN_EXE_lilacpitch-testbed"))).unwrap();
-    assert!(town.settled(SOON), "{}", report(&town));
-    town
+/// Starts a cluster and waits until it is ready.
+pub(crate) fn start_cluster(plan: Plan) -> Cluster {
+    let cluster = Cluster::start(plan, Path::new(env!("CARGO_BIN_EXE_lilacpitch-testbed"))).unwrap();
+    assert!(cluster.wait_until_ready(TIMEOUT), "{}", report(&cluster));
+    cluster
 }
 
-/// Orders something at a process, again while nobody leads; the order's number.
-pub(crate) fn ordered(town: &Town, at: usize, target: &str) -> u64 {
+/// Posts an order to a process, repeatedly while there is no leader, and returns the index of the order.
+pub(crate) fn submit_order(cluster: &Cluster, process: usize, target: &str) -> u64 {
     let mut order = None;
-    town.wait(SOON, |t| {
-        let said = t.page(at, "POST", target).ok().filter(|said| said.0 == 200);
-        order = said.and_then(|(_, said)| said.trim().rsplit_once('/')?.1.parse().ok());
+    cluster.wait_until(TIMEOUT, |cluster| {
+        let response = cluster.page(process, "POST", target).ok().filter(|(status, _)| *status == 200);
+        order = response.and_then(|(_, body)| body.trim().rsplit_once('/')?.1.parse().ok());
         order.is_some()
     });
-    order.unwrap_or_else(|| panic!("{target}: {}", report(town)))
+    order.unwrap_or_else(|| panic!("{target}: {}", report(cluster)))
 }
 
-/// What all processes say of themselves, for a failure's message.
-pub fn report(town: &Town) -> String {
+/// Returns status pages and the ends of the logs of all processes, for assertion messages.
+pub fn report(cluster: &Cluster) -> String {
     let mut out = String::new();
-    for (index, name) in town.names().iter().enumerate() {
-        let page = if town.fronts().contains(&index) { "/fleet" } else { "/metrics" };
-        let log = town.log(index);
-        let last: Vec<&str> = log.lines().rev().take(8).collect();
-        out += &format!("== {name}\n{}\n{}\n", town.get(index, page), last.join("\n"));
+    for (index, name) in cluster.names().iter().enumerate() {
+        let page = if cluster.fronts().contains(&index) { "/fleet" } else { "/metrics" };
+        let log = cluster.log(index);
+        let last_lines: Vec<&str> = log.lines().rev().take(8).collect();
+        out += &format!("== {name}\n{}\n{}\n", cluster.get(index, page), last_lines.join("\n"));
     }
     out
 }
--- a/crates/lilacpitch-testbed/tests/fleet/thin.rs
+++ b/crates/lilacpitch-testbed/tests/fleet/thin.rs
@@ -1,83 +1,98 @@
-//! Thin but whole: a number is registered, located, cached, called, moved, purged, and the audit tells of it.
+//! One end-to-end run without faults: a number is registered, located, cached, called, moved and purged, and
+//! the audit lists both fronts.
 
-use crate::{report, town, SOON};
+use crate::{report, start_cluster, TIMEOUT};
 use lilacpitch_protocol::message::call::Answer;
 use lilacpitch_testbed::fleet::caller::Caller;
-use lilacpitch_testbed::fleet::cluster::{Plan, Town};
+use lilacpitch_testbed::fleet::cluster::{Cluster, Plan};
 use lilacpitch_testbed::record::Seen;
 use std::time::Duration;
 
 #[test]
-fn a_number_is_located_cached_called_moved_and_purged_and_the_audit_tells_of_it() {
-    let mut town = town(Plan::leaves(3, 2, 1));
-    let (here, there) = (town.index("edge-0"), town.index("edge-1"));
+fn number_is_located_cached_called_moved_and_purged_and_audited() {
+    let mut cluster = start_cluster(Plan::leaves(3, 2, 1));
+    let (near, far) = (cluster.index("edge-0"), cluster.index("edge-1"));
     let found =
         |page: &str, front: &str| page.contains("complete true") && page.contains(&format!("front {front} "));
 
-    // Nobody has it; then a handset connects at the other front.
-    assert!(town.get(here, "/locate?number=15550100").contains("complete true"), "{}", report(&town));
-    let handset = Caller::connect(town.callers(there), Some("15550100")).unwrap();
+    // The number isn't registered at first. Then a handset connects at the other front.
+    assert!(cluster.get(near, "/locate?number=15550100").contains("complete true"), "{}", report(&cluster));
+    let handset = Caller::connect(cluster.caller_address(far), Some("15550100")).unwrap();
     assert!(
-        town.wait(SOON, |t| found(&t.get(here, "/locate?number=15550100"), "edge-1")),
+        cluster.wait_until(TIMEOUT, |cluster| found(&cluster.get(near, "/locate?number=15550100"), "edge-1")),
         "{}",
-        report(&town)
+        report(&cluster)
     );
     assert!(
-        town.wait(SOON, |t| t.get(here, "/locate?number=15550100").contains("cached true")),
+        cluster.wait_until(TIMEOUT, |cluster| cluster
+            .get(near, "/locate?number=15550100")
+            .contains("cached true")),
         "{}",
-        report(&town)
+        report(&cluster)
     );
 
-    // A call to it goes to a server of the site that holds it. Nothing that is cached rests on calls that begin and end:
-    // they order no purge.
-    let root = town.index("root-0");
-    let ordered = |t: &Town| t.get(root, "/purges").lines().next().map(String::from);
-    let before = ordered(&town);
-    let mut caller = Caller::connect(town.callers(here), None).unwrap();
+    // A call goes to a server of the site that holds the number. Cached answers don't depend on active calls,
+    // so the start and end of a call order no purge.
+    let root = cluster.index("root-0");
+    let last_order = |cluster: &Cluster| cluster.get(root, "/purges").lines().next().map(String::from);
+    let order_before_call = last_order(&cluster);
+    let mut caller = Caller::connect(cluster.caller_address(near), None).unwrap();
     let (call, answer) = caller.call("voice", "15550100", Duration::from_secs(5)).unwrap();
     assert_eq!(answer, Answer::Stands);
     let standing = "/locate?search=1555&kind=standing";
     assert!(
-        town.wait(SOON, |t| t.get(here, standing).contains("row 15550100 standing")),
+        cluster.wait_until(TIMEOUT, |cluster| cluster.get(near, standing).contains("row 15550100 standing")),
         "{}",
-        report(&town)
+        report(&cluster)
     );
     caller.release(&call).unwrap();
-    assert!(town.wait(SOON, |t| !t.get(here, standing).contains("row ")), "{}", report(&town));
+    assert!(
+        cluster.wait_until(TIMEOUT, |cluster| !cluster.get(near, standing).contains("row ")),
+        "{}",
+        report(&cluster)
+    );
 
-    assert_eq!(ordered(&town), before);
+    assert_eq!(last_order(&cluster), order_before_call);
 
-    // It moves: the cached answer is withdrawn everywhere, and the orders are complete at the root.
+    // The handset moves: the cached answer is purged at all fronts, and the orders complete at the root.
     drop(handset);
-    let _moved = Caller::connect(town.callers(here), Some("15550100")).unwrap();
-    let moved = |page: &str| found(page, "edge-0") && !page.contains("front edge-1 ");
-    assert!(town.wait(SOON, |t| moved(&t.get(here, "/locate?number=15550100"))), "{}", report(&town));
-    let complete = |page: &str| {
+    let _moved_handset = Caller::connect(cluster.caller_address(near), Some("15550100")).unwrap();
+    let has_moved = |page: &str| found(page, "edge-0") && !page.contains("front edge-1 ");
+    assert!(
+        cluster.wait_until(TIMEOUT, |cluster| has_moved(&cluster.get(near, "/locate?number=15550100"))),
+        "{}",
+        report(&cluster)
+    );
+    let is_complete = |page: &str| {
         let field = |name: &str| page.lines().find_map(|l| l.strip_prefix(name)).map(str::to_string);
         let ordered = field("ordered ").and_then(|p| p.split('/').next_back().map(str::to_string));
         ordered.is_some_and(|ordered| ordered != "0" && field("complete ") == Some(ordered))
     };
     assert!(
-        town.wait(SOON, |t| complete(&t.get(root, "/purges"))),
+        cluster.wait_until(TIMEOUT, |cluster| is_complete(&cluster.get(root, "/purges"))),
         "{}\n{}",
-        town.get(root, "/purges"),
-        report(&town)
+        cluster.get(root, "/purges"),
+        report(&cluster)
     );
 
-    // The audit names both fronts and what they acted on, at every process of the root.
+    // Every process of the root has both fronts in its audit.
     for name in ["root-0", "root-1", "root-2"] {
-        let at = town.index(name);
-        let told = |page: &str| {
+        let process = cluster.index(name);
+        let lists_both_fronts = |page: &str| {
             page.contains("edge-0\t") && page.contains("edge-1\t") && page.contains("takes-calls true")
         };
-        assert!(town.wait(SOON, |t| told(&t.get(at, "/audit"))), "{}", report(&town));
+        assert!(
+            cluster.wait_until(TIMEOUT, |cluster| lists_both_fronts(&cluster.get(process, "/audit"))),
+            "{}",
+            report(&cluster)
+        );
     }
 
-    // The set-up went to the site that held the number, by the module's own sending.
-    let saw = town.servers_saw();
-    let setups: Vec<&str> = saw
+    // The only set-up went to a server of the site that held the number.
+    let records = cluster.stop_servers();
+    let setups: Vec<&str> = records
         .iter()
-        .filter_map(|r| match &r.seen {
+        .filter_map(|record| match &record.seen {
             Seen::Setup { server, .. } => Some(server.as_str()),
             _ => None,
         })
