--- a/crates/lilacpitch-testbed/src/simulated_run.rs
+++ b/crates/lilacpitch-testbed/src/simulated_run.rs
@@ -1,7 +1,8 @@
-//! A day in virtual time: the same front, the same servers and callers, and the same judge, without a socket.
+//! A run of calls in virtual time: the same front code, simulated servers and callers, and checker as in real
+//! runs, but without sockets.
 //!
-//! The same day and seed give the same records, so a failing seed is a reproducer; a day of hundreds of fronts
-//! plays in seconds. Messages take a drawn while and keep their order on a connection, as on TCP.
+//! The same day and seed give the same records, so a failing seed reproduces the failure. A day with hundreds
+//! of fronts runs in seconds. Messages take a random time and keep their order on a connection, as on TCP.
 
 use crate::baseline::Baseline;
 use crate::call_rules_checker::judge;
@@ -15,7 +16,7 @@
 use lilacpitch::interface::Nanos;
 use lilacpitch_config::{ConfigError, Edge, Pools, ServerState};
 use lilacpitch_edge::core::{CallerId, EdgeCore, Effect, Input, Safeguards, UpstreamId};
-use lilacpitch_gossip::{Effect as Said, Keys, Peers, ServerReport, Settings as PeersSettings};
+use lilacpitch_gossip::{Effect as GossipEffect, Keys, Peers, ServerReport, Settings as PeersSettings};
 use lilacpitch_protocol::message::call::{Answer, FromCaller, ToCaller};
 use lilacpitch_protocol::message::signal::{FromServer, ToServer};
 use rand_core::{RngCore, SeedableRng};
@@ -23,81 +24,123 @@
 use std::collections::BTreeMap;
 use std::net::{Ipv4Addr, SocketAddr};
 
-/// The day begins at this moment of the fronts' clocks.
+/// Time of the fronts' clocks at which the day begins, in nanoseconds.
 const START_NS: Nanos = 1_700_000_000_000_000_000;
-/// From the fronts' start to the first call.
-const LEAD_NS: Nanos = 1_000_000_000;
-/// A message takes this long at least, and up to as long again.
-const WAY_NS: Nanos = 1_000_000;
-/// The pool list's file is looked at so often.
-const LOOK_NS: Nanos = 50_000_000;
-/// After the last call came, answers are waited for this long.
-const AFTERMATH_NS: Nanos = 16_000_000_000;
-
-enum Happens {
+/// Time from the start of the fronts to the start of the day, in nanoseconds.
+const WARM_UP_NS: Nanos = 1_000_000_000;
+/// Minimum latency of a message, in nanoseconds. The maximum is twice as long.
+const LATENCY_NS: Nanos = 1_000_000;
+/// Interval at which a front polls the file of the endpoint list, in nanoseconds.
+const LIST_POLL_NS: Nanos = 50_000_000;
+/// How long answers are awaited after the end of the day, in nanoseconds.
+const ANSWER_WAIT_NS: Nanos = 16_000_000_000;
+
+/// A scheduled event of the simulation. Fronts and servers are given by their indexes.
+enum Event {
     ToFront(usize, Input),
-    Wake(usize),
-    Connect { front: usize, link: UpstreamId, server: usize },
-    ToServer { front: usize, link: UpstreamId, server: usize, text: String },
-    Hangup { front: usize, link: UpstreamId, server: usize },
-    Work(usize),
-    ToCaller { front: usize, caller: CallerId, text: String },
+    FrontTimeout(usize),
+    Connect {
+        front: usize,
+        link: UpstreamId,
+        server: usize,
+    },
+    ToServer {
+        front: usize,
+        link: UpstreamId,
+        server: usize,
+        text: String,
+    },
+    Disconnect {
+        front: usize,
+        link: UpstreamId,
+        server: usize,
+    },
+    /// A server's next internal deadline.
+    ServerTimeout(usize),
+    ToCaller {
+        front: usize,
+        caller: CallerId,
+        text: String,
+    },
     Arrival(usize),
     Offer(usize, Try),
     Release(usize, String),
-    ToServerItself(usize, ServerEvent),
-    List(usize, Listed),
+    ServerChange(usize, ServerEvent),
+    /// The endpoint list's entry of a server changes.
+    ListChange(usize, Listed),
     Freeze(usize, bool),
-    Leave(usize),
-    Kill(usize),
-    Start(usize),
+    /// The callers of a front disconnect and reconnect.
+    CallersLeave(usize),
+    KillFront(usize),
+    StartFront(usize),
+    /// A front starts to report wrong facts to its peers.
     Confuse(usize),
     Datagram(usize, Vec<u8>),
-    PeersWake(usize),
+    PeersTimeout(usize),
 }
 
-struct FrontRow {
+/// A front, with its callers, and its place in the simulation.
+struct SimulatedFront {
     front: EdgeCore,
     peers: Option<Peers>,
-    peers_wake_ns: Option<Nanos>,
-    /// Killed, and not started anew yet.
+    peers_timeout_ns: Option<Nanos>,
+    /// Killed and not yet restarted.
     down: bool,
+    /// Reports wrong facts to its peers.
     confused: bool,
-    wake_ns: Option<Nanos>,
+    timeout_ns: Option<Nanos>,
     frozen: bool,
-    /// What came while it was frozen.
-    held: Vec<Input>,
+    /// Inputs that arrived while it was frozen.
+    held_inputs: Vec<Input>,
     caller: CallerId,
     callers: Callers,
     waiting: BTreeMap<String, Try>,
-    standing: BTreeMap<String, ()>,
+    established: BTreeMap<String, ()>,
 }
 
-struct ServerRow {
+/// A channel whose messages keep their order: its kind and its ends.
+type Channel = (u8, usize, usize);
+
+/// Channel kind: from a front to its callers.
+const FRONT_TO_CALLERS: u8 = 0;
+/// Channel kind: from a front to a server.
+const FRONT_TO_SERVER: u8 = 1;
+/// Channel kind: from a server to a front.
+const SERVER_TO_FRONT: u8 = 2;
+/// Channel kind: from the endpoint list to a front.
+const LIST_TO_FRONT: u8 = 3;
+/// Channel kind: from the callers of a front to the front.
+const CALLERS_TO_FRONT: u8 = 4;
+
+/// A server and its place in the simulation.
+struct SimulatedServer {
     name: String,
     model: Server,
     dead: bool,
+    /// Stopped regularly: it refuses connections, while a dead server leaves them unanswered.
     stopped: bool,
-    conns: BTreeMap<usize, UpstreamId>,
-    work_ns: Option<Nanos>,
+    /// The connection from each front.
+    connections: BTreeMap<usize, UpstreamId>,
+    timeout_ns: Option<Nanos>,
 }
 
-struct World<'a> {
+struct Simulation<'a> {
     day: &'a Day,
     script: &'a Script,
     rng: Pcg64Mcg,
     now: Nanos,
-    queue: BTreeMap<(Nanos, u64), Happens>,
-    serial: u64,
-    /// When the last message on each way arrives: a way from a front to a server, a server to a front, and
-    /// between a front and its callers.
-    last: BTreeMap<(u8, usize, usize), Nanos>,
-    fronts: Vec<FrontRow>,
-    servers: Vec<ServerRow>,
+    /// Events by time and sequence number.
+    queue: BTreeMap<(Nanos, u64), Event>,
+    event_count: u64,
+    /// When the last message of each channel arrives.
+    last_arrivals: BTreeMap<Channel, Nanos>,
+    fronts: Vec<SimulatedFront>,
+    servers: Vec<SimulatedServer>,
+    /// The endpoint list's entry of each server.
     listed: Vec<Listed>,
-    /// Of a server and a front: when a late list tells the front of the server's start.
-    untold: BTreeMap<(usize, usize), Nanos>,
-    /// Calls at each front over time.
+    /// By server and front: when the front reads the server's start from a delayed endpoint list.
+    late_start_notices: BTreeMap<(usize, usize), Nanos>,
+    /// The rate of calls at each front over time.
     rates: Vec<Rate>,
     connect_ns: Nanos,
     guards: Safeguards,
@@ -105,54 +148,62 @@
     records: Vec<Record>,
     effects: Vec<Effect>,
     does: Vec<Does>,
-    /// What all fronts together sent each other.
-    talk: Sent,
+    /// The gossip traffic of all fronts together.
+    gossip_traffic: Sent,
 }
 
-/// Plays a day in virtual time.
+/// Runs a day in virtual time with the module's own policy.
+///
+/// # Errors
+///
+/// Returns an error if the settings of a front are invalid.
 pub fn play(day: &Day, guards: Safeguards) -> Result<Played, ConfigError> {
     play_with(day, guards, Baseline::Module)
 }
 
-/// The same with another policy in the module's place.
+/// Runs a day in virtual time with another policy in place of the module's.
+///
+/// # Errors
+///
+/// Returns an error if the settings of a front are invalid.
 pub fn play_with(day: &Day, guards: Safeguards, policy: Baseline) -> Result<Played, ConfigError> {
     let script = day.script();
-    let mut world = World::new(day, &script, guards, policy)?;
-    let end_ns = START_NS + day.length_ns + AFTERMATH_NS;
-    while let Some(((at, _), happens)) = world.queue.pop_first() {
+    let mut simulation = Simulation::new(day, &script, guards, policy)?;
+    let end_ns = START_NS + day.length_ns + ANSWER_WAIT_NS;
+    while let Some(((at, _), event)) = simulation.queue.pop_first() {
         if at > end_ns {
             break;
         }
-        world.now = at;
-        world.happen(happens);
+        simulation.now = at;
+        simulation.process(event);
     }
-    let mut records = world.records;
-    records.iter_mut().for_each(|r| r.at_ns = r.at_ns.saturating_sub(START_NS));
+    let mut records = simulation.records;
+    records.iter_mut().for_each(|record| record.at_ns = record.at_ns.saturating_sub(START_NS));
     let breaches = judge(&records, day.figures());
-    let ramp = world.servers.iter().map(|row| row.model.ramp()).fold(0.0, f64::max);
-    let (report, talk) = (report(day, &records, 0), world.talk);
-    Ok(Played { report, breaches, records, used: Vec::new(), talk, ramp })
+    let ramp = simulation.servers.iter().map(|server| server.model.ramp()).fold(0.0, f64::max);
+    let report = report(day, &records, 0);
+    Ok(Played { report, breaches, records, used: Vec::new(), talk: simulation.gossip_traffic, ramp })
 }
 
-impl<'a> World<'a> {
+impl<'a> Simulation<'a> {
     fn new(
         day: &'a Day,
         script: &'a Script,
         guards: Safeguards,
         policy: Baseline,
     ) -> Result<Self, ConfigError> {
-        let mut world = World {
+        let mut simulation = Simulation {
             day,
             script,
             rng: Pcg64Mcg::seed_from_u64(day.seed),
-            now: START_NS - LEAD_NS,
+            now: START_NS - WARM_UP_NS,
             queue: BTreeMap::new(),
-            serial: 0,
-            last: BTreeMap::new(),
+            event_count: 0,
+            last_arrivals: BTreeMap::new(),
             fronts: Vec::new(),
             servers: Vec::new(),
             listed: Vec::new(),
-            untold: BTreeMap::new(),
+            late_start_notices: BTreeMap::new(),
             rates: (0..day.edges).map(|edge| day.rate_at(edge, script)).collect(),
             connect_ns: 0,
             guards,
@@ -160,88 +211,94 @@
             records: Vec::new(),
             effects: Vec::new(),
             does: Vec::new(),
-            talk: Sent::default(),
+            gossip_traffic: Sent::default(),
         };
         for (server, listed) in &script.servers {
             let mut model = Server::new(day.make(server));
             if !listed {
                 model.die();
             }
-            world.servers.push(ServerRow {
+            simulation.servers.push(SimulatedServer {
                 name: server.name.clone(),
                 model,
                 dead: !listed,
                 stopped: false,
-                conns: BTreeMap::new(),
-                work_ns: None,
+                connections: BTreeMap::new(),
+                timeout_ns: None,
             });
-            world.listed.push(if *listed { Listed::Running(None) } else { Listed::Gone });
+            simulation.listed.push(if *listed { Listed::Running(None) } else { Listed::Gone });
         }
         for edge in 0..day.edges {
             let seed = day.seed.wrapping_mul(1000) + edge as u64;
-            let front = world.new_front(edge)?;
+            let front = simulation.new_front(edge)?;
             let callers = Callers::new(format!("e{edge}c"), day.habits(), day.pools().len(), seed);
-            world.fronts.push(FrontRow {
+            simulation.fronts.push(SimulatedFront {
                 front,
                 peers: None,
-                peers_wake_ns: None,
+                peers_timeout_ns: None,
                 down: false,
                 confused: false,
-                wake_ns: None,
+                timeout_ns: None,
                 frozen: false,
-                held: Vec::new(),
+                held_inputs: Vec::new(),
                 caller: 1,
                 callers,
                 waiting: BTreeMap::new(),
-                standing: BTreeMap::new(),
+                established: BTreeMap::new(),
             });
-            world.feed(edge, Input::CallerOpened(1));
-            world.feed(edge, Input::PoolList(world.pools()));
-            world.at(START_NS, Happens::Arrival(edge));
+            simulation.feed(edge, Input::CallerOpened(1));
+            simulation.feed(edge, Input::PoolList(simulation.pools()));
+            simulation.schedule(START_NS, Event::Arrival(edge));
         }
-        (0..day.edges).for_each(|edge| world.start_peers(edge));
+        (0..day.edges).for_each(|edge| simulation.start_peers(edge));
         for (at, server, event) in &script.server {
-            world.at(START_NS + at, Happens::ToServerItself(*server, *event));
+            simulation.schedule(START_NS + at, Event::ServerChange(*server, *event));
         }
         for (at, server, listed) in &script.list {
-            world.at(START_NS + at, Happens::List(*server, *listed));
+            simulation.schedule(START_NS + at, Event::ListChange(*server, *listed));
         }
         for (from, to, edge) in &script.freeze {
-            world.at(START_NS + from, Happens::Freeze(*edge, true));
-            world.at(START_NS + to, Happens::Freeze(*edge, false));
+            simulation.schedule(START_NS + from, Event::Freeze(*edge, true));
+            simulation.schedule(START_NS + to, Event::Freeze(*edge, false));
         }
         for (from, to, edge) in &script.restart {
-            world.at(START_NS + from, Happens::Kill(*edge));
-            world.at(START_NS + to, Happens::Start(*edge));
+            simulation.schedule(START_NS + from, Event::KillFront(*edge));
+            simulation.schedule(START_NS + to, Event::StartFront(*edge));
         }
         for (at, edge) in &script.confused {
-            world.at(START_NS + at, Happens::Confuse(*edge));
+            simulation.schedule(START_NS + at, Event::Confuse(*edge));
         }
         for (at, edge) in &script.leave {
-            world.at(START_NS + at, Happens::Leave(*edge));
+            simulation.schedule(START_NS + at, Event::CallersLeave(*edge));
         }
-        Ok(world)
+        Ok(simulation)
     }
 
-    fn at(&mut self, at: Nanos, happens: Happens) {
-        self.serial += 1;
-        self.queue.insert((at.max(self.now), self.serial), happens);
+    fn schedule(&mut self, at: Nanos, event: Event) {
+        self.event_count += 1;
+        self.queue.insert((at.max(self.now), self.event_count), event);
+    }
+
+    /// Returns the server at the other end of a front's connection, if it is still connected.
+    fn connected_server(&self, front: usize, link: UpstreamId) -> Option<usize> {
+        self.servers.iter().position(|server| server.connections.get(&front) == Some(&link))
     }
 
     fn record(&mut self, seen: Seen) {
         self.records.push(Record { at_ns: self.now, seen });
     }
 
-    /// When a message sent now arrives: after what was sent before it on the same way.
-    fn arrives(&mut self, way: (u8, usize, usize)) -> Nanos {
-        let drawn = self.rng.next_u64() % WAY_NS;
-        let last = self.last.entry(way).or_default();
-        *last = (self.now + WAY_NS + drawn).max(*last);
-        *last
+    /// Returns when a message sent now arrives; not before earlier messages of the same channel.
+    fn arrival_ns(&mut self, channel: Channel) -> Nanos {
+        let jitter_ns = self.rng.next_u64() % LATENCY_NS;
+        let last_arrival = self.last_arrivals.entry(channel).or_default();
+        *last_arrival = (self.now + LATENCY_NS + jitter_ns).max(*last_arrival);
+        *last_arrival
     }
 
+    /// Returns the endpoint list in its current state.
     fn pools(&self) -> Pools {
-        let rows = self.script.servers.iter().zip(&self.listed).enumerate();
+        let entries = self.script.servers.iter().zip(&self.listed).enumerate();
         let server = |(index, ((make, _), listed)): (usize, (&(crate::day::ServerMake, bool), &Listed))| {
             let (state, started_ms) = match listed {
                 Listed::Running(None) => (ServerState::Running, 0),
@@ -253,63 +310,63 @@
                 name: make.name.clone(),
                 pool: make.pool.clone(),
                 zone: String::new(),
-                // The address stands for the server's place in the script.
+                // The port encodes the server's index in the script.
                 address: SocketAddr::from((Ipv4Addr::LOCALHOST, index as u16 + 1)),
                 state,
                 started_ms,
             })
         };
-        Pools { servers: rows.filter_map(server).collect() }
+        Pools { servers: entries.filter_map(server).collect() }
     }
 
-    fn happen(&mut self, happens: Happens) {
-        match happens {
-            Happens::ToFront(front, input) => self.feed(front, input),
-            Happens::Wake(front) => {
-                if self.fronts[front].wake_ns == Some(self.now) {
-                    self.fronts[front].wake_ns = None;
+    fn process(&mut self, event: Event) {
+        match event {
+            Event::ToFront(front, input) => self.feed(front, input),
+            Event::FrontTimeout(front) => {
+                if self.fronts[front].timeout_ns == Some(self.now) {
+                    self.fronts[front].timeout_ns = None;
                     self.feed(front, Input::Timeout);
                 }
             }
-            Happens::Connect { front, link, server } => self.connected(front, link, server),
-            Happens::ToServer { front, link, server, text } => self.server_reads(front, link, server, &text),
-            Happens::Hangup { front, link, server } => {
-                if self.servers[server].conns.get(&front) == Some(&link) {
-                    self.drop_conn(server, front);
+            Event::Connect { front, link, server } => self.accept_connection(front, link, server),
+            Event::ToServer { front, link, server, text } => self.server_receives(front, link, server, &text),
+            Event::Disconnect { front, link, server } => {
+                if self.servers[server].connections.get(&front) == Some(&link) {
+                    self.close_connection(server, front);
                 }
             }
-            Happens::Work(server) => {
-                self.servers[server].work_ns = None;
+            Event::ServerTimeout(server) => {
+                self.servers[server].timeout_ns = None;
                 let mut does = std::mem::take(&mut self.does);
                 self.servers[server].model.work(self.now, &mut does);
                 self.does = does;
                 self.server_does(server);
             }
-            Happens::ToCaller { front, caller, text } => self.caller_reads(front, caller, &text),
-            Happens::Arrival(front) => self.arrival(front),
-            Happens::Offer(front, made) => self.offer(front, made),
-            Happens::Release(front, call) => {
-                if self.fronts[front].standing.remove(&call).is_some() {
+            Event::ToCaller { front, caller, text } => self.caller_receives(front, caller, &text),
+            Event::Arrival(front) => self.arrival(front),
+            Event::Offer(front, made) => self.offer(front, made),
+            Event::Release(front, call) => {
+                if self.fronts[front].established.remove(&call).is_some() {
                     self.record(Seen::CallerEnded { call: call.clone() });
-                    self.say(front, &FromCaller::Release { call });
+                    self.send_to_front(front, &FromCaller::Release { call });
                 }
             }
-            Happens::ToServerItself(server, event) => self.server_event(server, event),
-            Happens::List(server, listed) => self.list(server, listed),
-            Happens::Freeze(front, on) => self.freeze(front, on),
-            Happens::Leave(front) => self.leave(front),
-            Happens::Kill(front) => self.kill(front),
-            Happens::Start(front) => self.start(front),
-            Happens::Confuse(front) => self.fronts[front].confused = true,
-            Happens::Datagram(front, bytes) => {
+            Event::ServerChange(server, event) => self.server_event(server, event),
+            Event::ListChange(server, listed) => self.change_list(server, listed),
+            Event::Freeze(front, frozen) => self.set_frozen(front, frozen),
+            Event::CallersLeave(front) => self.reconnect_callers(front),
+            Event::KillFront(front) => self.kill_front(front),
+            Event::StartFront(front) => self.start_front(front),
+            Event::Confuse(front) => self.fronts[front].confused = true,
+            Event::Datagram(front, bytes) => {
                 self.with_peers(front, |peers, now, out| {
-                    // Its counters say what was refused.
+                    // Rejected datagrams are counted by the peers themselves.
                     let _ = peers.handle_datagram(now, &bytes, out);
                 });
             }
-            Happens::PeersWake(front) => {
-                if self.fronts[front].peers_wake_ns == Some(self.now) {
-                    self.fronts[front].peers_wake_ns = None;
+            Event::PeersTimeout(front) => {
+                if self.fronts[front].peers_timeout_ns == Some(self.now) {
+                    self.fronts[front].peers_timeout_ns = None;
                     self.with_peers(front, |peers, now, out| peers.handle_timeout(now, out));
                 }
             }
@@ -318,118 +375,117 @@
 
     // ---- Fronts ----
 
+    /// Passes an input to a front and carries out its effects.
     fn feed(&mut self, index: usize, input: Input) {
-        let row = &mut self.fronts[index];
-        if row.down {
+        let front_state = &mut self.fronts[index];
+        if front_state.down {
             return;
         }
-        if row.frozen {
-            row.held.push(input);
+        if front_state.frozen {
+            front_state.held_inputs.push(input);
             return;
         }
         let mut effects = std::mem::take(&mut self.effects);
-        row.front.handle(self.now, input, &mut effects);
+        front_state.front.handle(self.now, input, &mut effects);
         for effect in effects.drain(..) {
             self.carry_out(index, effect);
         }
         self.effects = effects;
         let wanted = self.fronts[index].front.next_timeout();
-        if let Some(at) = wanted.filter(|at| self.fronts[index].wake_ns.is_none_or(|set| *at < set)) {
+        if let Some(at) = wanted.filter(|at| self.fronts[index].timeout_ns.is_none_or(|set| *at < set)) {
             let at = at.max(self.now);
-            self.fronts[index].wake_ns = Some(at);
-            self.at(at, Happens::Wake(index));
+            self.fronts[index].timeout_ns = Some(at);
+            self.schedule(at, Event::FrontTimeout(index));
         }
     }
 
     fn carry_out(&mut self, front: usize, effect: Effect) {
         match effect {
-            // Virtual days play fronts without a fleet.
+            // Fronts in this simulation are not part of a fleet.
             Effect::Locate { .. } | Effect::RecordChanged(_) => {}
             Effect::ToCaller(caller, text) => {
-                let at = self.arrives((0, front, 0));
-                self.at(at, Happens::ToCaller { front, caller, text });
+                let at = self.arrival_ns((FRONT_TO_CALLERS, front, 0));
+                self.schedule(at, Event::ToCaller { front, caller, text });
             }
             Effect::Connect(link, address) => {
                 let server = usize::from(address.port()) - 1;
-                let at = self.arrives((1, front, server));
-                self.at(at, Happens::Connect { front, link, server });
+                let at = self.arrival_ns((FRONT_TO_SERVER, front, server));
+                self.schedule(at, Event::Connect { front, link, server });
             }
             Effect::ToServer { upstream: link, text, .. } => {
-                let on = self.servers.iter().position(|s| s.conns.get(&front) == Some(&link));
-                let Some(server) = on else { return };
-                let at = self.arrives((1, front, server));
-                self.at(at, Happens::ToServer { front, link, server, text });
+                let Some(server) = self.connected_server(front, link) else { return };
+                let at = self.arrival_ns((FRONT_TO_SERVER, front, server));
+                self.schedule(at, Event::ToServer { front, link, server, text });
             }
             Effect::Disconnect(link) => {
-                let on = self.servers.iter().position(|s| s.conns.get(&front) == Some(&link));
-                let Some(server) = on else { return };
-                let at = self.arrives((1, front, server));
-                self.at(at, Happens::Hangup { front, link, server });
+                let Some(server) = self.connected_server(front, link) else { return };
+                let at = self.arrival_ns((FRONT_TO_SERVER, front, server));
+                self.schedule(at, Event::Disconnect { front, link, server });
             }
             Effect::Stopped => {}
         }
     }
 
-    fn connected(&mut self, front: usize, link: UpstreamId, server: usize) {
-        let row = &mut self.servers[server];
-        if row.dead && !row.stopped {
-            // Taken by the machine, answered by nobody: the front's own patience ends it.
-            return self.at(
+    fn accept_connection(&mut self, front: usize, link: UpstreamId, server: usize) {
+        let server_state = &mut self.servers[server];
+        if server_state.dead && !server_state.stopped {
+            // The host accepts the connection but nobody answers, so the front's connection timeout applies.
+            return self.schedule(
                 self.now + self.connect_ns,
-                Happens::ToFront(front, Input::UpstreamClosed { upstream: link, written: 0 }),
+                Event::ToFront(front, Input::UpstreamClosed { upstream: link, written: 0 }),
             );
         }
-        let input = if row.stopped {
+        let input = if server_state.stopped {
             Input::UpstreamClosed { upstream: link, written: 0 }
         } else {
-            row.conns.insert(front, link);
+            server_state.connections.insert(front, link);
             Input::UpstreamConnected(link)
         };
-        let at = self.arrives((2, server, front));
-        self.at(at, Happens::ToFront(front, input));
+        let at = self.arrival_ns((SERVER_TO_FRONT, server, front));
+        self.schedule(at, Event::ToFront(front, input));
     }
 
-    fn freeze(&mut self, front: usize, on: bool) {
-        self.fronts[front].frozen = on;
-        self.record(if on { Seen::Frozen { edge: front } } else { Seen::Thawed { edge: front } });
-        if !on {
-            for input in std::mem::take(&mut self.fronts[front].held) {
+    fn set_frozen(&mut self, front: usize, frozen: bool) {
+        self.fronts[front].frozen = frozen;
+        self.record(if frozen { Seen::Frozen { edge: front } } else { Seen::Thawed { edge: front } });
+        if !frozen {
+            for input in std::mem::take(&mut self.fronts[front].held_inputs) {
                 self.feed(front, input);
             }
             self.feed(front, Input::Timeout);
         }
     }
 
-    fn list(&mut self, server: usize, listed: Listed) {
+    fn change_list(&mut self, server: usize, listed: Listed) {
         self.listed[server] = listed;
         let running = matches!(listed, Listed::Running(_));
         self.record(Seen::Told { server: self.servers[server].name.clone(), running });
         for front in 0..self.fronts.len() {
-            let look = self.rng.next_u64() % LOOK_NS;
+            let poll_delay_ns = self.rng.next_u64() % LIST_POLL_NS;
             let pools = self.pools();
-            // Looks are in step with the list: one made later shows what is in force then.
-            let way = (3, front, 0);
-            let last = self.last.get(&way).copied().unwrap_or(0);
+            // List versions reach a front in their order.
+            let channel = (LIST_TO_FRONT, front, 0);
+            let last_arrival = self.last_arrivals.get(&channel).copied().unwrap_or(0);
             let late_ns = self.script.list_late_ns(front, self.now - START_NS);
-            let at = (self.now + look + late_ns).max(last);
-            if running && at > self.now + LOOK_NS {
-                self.untold.insert((server, front), at);
+            let at = (self.now + poll_delay_ns + late_ns).max(last_arrival);
+            if running && at > self.now + LIST_POLL_NS {
+                self.late_start_notices.insert((server, front), at);
             }
-            self.last.insert(way, at);
-            self.at(at, Happens::ToFront(front, Input::PoolList(pools)));
+            self.last_arrivals.insert(channel, at);
+            self.schedule(at, Event::ToFront(front, Input::PoolList(pools)));
         }
     }
 
     // ---- Servers ----
 
-    fn server_reads(&mut self, front: usize, link: UpstreamId, server: usize, text: &str) {
-        if self.servers[server].conns.get(&front) != Some(&link) {
+    fn server_receives(&mut self, front: usize, link: UpstreamId, server: usize, text: &str) {
+        if self.servers[server].connections.get(&front) != Some(&link) {
             return;
         }
         let Ok(message) = ToServer::decode(text) else { return };
-        let row = &self.servers[server];
-        let known = row.model.knows((front, message.attempt()));
-        self.record(Seen::read(&row.name.clone(), front, &message, known));
+        let server_state = &self.servers[server];
+        let known = server_state.model.knows((front, message.attempt()));
+        self.record(Seen::read(&server_state.name.clone(), front, &message, known));
         let mut does = std::mem::take(&mut self.does);
         self.servers[server].model.hear(self.now, front, &message, &mut does);
         self.does = does;
@@ -446,71 +502,75 @@
                 }
                 Does::Falls { multiple, from } => {
                     self.servers[server].dead = true;
-                    // Those that a late list kept from hearing of its start can't be held to its ramp.
-                    let untold = |front: &&usize| {
-                        self.untold.get(&(server, **front)).is_some_and(|told_ns| self.now < *told_ns)
+                    // Fronts that a delayed list kept from learning of the server's start can't apply slow
+                    // start.
+                    let is_unaware = |front: &&usize| {
+                        let notice_ns = self.late_start_notices.get(&(server, **front));
+                        notice_ns.is_some_and(|notice_ns| self.now < *notice_ns)
                     };
-                    if 3 * from.iter().filter(untold).count() < from.len() {
+                    if 3 * from.iter().filter(is_unaware).count() < from.len() {
                         self.record(Seen::Fell { server: self.servers[server].name.clone(), multiple });
                     }
                 }
             }
         }
-        let row = &mut self.servers[server];
-        if let Some(at) = row.model.next_ns().filter(|at| row.work_ns.is_none_or(|set| *at < set)) {
-            row.work_ns = Some(at);
-            self.at(at, Happens::Work(server));
+        let server_state = &mut self.servers[server];
+        if let Some(at) =
+            server_state.model.next_ns().filter(|at| server_state.timeout_ns.is_none_or(|set| *at < set))
+        {
+            server_state.timeout_ns = Some(at);
+            self.schedule(at, Event::ServerTimeout(server));
         }
     }
 
     fn server_sends(&mut self, server: usize, front: usize, message: &FromServer) {
-        let Some(link) = self.servers[server].conns.get(&front).copied() else { return };
+        let Some(link) = self.servers[server].connections.get(&front).copied() else { return };
         self.record(Seen::said(&self.servers[server].name.clone(), front, message));
-        let at = self.arrives((2, server, front));
-        self.at(at, Happens::ToFront(front, Input::UpstreamText(link, message.encode())));
+        let at = self.arrival_ns((SERVER_TO_FRONT, server, front));
+        self.schedule(at, Event::ToFront(front, Input::UpstreamText(link, message.encode())));
     }
 
-    fn drop_conn(&mut self, server: usize, front: usize) {
-        let row = &mut self.servers[server];
-        let Some(link) = row.conns.remove(&front) else { return };
-        row.model.drop_front(front);
-        let server_name = row.name.clone();
+    fn close_connection(&mut self, server: usize, front: usize) {
+        let server_state = &mut self.servers[server];
+        let Some(link) = server_state.connections.remove(&front) else { return };
+        server_state.model.drop_front(front);
+        let server_name = server_state.name.clone();
         self.record(Seen::LinkEnded { server: server_name, edge: front });
-        let at = self.arrives((2, server, front));
-        self.at(at, Happens::ToFront(front, Input::UpstreamClosed { upstream: link, written: u64::MAX }));
+        let at = self.arrival_ns((SERVER_TO_FRONT, server, front));
+        self.schedule(at, Event::ToFront(front, Input::UpstreamClosed { upstream: link, written: u64::MAX }));
     }
 
-    fn drop_all(&mut self, server: usize) {
-        let fronts: Vec<usize> = self.servers[server].conns.keys().copied().collect();
-        fronts.into_iter().for_each(|front| self.drop_conn(server, front));
+    fn close_all_connections(&mut self, server: usize) {
+        let fronts: Vec<usize> = self.servers[server].connections.keys().copied().collect();
+        fronts.into_iter().for_each(|front| self.close_connection(server, front));
     }
 
     fn server_event(&mut self, server: usize, event: ServerEvent) {
-        let (now, row) = (self.now, &mut self.servers[server]);
+        let (now, server_state) = (self.now, &mut self.servers[server]);
         match event {
-            ServerEvent::Slow(times) => row.model.slow(times),
-            ServerEvent::Still(span) => row.model.stand_still(now + span),
-            ServerEvent::LoseAnswers(share) => row.model.lose_answers(share),
-            ServerEvent::Ail(ailment) => row.model.ail(ailment),
-            ServerEvent::Heal(ailment) => row.model.heal(&ailment),
+            ServerEvent::Slow(times) => server_state.model.slow(times),
+            ServerEvent::Still(span) => server_state.model.stand_still(now + span),
+            ServerEvent::LoseAnswers(share) => server_state.model.lose_answers(share),
+            ServerEvent::Ail(ailment) => server_state.model.ail(ailment),
+            ServerEvent::Heal(ailment) => server_state.model.heal(&ailment),
             ServerEvent::Die => {
-                row.model.die();
-                row.dead = true;
+                server_state.model.die();
+                server_state.dead = true;
             }
             ServerEvent::Start => {
-                row.model.start(now);
-                row.dead = false;
-                self.drop_all(server);
+                server_state.model.start(now);
+                server_state.dead = false;
+                self.close_all_connections(server);
             }
-            ServerEvent::Reset => self.drop_all(server),
+            ServerEvent::Reset => self.close_all_connections(server),
             ServerEvent::Stop => {
-                let cut = row.model.cut_all();
-                row.model.die();
-                (row.dead, row.stopped) = (true, true);
+                let cut = server_state.model.cut_all();
+                server_state.model.die();
+                (server_state.dead, server_state.stopped) = (true, true);
                 for (front, message) in cut {
                     self.server_sends(server, front, &message);
                 }
-                self.drop_all(server);
+                self.close_all_connections(server);
             }
         }
         self.server_does(server);
@@ -518,27 +578,26 @@
 
     // ---- Callers ----
 
-    fn say(&mut self, front: usize, message: &FromCaller) {
+    fn send_to_front(&mut self, front: usize, message: &FromCaller) {
         let caller = self.fronts[front].caller;
-        let at = self.arrives((4, front, 0));
-        self.at(at, Happens::ToFront(front, Input::CallerText(caller, message.encode())));
+        let at = self.arrival_ns((CALLERS_TO_FRONT, front, 0));
+        self.schedule(at, Event::ToFront(front, Input::CallerText(caller, message.encode())));
     }
 
     fn arrival(&mut self, front: usize) {
-        let row = &mut self.fronts[front];
-        // The first is drawn from the day's start on, like all others.
-        let made = row.callers.next(&self.rates[front]);
-        let next = row.callers.next_ns();
+        let front_state = &mut self.fronts[front];
+        // The first event of a front only draws its first call, whose time counts from the start of the day.
+        let made = front_state.callers.next(&self.rates[front]);
+        let next = front_state.callers.next_ns();
         if made.first_ns > 0 {
             self.offer(front, made);
         }
         if next < self.day.length_ns {
-            self.at(START_NS + next, Happens::Arrival(front));
+            self.schedule(START_NS + next, Event::Arrival(front));
         }
     }
 
     fn offer(&mut self, front: usize, made: Try) {
-        // A caller whose front is down can't reach it: its try is lost, and counted.
         if self.now >= START_NS + self.day.length_ns {
             return;
         }
@@ -556,35 +615,37 @@
             class: made.class,
             budget_ns: made.budget_ns,
         });
+        // A call to a front that is down is lost, but still recorded.
         if self.fronts[front].down {
             self.record(Seen::CallerGone { calls: vec![made.call] });
             return;
         }
         self.fronts[front].waiting.insert(made.call.clone(), made);
-        self.say(front, &message);
+        self.send_to_front(front, &message);
     }
 
-    fn caller_reads(&mut self, front: usize, caller: CallerId, text: &str) {
+    fn caller_receives(&mut self, front: usize, caller: CallerId, text: &str) {
         if self.fronts[front].caller != caller {
             return;
         }
         match ToCaller::decode(text) {
             Ok(ToCaller::Final { call, answer, come_back_ms, .. }) => {
                 self.record(Seen::Final { call: call.clone(), answer });
-                let row = &mut self.fronts[front];
-                let Some(made) = row.waiting.remove(&call) else { return };
+                let front_state = &mut self.fronts[front];
+                let Some(made) = front_state.waiting.remove(&call) else { return };
                 if answer == Answer::Stands {
-                    row.standing.insert(call.clone(), ());
-                    self.at(self.now + made.hold_ns, Happens::Release(front, call));
+                    front_state.established.insert(call.clone(), ());
+                    self.schedule(self.now + made.hold_ns, Event::Release(front, call));
                 } else {
                     let day_ns = self.now - START_NS;
-                    if let Some((at, again)) = row.callers.again(day_ns, &made, answer, come_back_ms) {
-                        self.at(START_NS + at, Happens::Offer(front, again));
+                    if let Some((at, again)) = front_state.callers.again(day_ns, &made, answer, come_back_ms)
+                    {
+                        self.schedule(START_NS + at, Event::Offer(front, again));
                     }
                 }
             }
             Ok(ToCaller::Released { call, cause }) => {
-                self.fronts[front].standing.remove(&call);
+                self.fronts[front].established.remove(&call);
                 self.record(Seen::Released { call, cut: cause != "ended" });
             }
             Ok(ToCaller::Error { call: Some(call), reason }) if reason != "no such call" => {
@@ -592,29 +653,30 @@
                 self.record(Seen::NotTaken { call });
             }
             Ok(ToCaller::Error { .. }) => {}
-            Err(error) => panic!("a front's message that its own codec refuses: {text}: {error}"),
+            Err(error) => panic!("a front sent a message that cannot be decoded: {text}: {error}"),
         }
     }
 
-    /// The front and all it held are gone; its callers and servers see their connections end.
-    fn kill(&mut self, front: usize) {
+    /// Kills a front: its state is lost, and its callers and servers see their connections close.
+    fn kill_front(&mut self, front: usize) {
         self.fronts[front].down = true;
         self.fronts[front].peers = None;
         for server in 0..self.servers.len() {
-            if self.servers[server].conns.contains_key(&front) {
-                self.drop_conn(server, front);
+            if self.servers[server].connections.contains_key(&front) {
+                self.close_connection(server, front);
             }
         }
-        self.leave(front);
+        self.reconnect_callers(front);
     }
 
-    /// It starts anew, knowing nothing but its settings and the list.
-    fn start(&mut self, front: usize) {
-        // The day's own settings were read once already.
+    /// Starts a killed front, with only its settings and the endpoint list.
+    fn start_front(&mut self, front: usize) {
+        // The same settings were parsed successfully at the start of the run.
         let Ok(new) = self.new_front(front) else { return };
-        let row = &mut self.fronts[front];
-        (row.front, row.down, row.wake_ns, row.peers_wake_ns) = (new, false, None, None);
-        let caller = row.caller;
+        let front_state = &mut self.fronts[front];
+        (front_state.front, front_state.down, front_state.timeout_ns, front_state.peers_timeout_ns) =
+            (new, false, None, None);
+        let caller = front_state.caller;
         let pools = self.pools();
         self.feed(front, Input::CallerOpened(caller));
         self.feed(front, Input::PoolList(pools));
@@ -626,11 +688,11 @@
         let settings = Edge::from_text("a day's front", &text)?.value;
         self.connect_ns = settings.timing.connect_ns;
         let policy = self.policy;
-        let (seed, make) = (self.rng.next_u64(), |told, seed| policy.make(told, seed));
+        let (seed, make) = (self.rng.next_u64(), |config, seed| policy.make(config, seed));
         Ok(EdgeCore::with_policy(settings, self.now, seed, self.guards, &make))
     }
 
-    // ---- The talk among fronts ----
+    // ---- Gossip among fronts ----
 
     fn start_peers(&mut self, front: usize) {
         if !self.day.peers {
@@ -648,80 +710,92 @@
         self.with_peers(front, |peers, now, out| peers.start(now, out));
     }
 
-    fn with_peers(&mut self, front: usize, act: impl FnOnce(&mut Peers, Nanos, &mut Vec<Said>)) {
-        let (now, row) = (self.now, &mut self.fronts[front]);
-        let Some(peers) = row.peers.as_mut().filter(|_| !row.frozen) else { return };
-        let mut out = Vec::new();
-        act(peers, now, &mut out);
-        if let Some(at) = peers.next_timeout().filter(|at| row.peers_wake_ns.is_none_or(|set| *at < set)) {
-            row.peers_wake_ns = Some(at.max(now));
-            self.at(at.max(now), Happens::PeersWake(front));
-        }
-        self.peers_said(front, out);
+    /// Runs an operation on a front's gossip state, unless the front is frozen, and carries out its effects.
+    fn with_peers(
+        &mut self,
+        front: usize,
+        operation: impl FnOnce(&mut Peers, Nanos, &mut Vec<GossipEffect>),
+    ) {
+        let (now, front_state) = (self.now, &mut self.fronts[front]);
+        let Some(peers) = front_state.peers.as_mut().filter(|_| !front_state.frozen) else { return };
+        let mut effects = Vec::new();
+        operation(peers, now, &mut effects);
+        if let Some(at) =
+            peers.next_timeout().filter(|at| front_state.peers_timeout_ns.is_none_or(|set| *at < set))
+        {
+            front_state.peers_timeout_ns = Some(at.max(now));
+            self.schedule(at.max(now), Event::PeersTimeout(front));
+        }
+        self.carry_out_gossip(front, effects);
     }
 
-    fn peers_said(&mut self, front: usize, out: Vec<Said>) {
-        for said in out {
-            match said {
-                Said::Send(to, bytes) => {
-                    // What is said in the aftermath, without calls, is none of the day's.
+    fn carry_out_gossip(&mut self, front: usize, effects: Vec<GossipEffect>) {
+        for effect in effects {
+            match effect {
+                GossipEffect::Send(to, bytes) => {
+                    // Only the traffic during the day counts, not while the last answers are awaited.
                     if self.now < START_NS + self.day.length_ns {
-                        self.talk.datagrams += 1;
-                        self.talk.bytes += bytes.len() as u64;
+                        self.gossip_traffic.datagrams += 1;
+                        self.gossip_traffic.bytes += bytes.len() as u64;
                     }
                     self.datagram(front, usize::from(to.port()) - 20_000, bytes);
                 }
-                Said::ReportsWanted => {
-                    let facts = self.facts(front);
-                    self.with_peers(front, |peers, now, out| peers.publish_reports(now, &facts, out));
+                GossipEffect::ReportsWanted => {
+                    let reports = self.server_reports(front);
+                    self.with_peers(front, |peers, now, out| peers.publish_reports(now, &reports, out));
                 }
-                Said::RumorsReceived(heard) => self.feed(front, Input::RumorsReceived(heard)),
-                Said::ReportsRequested(asker) => {
-                    let facts = self.facts(front);
-                    self.with_peers(front, |peers, now, out| peers.answer_request(now, asker, facts, out));
+                GossipEffect::RumorsReceived(rumors) => self.feed(front, Input::RumorsReceived(rumors)),
+                GossipEffect::ReportsRequested(requester) => {
+                    let reports = self.server_reports(front);
+                    self.with_peers(front, |peers, now, out| {
+                        peers.answer_request(now, requester, reports, out)
+                    });
                 }
-                Said::ReportsReceived(peer, facts) => {
-                    self.feed(front, Input::PeerReported(peer.origin(), facts))
+                GossipEffect::ReportsReceived(peer, reports) => {
+                    self.feed(front, Input::PeerReported(peer.origin(), reports))
                 }
-                Said::MemberJoined(_) | Said::MemberLeft(_) => {}
+                GossipEffect::MemberJoined(_) | GossipEffect::MemberLeft(_) => {}
             }
         }
     }
 
-    /// What a front says that it knows.
-    fn facts(&self, front: usize) -> Vec<ServerReport> {
-        let row = &self.fronts[front];
-        let mut facts = row.front.server_reports();
-        if row.confused {
-            for fact in &mut facts {
-                (fact.is_unresponsive, fact.is_draining, fact.warming_up_for_ms) = (true, true, Some(0));
-                (fact.wait_ms, fact.in_flight, fact.succeeded, fact.age_ms) = (60_000, 1_000, 0, 0);
+    /// Returns what a front reports about servers to its peers; wrong values if it is confused.
+    fn server_reports(&self, front: usize) -> Vec<ServerReport> {
+        let front_state = &self.fronts[front];
+        let mut reports = front_state.front.server_reports();
+        if front_state.confused {
+            for report in &mut reports {
+                (report.is_unresponsive, report.is_draining, report.warming_up_for_ms) =
+                    (true, true, Some(0));
+                (report.wait_ms, report.in_flight, report.succeeded, report.age_ms) = (60_000, 1_000, 0, 0);
             }
         }
-        facts
+        reports
     }
 
     fn datagram(&mut self, from: usize, to: usize, bytes: Vec<u8>) {
-        let weather = self.day.weather(self.script, self.now.saturating_sub(START_NS));
+        let conditions = self.day.weather(self.script, self.now.saturating_sub(START_NS));
         let to = Some(to).filter(|to| *to < self.fronts.len());
-        let arrives = weather.carry(from, to, bytes, || self.rng.next_u64());
-        let at = self.now + WAY_NS + self.rng.next_u64() % WAY_NS;
-        for (late_ns, bytes) in arrives {
-            self.at(at + late_ns, Happens::Datagram(to.unwrap_or_default(), bytes));
+        let deliveries = conditions.carry(from, to, bytes, || self.rng.next_u64());
+        let at = self.now + LATENCY_NS + self.rng.next_u64() % LATENCY_NS;
+        for (late_ns, bytes) in deliveries {
+            self.schedule(at + late_ns, Event::Datagram(to.unwrap_or_default(), bytes));
         }
     }
 
-    fn leave(&mut self, front: usize) {
-        let row = &mut self.fronts[front];
-        let gone = row.caller;
-        row.caller += 1;
-        let new = row.caller;
-        let calls = std::mem::take(&mut row.waiting).into_keys();
-        let calls: Vec<String> = calls.chain(std::mem::take(&mut row.standing).into_keys()).collect();
+    /// Disconnects the callers of a front, with all their calls, and connects them anew.
+    fn reconnect_callers(&mut self, front: usize) {
+        let front_state = &mut self.fronts[front];
+        let gone = front_state.caller;
+        front_state.caller += 1;
+        let new = front_state.caller;
+        let calls = std::mem::take(&mut front_state.waiting).into_keys();
+        let calls: Vec<String> =
+            calls.chain(std::mem::take(&mut front_state.established).into_keys()).collect();
         self.record(Seen::CallerGone { calls });
         for input in [Input::CallerClosed(gone), Input::CallerOpened(new)] {
-            let at = self.arrives((4, front, 0));
-            self.at(at, Happens::ToFront(front, input));
+            let at = self.arrival_ns((CALLERS_TO_FRONT, front, 0));
+            self.schedule(at, Event::ToFront(front, input));
         }
     }
 }
