--- a/crates/lilacpitch-testbed/tests/architecture_page.rs
+++ b/crates/lilacpitch-testbed/tests/architecture_page.rs
@@ -7,7 +7,7 @@
 const PAGE: &str = "docs/architecture.md";
 /// Words in code font that are commands, keys or programs, not names in the sources.
 const NOT_CODE: [&str; 4] = ["run", "node", "policy", "lilacpitch-wirehost"];
-/// What declares a name in Rust.
+/// Keywords that declare a name in Rust.
 const DECLARATIONS: [&str; 5] = ["struct ", "enum ", "trait ", "type ", "mod "];
 
 fn repository() -> PathBuf {
@@ -25,7 +25,7 @@
     }
 }
 
-/// The sources of all packages, without their tests.
+/// Returns the sources of all packages, without their tests.
 fn sources() -> Vec<String> {
     let mut files = Vec::new();
     for package in fs::read_dir(repository().join("crates")).unwrap() {
@@ -34,7 +34,7 @@
     files.iter().map(|file| fs::read_to_string(file).unwrap()).collect()
 }
 
-/// The page's words in code font, outside of fenced blocks.
+/// Returns the words of a page in code font, outside of fenced blocks.
 fn code_words(page: &str) -> BTreeSet<String> {
     let mut is_fenced = false;
     let mut words = BTreeSet::new();
@@ -64,7 +64,8 @@
     DECLARATIONS.iter().any(|keyword| holds_word(source, &format!("{keyword}{name}")))
 }
 
-/// Whether `Enum::Variant` names a variant: the variant stands in a source that declares the enum.
+/// Returns whether `Enum::Variant` names a variant: a source that declares the enum contains the variant's
+/// name.
 fn has_variant(sources: &[String], name: &str) -> bool {
     let (owner, variant) = name.split_once("::").unwrap();
     let in_source =
@@ -86,7 +87,7 @@
     let sources = sources();
     let words: Vec<String> =
         code_words(&page).into_iter().filter(|word| !NOT_CODE.contains(&word.as_str())).collect();
-    assert!(words.len() > 40, "the page names few things in code font: {words:?}");
+    assert!(words.len() > 40, "the page has too few words in code font: {words:?}");
     let singular = |word: &str| word.strip_suffix('s').unwrap_or(word).to_string();
     let missing: Vec<&String> =
         words.iter().filter(|word| !exists(&sources, word) && !exists(&sources, &singular(word))).collect();
@@ -94,7 +95,7 @@
 }
 
 #[test]
-fn a_name_that_does_not_exist_is_noticed() {
+fn detects_names_that_do_not_exist() {
     let sources = sources();
     for word in ["Brain", "crates/lilacpitch/src/brain.rs", "Action::Sent", "lilacpitch-lab", "EdgeCores"] {
         assert!(!exists(&sources, word), "{word}");
--- a/crates/lilacpitch-testbed/tests/guards.rs
+++ b/crates/lilacpitch-testbed/tests/guards.rs
@@ -1,4 +1,5 @@
-//! A front with a guard switched off, on real sockets: the judge must notice. With all guards on, it must not.
+//! Tests of the rules checker on real sockets: it must report a violation if a safeguard of the front is
+//! disabled, and none if all are enabled.
 
 use lilacpitch_edge::core::Safeguards;
 use lilacpitch_testbed::call_rules_checker::Rule;
@@ -6,7 +7,7 @@
 use lilacpitch_testbed::edges::Program;
 use lilacpitch_testbed::runner::{play, Played};
 
-/// Six seconds in which a server drains while others are slow, lose answers, and lose their connections.
+/// A day of six seconds in which one server drains, one loses answers, and one resets its connections.
 fn day() -> Day {
     Day::from_text(
         "day.cue",
@@ -30,38 +31,54 @@
     .unwrap()
 }
 
-fn with(guards: Safeguards) -> Played {
-    play(&day(), &Program::Thread(guards)).unwrap()
+fn play_with_safeguards(safeguards: Safeguards) -> Played {
+    play(&day(), &Program::Thread(safeguards)).unwrap()
 }
 
 #[test]
-fn all_guards_on_keep_all_rules() {
-    let played = with(Safeguards::default());
+fn all_safeguards_enabled_keep_all_rules() {
+    let played = play_with_safeguards(Safeguards::default());
     assert_eq!(played.breaches, vec![]);
-    assert!(played.report.setups > 200, "the day must be a day: {}", played.report);
+    assert!(played.report.setups > 200, "too few set-ups to check: {}", played.report);
     assert!(played.report.service > 0.5, "{}", played.report);
 }
 
 #[test]
-fn a_second_attempt_out_is_noticed() {
-    let broken = with(Safeguards { one_attempt: false, ..Safeguards::default() });
-    assert!(broken.breaches.iter().any(|b| b.rule == Rule::OneAttempt), "{:?}", broken.breaches.first());
+fn detects_two_concurrent_attempts() {
+    let played = play_with_safeguards(Safeguards { one_attempt: false, ..Safeguards::default() });
+    assert!(
+        played.breaches.iter().any(|breach| breach.rule == Rule::OneAttempt),
+        "{:?}",
+        played.breaches.first()
+    );
 }
 
 #[test]
-fn a_send_after_a_drain_is_noticed() {
-    let broken = with(Safeguards { drain_deadline: false, ..Safeguards::default() });
-    assert!(broken.breaches.iter().any(|b| b.rule == Rule::Drains), "{:?}", broken.breaches.first());
+fn detects_an_attempt_after_the_drain_grace() {
+    let played = play_with_safeguards(Safeguards { drain_deadline: false, ..Safeguards::default() });
+    assert!(
+        played.breaches.iter().any(|breach| breach.rule == Rule::Drains),
+        "{:?}",
+        played.breaches.first()
+    );
 }
 
 #[test]
-fn a_second_answer_is_noticed() {
-    let broken = with(Safeguards { one_answer: false, ..Safeguards::default() });
-    assert!(broken.breaches.iter().any(|b| b.rule == Rule::OneAnswer), "{:?}", broken.breaches.first());
+fn detects_a_second_final_answer() {
+    let played = play_with_safeguards(Safeguards { one_answer: false, ..Safeguards::default() });
+    assert!(
+        played.breaches.iter().any(|breach| breach.rule == Rule::OneAnswer),
+        "{:?}",
+        played.breaches.first()
+    );
 }
 
 #[test]
-fn a_release_not_awaited_is_noticed() {
-    let broken = with(Safeguards { release: false, ..Safeguards::default() });
-    assert!(broken.breaches.iter().any(|b| b.rule == Rule::Release), "{:?}", broken.breaches.first());
+fn detects_an_attempt_that_does_not_wait_for_the_release() {
+    let played = play_with_safeguards(Safeguards { release: false, ..Safeguards::default() });
+    assert!(
+        played.breaches.iter().any(|breach| breach.rule == Rule::Release),
+        "{:?}",
+        played.breaches.first()
+    );
 }
--- a/crates/lilacpitch-testbed/tests/pinned_days.rs
+++ b/crates/lilacpitch-testbed/tests/pinned_days.rs
@@ -1,6 +1,6 @@
-//! Pins what day files mean: their schema as text, and the record, with all defaults, that comes out of a minimal day
-//! and of one that uses every kind of trouble and every key. Day files that were written for an earlier build must
-//! go on meaning the same, whatever the program's own types are called.
+//! Pins what day files mean: their schema as text, and the record, with all defaults, that comes out of a
+//! minimal day and of one that uses every kind of trouble and every key. Day files that were written for an
+//! earlier build must go on meaning the same, whatever the program's own types are called.
 
 use lilacpitch_config::{load_text, Schema};
 use lilacpitch_testbed::day::{Day, DAY_SCHEMA};
--- a/crates/lilacpitch-testbed/tests/ramps.rs
+++ b/crates/lilacpitch-testbed/tests/ramps.rs
@@ -1,5 +1,6 @@
-//! The ramp of a cold server holds for all fronts together: drawn days of few to many fronts, with even and uneven
-//! traffic, lists that come late or not at all to a third, and a third that starts anew meanwhile.
+//! Tests that all fronts together respect the slow start of a cold server. The random days have few to many
+//! fronts, even and uneven traffic, a third of the fronts that get the endpoint list late or never, and a
+//! third that restarts.
 
 use lilacpitch_edge::core::Safeguards;
 use lilacpitch_testbed::baseline::Baseline;
@@ -9,7 +10,7 @@
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
 
-/// One drawn day: what the ramp is like, and who hears of it.
+/// The parameters of a random day.
 #[derive(Debug, Clone)]
 struct Drawn {
     fronts: usize,
@@ -17,12 +18,13 @@
     each: f64,
     load: f64,
     uneven: f64,
-    /// How many are cold at once, of all.
+    /// Share of the servers that are cold at once.
     cold: f64,
     replaced: bool,
-    /// How late a third hears of it; over 20 s: never on this day.
+    /// Delay of the endpoint list at a third of the fronts, in milliseconds; above 20 s: it doesn't arrive
+    /// that day.
     late_ms: u64,
-    /// A third starts anew so long after the start of the ramp.
+    /// Time from the start of the slow start to the restart of a third of the fronts, in milliseconds.
     restart_ms: Option<u64>,
     peers: bool,
     multiple: f64,
@@ -111,9 +113,9 @@
     }
 }
 
-/// LILACPITCH_DAYS plays more of them and prints what each came to, LILACPITCH_SEED (0 to 255) others.
+/// `LILACPITCH_DAYS` sets the number of days and prints the result of each. `LILACPITCH_SEED` (0 to 255) selects others.
 #[test]
-fn no_ramp_is_passed_by_all_fronts_together() {
+fn fronts_together_respect_slow_start() {
     let days = std::env::var("LILACPITCH_DAYS").ok().and_then(|n| n.parse::<u32>().ok());
     let config = Config {
         cases: days.unwrap_or(8),
@@ -122,7 +124,7 @@
         ..Config::default()
     };
     let ramps = std::cell::RefCell::new(Vec::new());
-    let passed = std::cell::RefCell::new(Vec::new());
+    let exceeding = std::cell::RefCell::new(Vec::new());
     let seed = std::env::var("LILACPITCH_SEED").ok().and_then(|n| n.parse::<u8>().ok()).unwrap_or(23);
     TestRunner::new_with_rng(config, TestRng::from_seed(RngAlgorithm::ChaCha, &[seed; 32]))
         .run(&drawn(), |drawn| {
@@ -132,35 +134,35 @@
                 println!("{:.3} {:?}", played.ramp, drawn);
             }
             ramps.borrow_mut().push(played.ramp);
-            let fell = played.breaches.iter().any(|breach| breach.rule == Rule::ColdServers);
-            // Who hears of a drain late by no fault of its own can't keep its grace: that is another test's.
-            let drains = |rule: Rule| rule == Rule::Drains && drawn.late_ms > 0;
-            let others = |rule: Rule| rule != Rule::ColdServers && !drains(rule);
-            let others = played.breaches.iter().find(|breach| others(breach.rule));
-            prop_assert!(others.is_none(), "{others:?}\n{drawn:?}");
-            if fell {
-                passed.borrow_mut().push((played.ramp, drawn));
+            let exceeded = played.breaches.iter().any(|breach| breach.rule == Rule::ColdServers);
+            // A front that gets a drain late can't keep the grace period; other tests cover that rule.
+            let is_late_drain = |rule: Rule| rule == Rule::Drains && drawn.late_ms > 0;
+            let is_other_rule = |rule: Rule| rule != Rule::ColdServers && !is_late_drain(rule);
+            let other_breach = played.breaches.iter().find(|breach| is_other_rule(breach.rule));
+            prop_assert!(other_breach.is_none(), "{other_breach:?}\n{drawn:?}");
+            if exceeded {
+                exceeding.borrow_mut().push((played.ramp, drawn));
             }
             Ok(())
         })
         .unwrap();
     let mut ramps = ramps.into_inner();
     ramps.sort_by(f64::total_cmp);
-    let at = |of: f64| ramps[((ramps.len() - 1) as f64 * of) as usize];
+    let quantile = |share: f64| ramps[((ramps.len() - 1) as f64 * share) as usize];
     println!(
         "of the ramp: median {:.3}, p99 {:.3}, most {:.3}, {} days",
-        at(0.5),
-        at(0.99),
-        at(1.0),
+        quantile(0.5),
+        quantile(0.99),
+        quantile(1.0),
         ramps.len()
     );
-    assert!(at(0.5) > 0.05, "cold servers are used: {ramps:?}");
-    assert!(passed.borrow().is_empty(), "{:#?}", passed.borrow());
+    assert!(quantile(0.5) > 0.05, "cold servers are hardly used: {ramps:?}");
+    assert!(exceeding.borrow().is_empty(), "{:#?}", exceeding.borrow());
 }
 
 #[test]
-fn a_policy_that_knows_no_ramp_is_seen_to_pass_it() {
-    // Twelve fronts and one server of three back cold, at a load that a warm one bears.
+fn detects_a_policy_without_slow_start() {
+    // Twelve fronts and three servers, of which one restarts cold, at a load that warm servers can carry.
     let drawn = Drawn {
         fronts: 12,
         servers: 3,
--- a/crates/lilacpitch-testbed/tests/restarts.rs
+++ b/crates/lilacpitch-testbed/tests/restarts.rs
@@ -1,9 +1,10 @@
-//! Days on sockets with real processes that know each other, are killed and start anew, on a network that damages.
+//! Runs on sockets with real processes that gossip over a faulty network and are killed and restarted, and
+//! tests of the relay that injects the faults.
 
 use lilacpitch_testbed::datagram_relay::Relay;
 use lilacpitch_testbed::day::Day;
 use lilacpitch_testbed::edges::Program;
-use lilacpitch_testbed::record::Seen;
+use lilacpitch_testbed::record::{Record, Seen};
 use lilacpitch_testbed::runner::{play, PlayError};
 use lilacpitch_testbed::simulated_network::Weather;
 use std::net::UdpSocket;
@@ -33,45 +34,47 @@
 "#;
 
 #[test]
-fn fronts_that_are_killed_and_start_anew_keep_all_rules_and_carry_calls_again() {
+fn restarted_fronts_keep_all_rules_and_carry_calls_again() {
     let day = Day::from_text("day.cue", DAY).unwrap();
     let program =
         Program::Process(PathBuf::from(env!("CARGO_BIN_EXE_lilacpitch-testbed")), vec!["edge".into()]);
     let played = play(&day, &program).unwrap();
     assert_eq!(played.breaches, vec![]);
     assert!(played.report.service > 0.5, "{}", played.report);
-    assert!(played.talk.datagrams > 100, "they talk: {:?}", played.talk);
-    let setups = |of: usize, from_s: u64, to_s: u64| {
-        let within = |at: u64| (from_s * 1_000_000_000..to_s * 1_000_000_000).contains(&at);
-        let is = |seen: &Seen| matches!(seen, Seen::Setup { edge, .. } if *edge == of);
-        played.records.iter().filter(|r| within(r.at_ns) && is(&r.seen)).count()
+    assert!(played.talk.datagrams > 100, "too little gossip: {:?}", played.talk);
+    let setups = |front: usize, from_s: u64, to_s: u64| {
+        let is_within = |at_ns: u64| (from_s * 1_000_000_000..to_s * 1_000_000_000).contains(&at_ns);
+        let is_setup = |seen: &Seen| matches!(seen, Seen::Setup { edge, .. } if *edge == front);
+        let records = played.records.iter();
+        records.filter(|record| is_within(record.at_ns) && is_setup(&record.seen)).count()
     };
-    for (edge, back_s) in [(0, 3), (1, 5), (2, 5)] {
-        assert!(setups(edge, back_s, 7) > 10, "front {edge} carries again");
+    for (front, restarted_s) in [(0, 3), (1, 5), (2, 5)] {
+        assert!(setups(front, restarted_s, 7) > 10, "front {front} carries too few calls after its restart");
     }
-    let down = setups(0, 0, 1) > 0 && {
-        let at = |r: &&lilacpitch_testbed::record::Record| (1_100_000_000..1_900_000_000).contains(&r.at_ns);
-        !played.records.iter().filter(at).any(|r| matches!(r.seen, Seen::Setup { edge: 0, .. }))
+    let was_down = setups(0, 0, 1) > 0 && {
+        let is_in_downtime = |record: &&Record| (1_100_000_000..1_900_000_000).contains(&record.at_ns);
+        let mut records_in_downtime = played.records.iter().filter(is_in_downtime);
+        !records_in_downtime.any(|record| matches!(record.seen, Seen::Setup { edge: 0, .. }))
     };
-    assert!(down, "front 0 was down from 1 s to 2 s");
+    assert!(was_down, "front 0 was not down from 1 s to 2 s");
 }
 
 #[test]
-fn what_cannot_be_played_on_sockets_is_said() {
+fn unsupported_faults_are_rejected() {
     let threads = Program::Thread(lilacpitch_edge::core::Safeguards::default());
-    let restarts = Day::from_text("day.cue", DAY).unwrap();
-    assert!(matches!(play(&restarts, &threads), Err(PlayError::ProcessesOnly)));
-    let confused = DAY.replace("peers_damaged", "peers_confused");
-    let confused = Day::from_text("day.cue", &confused).unwrap();
-    assert!(matches!(play(&confused, &threads), Err(PlayError::VirtualOnly)));
+    let day_with_restarts = Day::from_text("day.cue", DAY).unwrap();
+    assert!(matches!(play(&day_with_restarts, &threads), Err(PlayError::ProcessesOnly)));
+    let confused_text = DAY.replace("peers_damaged", "peers_confused");
+    let day_with_confused_front = Day::from_text("day.cue", &confused_text).unwrap();
+    assert!(matches!(play(&day_with_confused_front, &threads), Err(PlayError::VirtualOnly)));
 }
 
 #[test]
-fn a_relay_carries_loses_damages_and_cuts_off() {
+fn relay_forwards_drops_damages_and_partitions() {
     let ends: Vec<UdpSocket> = (0..2).map(|_| UdpSocket::bind("127.0.0.1:0").unwrap()).collect();
     ends[1].set_read_timeout(Some(Duration::from_millis(200))).unwrap();
-    let relay = Relay::start(ends.iter().map(|e| e.local_addr().unwrap()).collect(), 3).unwrap();
-    let through = |count: u8| -> Vec<Vec<u8>> {
+    let relay = Relay::start(ends.iter().map(|end| end.local_addr().unwrap()).collect(), 3).unwrap();
+    let send_and_receive = |count: u8| -> Vec<Vec<u8>> {
         for i in 0..count {
             ends[0].send_to(&[i; 100], relay.public[1]).unwrap();
         }
@@ -79,17 +82,22 @@
         std::iter::from_fn(|| ends[1].recv(&mut buffer).ok().map(|length| buffer[..length].to_vec()))
             .collect()
     };
-    assert_eq!(through(3), [[0; 100], [1; 100], [2; 100]], "as they came");
+    assert_eq!(send_and_receive(3), [[0; 100], [1; 100], [2; 100]], "datagrams must arrive in order");
     relay.weather(Weather { lost: 100, ..Weather::default() });
-    assert_eq!(through(3), Vec::<Vec<u8>>::new());
+    assert_eq!(send_and_receive(3), Vec::<Vec<u8>>::new());
     relay.weather(Weather { split: 1, ..Weather::default() });
-    assert_eq!(through(3), Vec::<Vec<u8>>::new());
+    assert_eq!(send_and_receive(3), Vec::<Vec<u8>>::new());
     relay.weather(Weather { damaged: 100, ..Weather::default() });
-    let damaged = through(60);
-    assert!(damaged.iter().any(|d| d.len() < 100), "cut short");
-    assert!(damaged.iter().any(|d| d.len() > 1_452), "too long");
-    assert!(damaged.iter().any(|d| d.len() == 100 && d.iter().any(|b| *b != d[50])), "changed");
-    assert!(damaged.len() > 60, "and some twice: {}", damaged.len());
+    let damaged = send_and_receive(60);
+    assert!(damaged.iter().any(|datagram| datagram.len() < 100), "none was truncated");
+    assert!(damaged.iter().any(|datagram| datagram.len() > 1_452), "none was extended");
+    assert!(
+        damaged
+            .iter()
+            .any(|datagram| datagram.len() == 100 && datagram.iter().any(|byte| *byte != datagram[50])),
+        "none was changed"
+    );
+    assert!(damaged.len() > 60, "none was duplicated: {}", damaged.len());
     let counts = relay.stop().unwrap();
     assert_eq!((counts.came, counts.lost), ((69, 6_900), 6));
 }
--- a/crates/lilacpitch-testbed/tests/virtual_days.rs
+++ b/crates/lilacpitch-testbed/tests/virtual_days.rs
@@ -1,4 +1,4 @@
-//! Days in virtual time: the rules on drawn days, the same day twice, guards switched off.
+//! Runs in virtual time: the rules on random days, reproducibility, and detection of disabled safeguards.
 
 use lilacpitch_edge::core::Safeguards;
 use lilacpitch_testbed::call_rules_checker::Rule;
@@ -22,8 +22,8 @@
     "restart",
 ];
 
-/// A day of 20 s as text: so many fronts and servers, and troubles of any kind, at any time, of any size.
-fn drawn_day() -> impl Strategy<Value = String> {
+/// Generates days of 20 s as text, with random numbers of fronts and servers and random faults.
+fn random_day() -> impl Strategy<Value = String> {
     let trouble =
         (proptest::sample::select(KINDS.to_vec()), 0..15_000u64, 200..9_000u64, 0.0..1.0f64, 0..5usize);
     let troubles = proptest::collection::vec(trouble, 0..7);
@@ -58,12 +58,12 @@
 }
 
 #[test]
-fn the_rules_are_kept_on_drawn_days() {
-    kept_on(drawn_day(), cases(60), 200);
+fn random_days_keep_the_rules() {
+    assert_rules_kept(random_day(), cases(60), 200);
 }
 
-/// Days of few calls for each of many fronts: 1 to 250 fronts, 2 to 11 servers, loads of 0.2 to 1.4, troubles by share
-/// among the others, with and without peers.
+/// Generates days with few calls per front: 1 to 250 fronts, 2 to 11 servers, loads of 0.2 to 1.4, faults
+/// that also affect only a share of the calls, with and without gossip among the fronts.
 fn wide_day() -> impl Strategy<Value = String> {
     let kinds =
         ["silent", "replace", "slow", "jump", "reset", "full_share", "no_circuit_share", "unanswered_share"];
@@ -96,8 +96,8 @@
     )
 }
 
-/// Plays so many drawn days; a broken rule is cut down to a short day.
-fn kept_on(days: impl Strategy<Value = String>, cases: u32, least_setups: u64) {
+/// Runs random days and asserts that no rule is violated. A failing day is shrunk to a shorter one.
+fn assert_rules_kept(days: impl Strategy<Value = String>, cases: u32, min_setups_per_day: u64) {
     let config = Config { cases, failure_persistence: None, max_shrink_iters: 60, ..Config::default() };
     let setups = std::cell::Cell::new(0);
     TestRunner::new_with_rng(config, TestRng::from_seed(RngAlgorithm::ChaCha, &[11; 32]))
@@ -110,25 +110,26 @@
         })
         .unwrap();
     assert!(
-        setups.get() > u64::from(cases) * least_setups,
-        "the days must be days: {} set-ups",
+        setups.get() > u64::from(cases) * min_setups_per_day,
+        "too few set-ups to check: {}",
         setups.get()
     );
 }
 
-fn cases(usual: u32) -> u32 {
-    std::env::var("LILACPITCH_DAYS").ok().and_then(|n| n.parse().ok()).unwrap_or(usual)
+/// Returns the number of random days: `LILACPITCH_DAYS`, or the default.
+fn cases(default: u32) -> u32 {
+    std::env::var("LILACPITCH_DAYS").ok().and_then(|n| n.parse().ok()).unwrap_or(default)
 }
 
 #[test]
-fn the_rules_are_kept_on_drawn_days_of_up_to_250_fronts() {
-    kept_on(wide_day(), cases(12), 100);
+fn random_days_of_up_to_250_fronts_keep_the_rules() {
+    assert_rules_kept(wide_day(), cases(12), 100);
 }
 
-/// Found in the laboratory: a cold server's rate of now, read over all the time since the last send, let a hundred
-/// fronts that were nearly due come in its first second.
+/// Guards against a former fault: the current rate of a cold server was multiplied by the whole time since
+/// the last send, so that a hundred fronts that were nearly due all sent to it in its first second.
 #[test]
-fn a_hundred_and_twenty_fronts_push_no_cold_server_over() {
+fn many_fronts_do_not_overload_a_cold_server() {
     for text in [
         include_str!("../../../days/evidence/many-fronts-silent-tight.cue"),
         include_str!("../../../days/evidence/many-fronts-replaced.cue"),
@@ -141,10 +142,10 @@
     }
 }
 
-/// Found in drawn days above a load of 1: a server that starts anew ends all its connections, and a hundred fronts were
-/// back on new ones 60 ms later, before the list told of its start.
+/// Guards against a former fault, found at loads above 1: a restarting server closes all its connections, and
+/// a hundred fronts reconnected 60 ms later, before the endpoint list announced its start.
 #[test]
-fn a_server_back_before_the_list_tells_of_it_is_not_pushed_over() {
+fn server_that_restarts_before_the_list_announces_it_is_not_overloaded() {
     let servers: String =
         (0..11).map(|i| format!("{{name: \"r{i}\", pool: \"p{}\", per_s: 7.148}}, ", i / 2)).collect();
     let text = format!(
@@ -160,8 +161,8 @@
 }
 
 #[test]
-fn few_symptoms_starve_no_server_that_is_well() {
-    // By what they had before: 0.73, 0.59, 0.91, 0.27, 0.04.
+fn rare_failures_do_not_starve_a_healthy_server() {
+    // Before the fix, the service values were 0.73, 0.59, 0.91, 0.27 and 0.04.
     let cases = [
         (include_str!("../../../days/evidence/full-1-in-50.cue"), 0.98),
         (include_str!("../../../days/evidence/no-circuit-1-in-10.cue"), 0.93),
@@ -169,17 +170,18 @@
         (include_str!("../../../days/evidence/first-full.cue"), 0.6),
         (include_str!("../../../days/evidence/first-unanswered.cue"), 0.6),
     ];
-    for (text, least) in cases {
+    for (text, min_service) in cases {
         let report = play(&Day::from_text("evidence", text).unwrap(), Safeguards::default()).unwrap().report;
-        assert!(report.service > least, "{least}: {report}\n{text}");
+        assert!(report.service > min_service, "{min_service}: {report}\n{text}");
     }
 }
 
-/// A front that is killed twice is down until the later start; a standstill ends with the life that it began in.
+/// A front with overlapping restarts is down until the last start, and a freeze ends when its process is
+/// killed.
 #[test]
-fn troubles_of_one_front_that_overlap_have_one_meaning() {
-    let trouble = |kind: &str, at: u64, lasts: u64| {
-        format!("{{kind: {kind:?}, at: \"{at}s\", for: \"{lasts}s\", edges: [0]}}, ")
+fn overlapping_faults_of_one_front_are_merged() {
+    let trouble = |kind: &str, at: u64, duration: u64| {
+        format!("{{kind: {kind:?}, at: \"{at}s\", for: \"{duration}s\", edges: [0]}}, ")
     };
     let troubles = [
         trouble("restart", 2, 3),
@@ -197,7 +199,8 @@
     let s = |s: u64| s * 1_000_000_000;
     let script = day.script();
     assert_eq!(script.restart, vec![(s(2), s(8), 0)]);
-    // The one from 1 s on ended with its life; the one from 6 s on met nobody, and took the one from 9 s on with it.
+    // The freeze at 1 s ends when the process is killed at 2 s. The freeze at 6 s hits a front that is down
+    // and has no effect, and the one at 9 s is merged with it.
     assert_eq!(script.freeze, vec![(s(1), s(2), 0)]);
     assert_eq!(play(&day, Safeguards::default()).unwrap().breaches, vec![]);
 }
@@ -207,39 +210,44 @@
 }
 
 #[test]
-fn the_same_day_gives_the_same_records_and_another_seed_others() {
-    let (one, two) =
-        (play(&bad_day(), Safeguards::default()).unwrap(), play(&bad_day(), Safeguards::default()).unwrap());
-    assert!(one.records == two.records, "{} and {} records", one.records.len(), two.records.len());
-    assert_eq!(one.breaches, vec![]);
-    let other = play(&Day { seed: 99, ..bad_day() }, Safeguards::default()).unwrap();
-    assert!(one.records != other.records);
+fn records_are_determined_by_day_and_seed() {
+    let first = play(&bad_day(), Safeguards::default()).unwrap();
+    let second = play(&bad_day(), Safeguards::default()).unwrap();
+    assert!(first.records == second.records, "{} and {} records", first.records.len(), second.records.len());
+    assert_eq!(first.breaches, vec![]);
+    let with_other_seed = play(&Day { seed: 99, ..bad_day() }, Safeguards::default()).unwrap();
+    assert!(first.records != with_other_seed.records);
 }
 
 #[test]
-fn each_guard_switched_off_is_noticed() {
+fn detects_each_disabled_safeguard() {
     let cases = [
         (Safeguards { one_attempt: false, ..Safeguards::default() }, Rule::OneAttempt),
         (Safeguards { drain_deadline: false, ..Safeguards::default() }, Rule::Drains),
         (Safeguards { one_answer: false, ..Safeguards::default() }, Rule::OneAnswer),
         (Safeguards { release: false, ..Safeguards::default() }, Rule::Release),
     ];
-    for (guards, rule) in cases {
-        let played = play(&bad_day(), guards).unwrap();
-        assert!(played.breaches.iter().any(|b| b.rule == rule), "{rule:?}: {:?}", played.breaches.first());
+    for (safeguards, rule) in cases {
+        let played = play(&bad_day(), safeguards).unwrap();
+        assert!(
+            played.breaches.iter().any(|breach| breach.rule == rule),
+            "{rule:?}: {:?}",
+            played.breaches.first()
+        );
     }
 }
 
 #[test]
-fn troubles_do_what_their_names_say() {
-    let quiet = Day { troubles: vec![], ..bad_day() };
-    let calm = play(&quiet, Safeguards::default()).unwrap().report;
-    assert!(calm.service > 0.97, "{calm}");
-    let p99 = |report: &Report| report.classes.iter().map(|c| c.setup_us.value_at_quantile(0.99)).max();
+fn each_fault_worsens_the_service() {
+    let day_without_faults = Day { troubles: vec![], ..bad_day() };
+    let undisturbed = play(&day_without_faults, Safeguards::default()).unwrap().report;
+    assert!(undisturbed.service > 0.97, "{undisturbed}");
+    let p99 =
+        |report: &Report| report.classes.iter().map(|class| class.setup_us.value_at_quantile(0.99)).max();
     for trouble in bad_day().troubles {
-        let one = Day { troubles: vec![trouble.clone()], ..bad_day() };
-        let report = play(&one, Safeguards::default()).unwrap().report;
-        let worse = report.worst.0 < calm.worst.0 || p99(&report) > p99(&calm);
-        assert!(worse, "{:?} does nothing: {report}", trouble.kind);
+        let day_with_fault = Day { troubles: vec![trouble.clone()], ..bad_day() };
+        let report = play(&day_with_fault, Safeguards::default()).unwrap().report;
+        let is_worse = report.worst.0 < undisturbed.worst.0 || p99(&report) > p99(&undisturbed);
+        assert!(is_worse, "{:?} has no effect: {report}", trouble.kind);
     }
 }
