--- a/crates/lilacpitch-net/src/closing.rs
+++ b/crates/lilacpitch-net/src/closing.rs
@@ -82,7 +82,8 @@
     }
 }
 
-/// Reads and discards available input. Returns 0 once the peer has closed or the socket has failed.
+/// Reads and discards available input. Returns 0 once the peer has closed or the socket has failed, and a
+/// `WouldBlock` error while nothing has arrived.
 fn discard_input(stream: &TcpStream) -> io::Result<usize> {
     let mut buffer = [0; READ_BYTES];
     match stream.try_read(&mut buffer) {
--- a/crates/lilacpitch-net/src/connection.rs
+++ b/crates/lilacpitch-net/src/connection.rs
@@ -146,7 +146,7 @@
     ///
     /// While `on_event` is pending, nothing more is read; if it returns `false`, the connection ends.
     /// `on_disconnect` is called as soon as the peer is known to have closed, even if messages that it sent
-    /// before are yet to be delivered, and again at the end.
+    /// before are yet to be delivered. If the peer has closed, it is also called at the end.
     pub async fn run(
         mut self,
         on_disconnect: impl Fn(),
--- a/crates/lilacpitch-node/src/coordinator.rs
+++ b/crates/lilacpitch-node/src/coordinator.rs
@@ -94,9 +94,9 @@
 
     /// Returns the new events of a response, in order.
     ///
-    /// After a gap in the numbers, the rest of the response is dropped and the next poll requests the
-    /// complete list. It does so too if the coordinator's latest number is lower than before, since the
-    /// coordinator was restarted.
+    /// After a gap in the numbers, unless the next event is a complete list, the rest of the response is
+    /// dropped and the next poll requests the complete list. It does so too if the coordinator's latest
+    /// number is lower than before, since the coordinator was restarted.
     pub fn accept(&mut self, response: PollResponse) -> Vec<Endpoints> {
         let mut events = Vec::new();
         for update in response.updates {
--- a/crates/lilacpitch-node/src/core/calls.rs
+++ b/crates/lilacpitch-node/src/core/calls.rs
@@ -26,7 +26,7 @@
     pub first_choice: u32,
     /// Number of circuits that the call takes.
     pub circuits: f64,
-    /// Whether the call may be retried after an attempt that was cut and may have reached a server.
+    /// Whether the call repeats one that was cut; the controller treats such a call as urgent.
     pub may_retry_after_cut: bool,
 }
 
@@ -174,8 +174,8 @@
         }
     }
 
-    /// Removes a call from the tables. If a server has had its wire id, the id stays in use for the release
-    /// time.
+    /// Removes a call from the tables. If it had an attempt, a server may know its wire id, so the id stays
+    /// in use for the release time.
     pub(super) fn remove_call(&mut self, id: CallId) -> Option<Call> {
         let call = self.calls.remove(&id)?;
         self.open_calls -= usize::from(!call.is_established());
--- a/crates/lilacpitch-node/src/core/health_checks.rs
+++ b/crates/lilacpitch-node/src/core/health_checks.rs
@@ -12,8 +12,9 @@
 
 /// A server with established calls that has sent nothing for this long is checked by a new connection.
 const QUIET_NS: Nanos = 1_500_000_000;
-/// A server to which no connection could be made for this long is considered gone. The platform's protocol
-/// page requires that the callers of its calls get their releases within 8 s.
+/// A server to which no connection could be made for this long is considered gone, unless it has sent
+/// something recently (see [`is_unreachable`]). The platform's protocol page requires that the callers of its
+/// calls get their releases within 8 s.
 pub(super) const UNREACHABLE_NS: Nanos = 3_000_000_000;
 
 impl NodeCore {
--- a/crates/lilacpitch-node/src/core/path.rs
+++ b/crates/lilacpitch-node/src/core/path.rs
@@ -1,5 +1,5 @@
-//! The `P-Path` field of a set-up: the first choice of server, circuits, retries, and the server of a call
-//! that is already established.
+//! The `P-Path` field of a set-up: the first choice of server, circuits, whether the call repeats one that was
+//! cut, and the server of a call that is already established.
 
 use super::callers::Rejection;
 
@@ -10,7 +10,7 @@
     pub first_choice: u32,
     /// Number of circuits that the call takes.
     pub circuits: f64,
-    /// Whether the call may be retried after an attempt that was cut and may have reached a server.
+    /// Whether the call repeats one that was cut; the controller treats such a call as urgent.
     pub may_retry_after_cut: bool,
     /// Uid of the server at which the call is already established.
     pub established_at: Option<String>,
--- a/crates/lilacpitch-node/src/net/shutdown.rs
+++ b/crates/lilacpitch-node/src/net/shutdown.rs
@@ -13,7 +13,7 @@
 
 /// How long before the platform kills the process all connections are closed.
 const CLOSED_BEFORE_KILL: Duration = Duration::from_millis(120);
-/// If there is no event for this long, no input is pending within this machine.
+/// If there is no event for this long, it is assumed that no input is pending within this machine.
 const QUIET_PERIOD: Duration = Duration::from_millis(10);
 /// How often it is checked whether the tasks of closed connections have ended.
 const TASK_CHECK_INTERVAL: Duration = Duration::from_millis(5);
@@ -25,7 +25,8 @@
         let stop_requested_at = self.stop_requested_at.unwrap_or_else(Instant::now);
         let deadline =
             stop_requested_at + Duration::from_nanos(self.core.kill_delay_ns()) - CLOSED_BEFORE_KILL;
-        // A caller that does not read until the deadline is disconnected, but has at least this time.
+        // A caller that does not read until the deadline is disconnected. It has CLOSED_BEFORE_KILL at least,
+        // even if the stop has taken longer than planned.
         let deadline = deadline.max(Instant::now() + CLOSED_BEFORE_KILL);
         let mut tasks = self.answer_arrived(listener, &mut inbox, deadline).await;
         for connection in self.upstreams.values() {
--- a/crates/lilacpitch-node/src/signalling.rs
+++ b/crates/lilacpitch-node/src/signalling.rs
@@ -26,7 +26,7 @@
 /// Q.850 cause of a rejection: recovery on timer expiry.
 const CAUSE_TIMER_EXPIRED: u16 = 102;
 
-/// An empty buffer of more capacity, in bytes, is freed: most connections are idle most of the time.
+/// Capacity in bytes above which an empty buffer is freed, since most connections are idle most of the time.
 const IDLE_CAPACITY_BYTES: usize = 4096;
 
 /// Why a line of a signalling server can't be decoded. The connection is to be closed, because what follows
@@ -204,7 +204,7 @@
     u64::from_str_radix(text, 16).ok().filter(|_| is_valid)
 }
 
-/// Encodes a set-up. `left_ms` is how long the caller still waits, in milliseconds.
+/// Encodes a set-up. `left_ms` is the time left until the attempt times out, in milliseconds.
 pub fn encode_setup(uid: u64, class: &str, key: &str, left_ms: u64, body: &str) -> Vec<u8> {
     encode_line(json!({
         "kind": "launch", "uid": format!("{uid:016x}"),
--- a/crates/lilacpitch-sip/src/decoder.rs
+++ b/crates/lilacpitch-sip/src/decoder.rs
@@ -9,7 +9,7 @@
 
 /// Longest message in bytes, head and body together.
 pub const MAX_MESSAGE_BYTES: usize = 16 * 1024;
-/// An empty buffer of more capacity, in bytes, is freed: most connections are idle most of the time.
+/// Capacity in bytes above which an empty buffer is freed, since most connections are idle most of the time.
 const IDLE_CAPACITY_BYTES: usize = 4096;
 
 /// Why a stream can't be decoded any further: its peer sent something malformed or too long. If the head
--- a/crates/lilacpitch/src/controller.rs
+++ b/crates/lilacpitch/src/controller.rs
@@ -44,15 +44,19 @@
 /// Set-ups that a count keeps even when they are older than the window, so that one more or less changes the
 /// estimated rate only slightly.
 const MIN_SAMPLES: usize = 4;
-/// Windows without a symptom after which a ceiling is removed; also the longest interval between probes.
+/// Windows without a symptom after which the ceiling of a server with few set-ups may be removed; also the
+/// longest normal interval between set-ups that is assumed.
 const MAX_CLEAN_WINDOWS: u64 = 20;
-/// Set-ups that count as successful over the observed time at a server where none has succeeded.
+/// Least number of successes that is assumed over the observed time, so that the normal rate of a server
+/// where no set-up has succeeded is not 0.
 const UNPROVEN_SETUPS: f64 = 0.2;
-/// Shortest observed time to which [`UNPROVEN_SETUPS`] is applied, in seconds.
+/// Shortest observed time to which [`UNPROVEN_SETUPS`] is applied, in seconds; also the weight of a normal
+/// rate that is assumed at the first success.
 const UNPROVEN_MIN_S: f64 = 10.0;
 /// Share of the ceiling above which calls below the highest priority are held back (Sabourin's S1).
 const STATE_1_THRESHOLD: f64 = 0.8;
-/// Share of the ceiling above which all calls but urgent ones are held back (Sabourin's S2).
+/// Share of the ceiling above which all calls but urgent ones are held back (Sabourin's S2). Urgent are calls
+/// in transit and those that repeat a call that was cut.
 const STATE_2_THRESHOLD: f64 = 0.9;
 /// Cost of a rejected call, in set-ups; 0, since a rejection by the front costs the server nothing.
 const REJECT_COST: f64 = 0.0;
@@ -67,7 +71,8 @@
 const LOST_MIN_INTERVALS: f64 = 0.125;
 /// Delay, in resend intervals, below which a response is quick: the server is not about to overload.
 const QUICK_INTERVALS: f64 = 0.5;
-/// Share of a late wait above which calls past their objective are held back in favour of fresh ones.
+/// Expected wait, as a share of [`LATE_INTERVALS`], above which calls past their objective are held back in
+/// favour of fresh ones.
 const LATE_CALL_WAIT_SHARE: f64 = 0.5;
 /// Expected wait, in resend intervals, above which a server is in overload state 2.
 const STATE_2_WAIT_INTERVALS: f64 = 2.0;
@@ -82,7 +87,8 @@
 const SLOW_START_BASE: f64 = 0.75;
 /// See [`SLOW_START_BASE`].
 const SLOW_START_GAIN: f64 = 0.75;
-/// In slow start the recent success rate may grow by this share of the multiple that overloads the server.
+/// In slow start, once enough set-ups have succeeded, the ceiling is at least the recent success rate times
+/// this share of [`Settings::overload_multiple`].
 const SLOW_START_GROWTH: f64 = 0.7;
 /// Most periods by which an average decays in one step.
 const MAX_DECAY_PERIODS: u64 = 1000;
@@ -100,7 +106,8 @@
 const ISOLATED_SYMPTOM_RATIO: f64 = 0.25;
 /// A call is itself faulty if the likelihood that a valid call meets the same faults is below this.
 const FAULTY_CALL_LIKELIHOOD: f64 = 0.02;
-/// Share of the normal rate below which each quick success raises the ceiling.
+/// Share of the normal or offered rate, whichever is higher, below which each quick success raises the
+/// ceiling.
 const CEILING_GROWTH_THRESHOLD: f64 = 0.9;
 /// Share of the ceiling by which a quick success raises it.
 const CEILING_GROWTH_SHARE: f64 = 0.2;
@@ -114,9 +121,10 @@
 const RELAX_MAX_FACTOR: f64 = 1.015;
 /// Share by which a ceiling is relaxed in the normal interval between two set-ups.
 const RELAX_SHARE_UNCONFIRMED: f64 = 0.07;
-/// [`RELAX_SHARE_UNCONFIRMED`] once a set-up has succeeded quickly since the last symptom.
+/// [`RELAX_SHARE_UNCONFIRMED`] once the server has responded quickly since the last symptom.
 const RELAX_SHARE_CONFIRMED: f64 = 0.2;
-/// Share of its normal interval within which a front uses a queue again after peers report it as short.
+/// Share of its normal interval within which a front uses a server again after peers report that its queue
+/// has become short.
 const QUEUE_JOIN_SPREAD: f64 = 0.1;
 /// Multiple of the offered or normal rate at which a ceiling is removed: this leaves room for calls whose
 /// first choice is another server.
@@ -133,9 +141,10 @@
 const UNRESPONSIVE_INTERVALS: f64 = 2.0;
 /// Shortest back-off from a server without a free line, in resend intervals; a random part of one is added.
 const NO_CIRCUIT_MIN_INTERVALS: f64 = 0.5;
-/// Shortest interval between probes, as a share of the normal interval; a random part of that is added.
+/// Shortest interval between probes, as a share of the normal interval; a random part of the normal interval
+/// is added.
 const PROBE_MIN_FRACTION: f64 = 0.5;
-/// Number of unanswered probes after which an ejected server may have been restarted.
+/// Number of probes after which an ejected server that responds may have been restarted meanwhile.
 const RESTART_PROBES: u32 = 3;
 /// Pause of a dialled number whose lines were all busy: clients usually redial after this time.
 const BUSY_NUMBER_PAUSE_NS: Nanos = WINDOW_NS / 2;
@@ -149,7 +158,8 @@
 const PEER_REPORT_MAX_AGE_NS: Nanos = WINDOW_NS * 10;
 /// Peer reports must outweigh this many fresh reports of a healthy server: it takes three at least.
 const NEUTRAL_REPORT_WEIGHT: f64 = 2.0;
-/// Reported wait, in resend intervals, above which all fronts together may be its cause.
+/// Wait reported by peers, in resend intervals, above which a first choice where several of their set-ups
+/// wait is not preferred.
 const LONG_PEER_WAIT_INTERVALS: f64 = 0.125;
 /// Longest wait that is accepted from a peer report, in resend intervals.
 const MAX_PEER_WAIT_INTERVALS: f64 = 2.0 * STATE_2_WAIT_INTERVALS;
@@ -206,7 +216,8 @@
         self.set_timer(actions);
     }
 
-    /// Advances the clock, and subscribes to the endpoint list at the first event and when that is due again.
+    /// Advances the clock, records a stall if the timer fired late, and subscribes to the endpoint list at
+    /// the first event and when a new subscription is due.
     fn advance_clock(&mut self, now: Nanos, actions: &mut Vec<Action>) {
         self.now = self.now.max(now);
         if self.started_ns.is_none() {
--- a/crates/lilacpitch/src/controller/calls.rs
+++ b/crates/lilacpitch/src/controller/calls.rs
@@ -73,7 +73,8 @@
         self.record_attempt_end(server, id, true, true);
     }
 
-    /// Handles the end of an attempt that leaves the call open: releases it if necessary, then retries it.
+    /// Handles the end of an attempt that leaves the call open: the call waits for its release if necessary,
+    /// and is then dispatched again.
     pub(super) fn complete_attempt(
         &mut self,
         id: CallId,
--- a/crates/lilacpitch/src/controller/endpoint_list.rs
+++ b/crates/lilacpitch/src/controller/endpoint_list.rs
@@ -76,7 +76,8 @@
         inherited
     }
 
-    /// Drops the removed servers whose number a server in service has, which has inherited their normal rate.
+    /// Drops removed servers without set-ups in flight if a server in service has the same number: it has
+    /// inherited their normal rate.
     fn drop_replaced_servers(&mut self) {
         let in_service = self.servers.values().filter(|server| server.is_in_service());
         let numbers_in_service: BTreeSet<u32> = in_service.map(|server| server.endpoint.number).collect();
--- a/crates/lilacpitch/src/controller/overload.rs
+++ b/crates/lilacpitch/src/controller/overload.rs
@@ -50,8 +50,8 @@
         self.update_server(id, |server| server.lines_exhausted = server.reports_no_free_line());
     }
 
-    /// Whether a symptom is one of few among successes, and neither a late set-up nor the server's own report
-    /// confirms it. True for an unknown server.
+    /// Whether a symptom is regarded as chance: enough calls are offered, symptoms are few among successes,
+    /// and neither a late set-up nor the server's own report confirms them. True for an unknown server.
     fn is_isolated_symptom(&self, id: ServerId) -> bool {
         let Some(server) = self.servers.get(&id) else { return true };
         let is_confirmed = self.now - server.last_late_ns < WINDOW_NS || server.reports_no_free_line();
@@ -162,15 +162,15 @@
         self.peer_reports.remove_up_to(now.saturating_sub(PEER_REPORT_MAX_AGE_NS));
     }
 
-    /// The time that the window covers at present, in seconds; less than a full window after the start.
+    /// The time that the window covers at present, in seconds; less than a full window just after the start.
     pub(super) fn window_s(&self) -> f64 {
         let age_ns = self.now - self.started_ns.unwrap_or(self.now);
         age_ns.clamp(MIN_WINDOW_NS, WINDOW_NS) as f64 / 1e9
     }
 
     /// Sabourin's overload state of a server for one more set-up, 0 to 2: the higher of the state by the load
-    /// estimate against the ceiling, and that by the expected wait. Counts over a window show an overload of
-    /// a second too late.
+    /// estimate against the ceiling, and that by the expected wait. The load estimate alone, which covers a
+    /// whole window, would show a short overload too late.
     pub(super) fn overload_state(&self, server: &Server) -> u8 {
         let wait_intervals = self.wait_intervals(server);
         let state_by_wait =
@@ -221,8 +221,9 @@
         [by_symptoms, by_slow_start].into_iter().flatten().reduce(f64::min)
     }
 
-    /// Lowers the ceiling to this front's recent success rate there, after a symptom of overload. A severe
-    /// symptom ('processor full', a time-out or an unresponsive server) may decrease it further.
+    /// Lowers the ceiling to this front's recent success rate there, after a symptom of overload, but by no
+    /// more than a factor. A severe symptom ('processor full', a time-out or an unresponsive server) may
+    /// lower it further than others.
     pub(super) fn lower_ceiling(&mut self, id: ServerId, is_severe: bool) {
         let now = self.now;
         let resend_ns = self.resend_ns;
@@ -308,9 +309,9 @@
         offered_per_s * REJECT_COST + sent_per_s * (ACCEPT_COST - REJECT_COST)
     }
 
-    /// This front's normal rate at a server, independent of current events; that of all fronts together is
-    /// the server's normal load. If unknown, the rate of calls with this first choice, up to the mean normal
-    /// rate of all servers.
+    /// This front's normal rate at a server: its success rate, averaged over longer than the window and
+    /// without times in which the server was in slow start, ejected or out of service. If unknown, the rate
+    /// of calls with this first choice, up to the mean normal rate of all servers.
     pub(super) fn normal_per_s(&self, server: &Server) -> f64 {
         let seconds = server.normal_rate.seconds;
         if seconds > 0.0 {
@@ -374,7 +375,8 @@
         self.shortest_delay_ns = Some(shortest_ns);
     }
 
-    /// Raises a ceiling that is far below the normal rate, after a quick success.
+    /// Raises a ceiling that is below the normal or offered rate, after a quick success, unless a symptom is
+    /// recent or the server has run out of lines.
     fn raise_low_ceiling(&mut self, now: Nanos, offered_per_s: f64) {
         let normal_per_s = self.normal_rate.per_s().max(offered_per_s);
         let is_clean = now.saturating_sub(self.last_symptom_ns) >= CLEAN_PERIODS * PERIOD_NS;
--- a/crates/lilacpitch/src/controller/server_selection.rs
+++ b/crates/lilacpitch/src/controller/server_selection.rs
@@ -137,8 +137,8 @@
         }
     }
 
-    /// Whether a set-up may be sent to probe whether those in flight are lost or the server is unresponsive;
-    /// at most one in each interval.
+    /// Whether a set-up may be sent as a probe: its result shows whether those in flight are lost or the
+    /// server is unresponsive. At most one is due in each interval.
     fn is_probe_due(&self, server: &Server) -> bool {
         let last_sent_ns = server.in_flight.last().map_or(self.now, |attempt| attempt.sent_ns);
         let interval_ns = self.resend_ns.max(self.normal_interval_ns(server));
--- a/crates/lilacpitch/src/controller/slow_start.rs
+++ b/crates/lilacpitch/src/controller/slow_start.rs
@@ -5,7 +5,7 @@
 impl Controller {
     /// The ceiling of a server in slow start, in set-ups a second; `None` after slow start. It is a share of
     /// this front's normal rate by the server's capacity at its age, or, if higher, a multiple of the recent
-    /// success rate that is far below the multiple that overloads the server.
+    /// success rate that is below the multiple that overloads the server.
     pub(super) fn slow_start_ceiling_per_s(&self, server: &Server) -> Option<f64> {
         let capacity = server.slow_start_fraction(self.now, &self.settings)?;
         let share = SLOW_START_BASE + SLOW_START_GAIN * capacity;
--- a/crates/lilacpitch/src/controller/state.rs
+++ b/crates/lilacpitch/src/controller/state.rs
@@ -30,7 +30,8 @@
 pub(super) struct Ejection {
     /// When the next probe may be sent.
     pub(super) next_probe_ns: Nanos,
-    /// Interval before the first probe and between the first two; it doubles with each further one.
+    /// Interval before the first probe and between the first two; it doubles with each further one, at most
+    /// [`MAX_PROBE_DOUBLINGS`](super::MAX_PROBE_DOUBLINGS) times.
     pub(super) probe_interval_ns: Nanos,
     /// Number of probes sent.
     pub(super) probes: u32,
@@ -122,7 +123,7 @@
     pub(super) ceiling_before_symptom_per_s: Option<f64>,
     /// When the last symptom of overload was observed.
     pub(super) last_symptom_ns: Nanos,
-    /// Exponentially weighted share of symptoms among completed set-ups.
+    /// Exponentially weighted share of symptoms among symptoms and successes.
     pub(super) symptom_ratio: f64,
     /// When a set-up was last late there.
     pub(super) last_late_ns: Nanos,
--- a/crates/lilacpitch/src/interface.rs
+++ b/crates/lilacpitch/src/interface.rs
@@ -117,7 +117,8 @@
     Failed,
 }
 
-/// The part of a server's load report that is used. Its processor load is ignored: it is late and noisy.
+/// The part of a server's load report that is used. The processor load in a report is ignored, since it is
+/// late and noisy.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
 pub struct LoadReport {
     /// Free circuits towards the server, or free agents at it; `None` if unknown.
@@ -283,7 +284,7 @@
         /// The call.
         call: CallId,
     },
-    /// Deliver [`Event::TimerFired`] at this time.
+    /// Deliver [`Event::TimerFired`] at this time. A timer that is already set for later may be dropped.
     SetTimer(Nanos),
     /// Subscribe to the endpoint list.
     Subscribe,
--- a/crates/lilacpitch/src/wire.rs
+++ b/crates/lilacpitch/src/wire.rs
@@ -398,7 +398,7 @@
             let report = fields.report(settings)?;
             Event::ServerLoadReported { server: fields.u64("server")?, report }
         }
-        // Messages between fronts.
+        // A message of another front.
         _ => return Ok(None),
     }))
 }
--- a/crates/lilacpitch/tests/overload.rs
+++ b/crates/lilacpitch/tests/overload.rs
@@ -203,8 +203,8 @@
     settings.resend_interval_ns = 100 * MS;
     let mut front = Front::new(settings, &[endpoint(11, 1)]);
     let mut in_flight = std::collections::VecDeque::new();
-    // Places 100 calls, one each 20 ms, with `steps` of them in flight. Returns whether no more were in
-    // flight before, and the number of calls that were held back.
+    // Places 100 calls, one every 20 ms, and establishes the oldest once `steps` are in flight. Returns
+    // whether at most `steps` were in flight at the start, and the number of calls that were held back.
     let mut held_back = |steps: usize| {
         let in_flight_before = in_flight.len();
         let mut held_back = 0;
--- a/crates/lilacpitch/tests/rules.rs
+++ b/crates/lilacpitch/tests/rules.rs
@@ -1,11 +1,20 @@
 //! The five rules of call handling, checked on the controller's actions for random legal sequences of events
-//! and varied settings.
+//! and varied settings. The list says what is checked of each rule; failed assertions name these numbers.
 //!
-//! 1. A call gets one final answer, in time.
-//! 2. A call is repeated, or rejected after an attempt, only as the idempotency of its class allows.
-//! 3. Set-ups are sent only to servers that the endpoint list shows as ready.
-//! 4. A server that has just started is not overloaded.
-//! 5. A call is sent again only after its release.
+//! 1. A call gets at most one final answer, and none after its client has disconnected. A call that is not
+//!    established has its answer within [`ANSWER_TOLERANCE_NS`] of its deadline, unless its client has
+//!    disconnected. No set-up is sent for a call that is established or over, or past its deadline, and no
+//!    attempt may run past the deadline.
+//! 2. A call never has two attempts in flight. After an attempt that may have taken effect, it is sent again
+//!    or rejected only as the idempotency of its class allows.
+//! 3. No set-up is sent to a server that the endpoint list shows as draining or removed. The controller uses
+//!    no grace period.
+//! 4. A server that started less than a second ago is sent at most 12 set-ups within a second.
+//! 5. A call is sent again only after the release time if its last attempt timed out or was cut. The test
+//!    never ends an attempt as cancelled.
+//!
+//! Further assertions cover the maximum number of attempts, the permissions to cancel and to subscribe, that
+//! timers are set for the future, and that a call is sent only to a server that may take it.
 
 mod common;
 use common::*;
@@ -203,14 +212,15 @@
         record.attempts += 1;
         self.sends.push((now, server));
         if now.saturating_sub(endpoint.up_since_ns) < S {
-            // Rule 4: a front with few calls may send a server that has just started a few set-ups.
+            // Rule 4: even a front with few calls may send some set-ups to a server that has just started.
             let start = now - S;
             let recent = self.sends.iter().filter(|(at, sent_to)| *at > start && *sent_to == server).count();
             assert!(recent <= 12, "rule 4: {recent} set-ups within a second of its start");
         }
     }
 
-    /// Advances the clock in ticks: attempts time out at the deadline, timers fire, and rule 1 is checked.
+    /// Advances the clock in ticks: attempts time out at the deadline of their call, timers fire, and it is
+    /// checked that no call is open past its deadline (rule 1).
     fn advance(&mut self, span_ms: u64) {
         let end = self.now + span_ms * MS;
         while self.now < end {
@@ -366,8 +376,8 @@
     }
 }
 
-/// Checks rule 2: a call is sent again only as its class allows, within the scope and retention time of its
-/// key.
+/// Checks the part of rule 2 about repetition: a call is sent again only as its class allows, within the
+/// scope and retention time of its key.
 fn check_repetition(class: &Class, first: &Endpoint, first_ns: Nanos, endpoint: &Endpoint, now: Nanos) {
     match class.idempotency {
         Idempotency::Idempotent => {}
