--- a/crates/lilacpitch-node/src/core/calls.rs
+++ b/crates/lilacpitch-node/src/core/calls.rs
@@ -189,7 +189,8 @@
     }
 }
 
-/// Hashes a dialled number, so that the controller can compare it: equal numbers have equal hashes.
+/// Converts a dialled number to an integer by which the controller recognises it: one of 16 lower-case hex
+/// digits is parsed, any other is hashed. Equal numbers give equal integers.
 fn number_hash(number: &str) -> u64 {
     use std::hash::{DefaultHasher, Hash, Hasher};
     signalling::parse_call_id(number).unwrap_or_else(|| {
--- a/crates/lilacpitch-node/src/net/mod.rs
+++ b/crates/lilacpitch-node/src/net/mod.rs
@@ -2,8 +2,9 @@
 //! clock.
 //!
 //! Everything runs on one thread as tasks of a `LocalSet`. The [`driver`] owns the core, each connection has
-//! a task that owns its socket, and bounded queues connect them. A connection that can't keep up is closed
-//! rather than waited for.
+//! a task that owns its socket, and bounded queues connect them; only the notices of callers that have closed
+//! their connection are not bounded. The driver never waits for a connection that can't keep up: it closes a
+//! caller's connection, and drops a message for a server.
 
 mod codecs;
 mod connections;
--- a/crates/lilacpitch-node/tests/orders.rs
+++ b/crates/lilacpitch-node/tests/orders.rs
@@ -1,6 +1,7 @@
-//! Invariants of the core under random sequences of events: each call gets one final response, a call never
-//! has two attempts in flight, nothing is sent for a call that is over, and in the end neither the core nor
-//! the controller retains anything.
+//! Invariants of the core under random sequences of events: a call gets at most one final response, and has
+//! it before the kill if the node is stopped; a call never has two attempts in flight; no set-up is sent for
+//! a call that is over; each attempt is completed once. In the end the core and the controller retain nothing
+//! but the controller's servers, timers, and releases that no caller was connected to receive.
 
 mod common;
 
--- a/crates/lilacpitch-sip/tests/pinned_bytes.rs
+++ b/crates/lilacpitch-sip/tests/pinned_bytes.rs
@@ -27,7 +27,8 @@
     decode_all(CALLER_STREAM).into_iter().map(into_request).collect()
 }
 
-/// One message of each kind that a front node sends, in the order of the pinned stream.
+/// One message of each kind that the encoders write, in the order of the pinned stream. The additional field
+/// of the rejection is an example: a front node sends `P-Gap-Ms` there.
 fn encoded_messages() -> Vec<Vec<u8>> {
     let requests = caller_requests();
     let copied_fields = requests[0].copied_fields();
--- a/crates/lilacpitch/src/interface.rs
+++ b/crates/lilacpitch/src/interface.rs
@@ -132,7 +132,7 @@
     pub id: CallId,
     /// Its class, as an index into [`Settings::classes`].
     pub class: usize,
-    /// The [`Endpoint::number`] that it prefers.
+    /// The [`Endpoint::number`] that it prefers; `u32::MAX`, which no server has, for none.
     pub first_choice: u32,
     /// How long its client waits for an answer, from now.
     pub budget_ns: Nanos,
--- a/crates/lilacpitch/src/wire.rs
+++ b/crates/lilacpitch/src/wire.rs
@@ -428,6 +428,7 @@
     Ok(Call {
         id: fields.u64("handle")?,
         class,
+        // -1 stands for no first choice. It becomes `u32::MAX`, which no server has as its number.
         first_choice: fields.number_or("terminates_at", -1.0)? as i64 as u32,
         budget_ns: fields.duration("budget_ns")?,
         dialled: fields.get("item").map(|_| fields.u64("item")).transpose()?,
--- a/crates/lilacpitch/tests/gossip.rs
+++ b/crates/lilacpitch/tests/gossip.rs
@@ -1,4 +1,5 @@
-//! Peer reports through the public interface: their effect, and that no single peer has one.
+//! Peer reports through the public interface: the effect of several peers' reports, and that the reports of a
+//! single peer have none.
 
 mod common;
 use common::*;
