--- a/crates/lilacpitch/src/interface.rs
+++ b/crates/lilacpitch/src/interface.rs
@@ -117,7 +117,8 @@
     Failed,
 }
 
-/// The part of a server's load report that is used. Its processor load is ignored: it is late and noisy.
+/// The part of a server's load report that is used. The processor load in a report is ignored, since it is
+/// late and noisy.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
 pub struct LoadReport {
     /// Free circuits towards the server, or free agents at it; `None` if unknown.
@@ -131,7 +132,7 @@
     pub id: CallId,
     /// Its class, as an index into [`Settings::classes`].
     pub class: usize,
-    /// The [`Endpoint::number`] that it prefers.
+    /// The [`Endpoint::number`] that it prefers; `u32::MAX`, which no server has, for none.
     pub first_choice: u32,
     /// How long its client waits for an answer, from now.
     pub budget_ns: Nanos,
@@ -283,7 +284,7 @@
         /// The call.
         call: CallId,
     },
-    /// Deliver [`Event::TimerFired`] at this time.
+    /// Deliver [`Event::TimerFired`] at this time. A timer that is already set for later may be dropped.
     SetTimer(Nanos),
     /// Subscribe to the endpoint list.
     Subscribe,
