--- a/crates/lilacpitch-config/src/edge.rs
+++ b/crates/lilacpitch-config/src/edge.rs
@@ -16,13 +16,13 @@
 /// A front's settings. Durations are in nanoseconds.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 pub struct Edge {
-    /// The front's name, as servers and logs have it.
+    /// The front's name, by which servers and logs identify it.
     pub name: String,
     /// The address it accepts callers on.
     pub listen: SocketAddr,
-    /// The address its metrics are served on, if they are.
+    /// The address its metrics are served on; `None`: they are not served.
     pub metrics: Option<SocketAddr>,
-    /// Path of the pool list.
+    /// Path of the pool list, which the edge's code calls the endpoint list.
     pub pool_list: String,
     /// Interval between checks of the pool list for changes.
     #[serde(deserialize_with = "de_duration", rename = "look_at_pool_list_every")]
@@ -31,12 +31,12 @@
     pub pools: Vec<String>,
     /// How it gossips with other fronts; `None`: it does not.
     pub peers: Option<PeersOf>,
-    /// How it takes part in the fleet's register; `None`: it does not.
+    /// How it publishes and looks up location records in the fleet; `None`: it does neither.
     #[serde(default)]
     pub fleet: Option<FleetOf>,
-    /// Classes of calls; a class's index is its number in the protocol.
+    /// Classes of calls. Callers give a class by name; the controller identifies it by its index here.
     pub classes: Vec<Class>,
-    /// Parameters of the call rules.
+    /// Parameters of attempts, draining and slow start.
     pub rules: Rules,
     /// Timeouts and intervals.
     pub timing: Timing,
@@ -73,15 +73,15 @@
     /// How long a caller keeps trying, from its first try, in nanoseconds.
     #[serde(deserialize_with = "de_duration", rename = "give_up")]
     pub give_up_ns: u64,
-    /// Worth of a call established within the target time.
+    /// Weight of a call established within the target time, compared with calls of other classes.
     pub worth: f64,
-    /// Share of the worth that remains when the call is established later.
+    /// Share of the weight that remains when the call is established later.
     pub late_worth: f64,
     /// The pools that can take calls of the class; empty: any.
     pub pools: Vec<String>,
 }
 
-/// Parameters of the five call rules.
+/// Parameters of attempts, draining and slow start.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 pub struct Rules {
     /// Delay before a call's next attempt after a time-out, reset or cancel, in nanoseconds.
--- a/crates/lilacpitch-config/src/fleet.rs
+++ b/crates/lilacpitch-config/src/fleet.rs
@@ -1,4 +1,4 @@
-//! Settings of the fleet's register: `#FleetOf` in a front's settings, and `#Site`, the settings of
+//! Settings of the fleet's location service: `#FleetOf` in a front's settings, and `#Site`, the settings of
 //! `lilacpitch-site`.
 
 use crate::edge::{schema, Log};
@@ -14,7 +14,7 @@
     pub name: String,
     /// Name of the parent site; empty for the root.
     pub parent: String,
-    /// Addresses of its processes, in the order of their positions.
+    /// Addresses of its processes; the index of each is its `place`.
     pub processes: Vec<SocketAddr>,
 }
 
@@ -26,11 +26,11 @@
     pub lease_ns: u64,
     /// Largest drift of a clock from true time, as a share of the time elapsed.
     pub clock_allowance: f64,
-    /// A lease holder that has not applied a purge for this long gets no further lease.
+    /// A lease holder that has not applied a command for this long gets no further lease.
     #[serde(deserialize_with = "de_duration", rename = "straggler")]
     pub straggler_ns: u64,
-    /// Age after which a summary excludes no shard from a locate: a record is found by every locate that
-    /// begins this long after the record was acknowledged.
+    /// Age after which a summary rules its site out of no locate, so that a record is found by every locate
+    /// that begins this long after the record was acknowledged.
     #[serde(deserialize_with = "de_duration", rename = "settle")]
     pub settle_ns: u64,
     /// Interval between requests for summaries.
@@ -39,12 +39,12 @@
     /// Time in which one process should answer a request.
     #[serde(deserialize_with = "de_duration", rename = "ask")]
     pub ask_ns: u64,
-    /// How long the location records of a front without a lease are kept.
+    /// How long the location records of a front are kept after it has stopped requesting leases.
     #[serde(deserialize_with = "de_duration", rename = "rows_kept")]
     pub rows_kept_ns: u64,
 }
 
-/// A front's settings of the fleet's register.
+/// A front's settings of the fleet's location service.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 pub struct FleetOf {
     /// The site that the front writes its records to and gets purges from.
@@ -62,9 +62,9 @@
     pub locate_longest_ns: u64,
     /// Most numbers whose locate results are cached.
     pub cache: usize,
-    /// Most requests in flight at once.
+    /// Most lookups and searches in flight at once.
     pub questions: usize,
-    /// Threads that serve the fleet's connections.
+    /// Worker threads of the front's agent in the fleet.
     pub threads: usize,
     /// Parameters that must be the same in the whole fleet.
     pub terms: Terms,
@@ -90,11 +90,11 @@
     pub sites: Vec<SiteAt>,
     /// Path of the file of keys.
     pub key_file: String,
-    /// Number of shards of the register.
+    /// Number of shards of the site's record store.
     pub shards: usize,
     /// Threads that serve connections.
     pub threads: usize,
-    /// Most requests processed at once; more are rejected.
+    /// Most queries for location records handled at once; more are rejected.
     pub questions: usize,
     /// Parameters that must be the same in the whole fleet.
     pub terms: Terms,
--- a/crates/lilacpitch-config/src/parser.rs
+++ b/crates/lilacpitch-config/src/parser.rs
@@ -8,12 +8,14 @@
 /// Deepest nesting. Files nested deeper are rejected, so that none can overflow the stack.
 const MAX_DEPTH: usize = 64;
 
+/// An expression with its place in the text.
 #[derive(Debug, Clone)]
 pub(crate) struct Expr {
     pub kind: Kind,
     pub span: Span,
 }
 
+/// The kind of an expression, with its parts.
 #[derive(Debug, Clone)]
 pub(crate) enum Kind {
     Null,
@@ -33,6 +35,7 @@
     Or(Vec<(bool, Expr)>),
 }
 
+/// A struct as written, or the top level of a file.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct Struct {
     pub fields: Vec<Field>,
@@ -42,6 +45,7 @@
     pub open: bool,
 }
 
+/// A field of a struct as written.
 #[derive(Debug, Clone)]
 pub(crate) struct Field {
     pub name: String,
--- a/crates/lilacpitch-config/src/pools.rs
+++ b/crates/lilacpitch-config/src/pools.rs
@@ -6,7 +6,7 @@
 use std::net::SocketAddr;
 use std::path::Path;
 
-/// A pool list: the signalling servers a front may use.
+/// A pool list: the signalling servers a front may use. The edge's code calls it the endpoint list.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 pub struct Pools {
     /// The servers listed.
--- a/crates/lilacpitch-config/src/value.rs
+++ b/crates/lilacpitch-config/src/value.rs
@@ -26,6 +26,7 @@
     }
 }
 
+/// A basic type of CUE.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Type {
     Any,
@@ -36,12 +37,14 @@
     Bool,
 }
 
+/// A value with its place in the file or the schema.
 #[derive(Debug, Clone)]
 pub(crate) struct Node {
     pub value: Value,
     pub span: Span,
 }
 
+/// A concrete value, or a constraint on values.
 #[derive(Debug, Clone)]
 pub(crate) enum Value {
     Null,
@@ -63,6 +66,7 @@
     Or(Vec<(bool, Node)>),
 }
 
+/// An evaluated struct.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct Record {
     pub fields: BTreeMap<String, Slot>,
@@ -72,6 +76,7 @@
     pub open: bool,
 }
 
+/// A field of an evaluated struct.
 #[derive(Debug, Clone)]
 pub(crate) struct Slot {
     pub node: Node,
@@ -86,7 +91,7 @@
     }
 }
 
-/// The value as CUE would have it, shortened where it is long, for error messages.
+/// The value in CUE's notation, shortened where it is long, for error messages.
 impl fmt::Display for Value {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let joined = |parts: Vec<String>, separator: &str| parts.join(separator);
--- a/crates/lilacpitch-edge/src/core/endpoint_list.rs
+++ b/crates/lilacpitch-edge/src/core/endpoint_list.rs
@@ -1,4 +1,5 @@
-//! The endpoint list: adds, updates and removes servers, and ends the attempts that this affects.
+//! The endpoint list, which the settings call the pool list: adds, updates and removes servers, and ends the
+//! attempts that this affects.
 //!
 //! Each version of the list is complete. A server that it no longer names is removed; its id is never reused
 //! for another name.
--- a/crates/lilacpitch-edge/src/core/upstreams.rs
+++ b/crates/lilacpitch-edge/src/core/upstreams.rs
@@ -18,7 +18,7 @@
 /// The state of the connection to a server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum UpstreamState {
-    /// No connection was attempted since the server was added, or since it was removed.
+    /// No connection was attempted since the server was added or last removed.
     NeverTried,
     /// Lost or not established; a timer tries again while the server is in service.
     Lost,
--- a/crates/lilacpitch-edge/src/fleet/locate.rs
+++ b/crates/lilacpitch-edge/src/fleet/locate.rs
@@ -162,6 +162,7 @@
         drop(pending_lookups);
         let (agent, number, read_from_ns) = (self.clone(), number.clone(), lookup.read_from_ns);
         tokio::spawn(async move {
+            // Without this safeguard, a lookup may hold its slot long after its call has stopped waiting.
             let factor = if agent.safeguards.calls_first { 1 } else { 100 };
             let budget = Duration::from_nanos(agent.settings.locate_longest_ns * factor);
             let answer = agent.query_sites(locate, true, budget).await;
--- a/crates/lilacpitch-edge/src/fleet/mod.rs
+++ b/crates/lilacpitch-edge/src/fleet/mod.rs
@@ -189,8 +189,8 @@
         self.has_lost_records |= batch.is_some_and(|records| !self.send(ToAgent::RecordsChanged(records)));
     }
 
-    /// Whether changes were lost and the channel has room again. Then all records must be published again,
-    /// and the agent has been informed.
+    /// Returns whether all records must be published again now: changes were lost, the channel has room
+    /// again, and the agent was sent [`ToAgent::RecordsLost`].
     pub(crate) fn take_republish_due(&mut self) -> bool {
         let is_due = self.has_lost_records
             && self.sender.capacity() > CHANNEL_CAPACITY / 2
--- a/crates/lilacpitch-edge/tests/hard_cases.rs
+++ b/crates/lilacpitch-edge/tests/hard_cases.rs
@@ -97,7 +97,7 @@
         let events = caller.events_within(ms(100));
         let answers = final_answers(&events).remove("c").unwrap_or_default();
         assert_eq!(answers.len(), 1, "not exactly one answer at {delay_ms} ms: {events:?}");
-        // The server is asked to end the call exactly if the caller was not answered that it stands.
+        // The server is asked to end the call if and only if the caller was not told that it is established.
         let received = servers.messages_within(ms(60));
         let is_ended = received.iter().any(|r| !matches!(r.message, ToServer::Setup { .. }));
         let is_established = answers[0] == Answer::Stands;
--- a/crates/lilacpitch-fleet/src/audit.rs
+++ b/crates/lilacpitch-fleet/src/audit.rs
@@ -46,7 +46,7 @@
     pub version: Version,
     /// The purge position at that time.
     pub position: LogPosition,
-    /// The index of the purge position when the next change followed, or so far.
+    /// The index of the purge position at the next change or, while there is none, at present.
     pub moved_to: u64,
 }
 
--- a/crates/lilacpitch-fleet/src/catalogue.rs
+++ b/crates/lilacpitch-fleet/src/catalogue.rs
@@ -45,8 +45,9 @@
     shards: Vec<ShardSummary>,
     /// The sum of the versions of all shards.
     total: u64,
-    /// The time as of which the summary is valid, by this process's steady clock: when the first process on
-    /// its path requested it. `None`: the summary is not complete yet.
+    /// The time as of which the summary is valid, by this process's steady clock. A summary may be passed on
+    /// by several processes; this is no later than the request of the one that polled the site itself.
+    /// `None`: the summary is not complete yet.
     as_of_ns: Option<Nanos>,
     /// Hashes of the numbers whose purge is not in the command log yet.
     pending: BTreeSet<u64>,
--- a/crates/lilacpitch-fleet/src/lease_holder.rs
+++ b/crates/lilacpitch-fleet/src/lease_holder.rs
@@ -18,7 +18,8 @@
     Unchanged,
 }
 
-/// The state of a lease holder. The caller must apply the commands that are returned before it calls again.
+/// The state of a lease holder. The caller must apply the commands that a method returns, and report each to
+/// [`LeaseHolder::record_applied`], before it handles another response.
 #[derive(Debug, Clone, Default)]
 pub struct LeaseHolder {
     position: Option<LogPosition>,
@@ -51,8 +52,9 @@
     /// Returns until when cached answers may be used. Call this directly before an answer is used: the lease
     /// may have expired during any earlier pause.
     ///
-    /// # Errors [`LeaseError`] if the settings are withdrawn, the lease has expired, or commands that it
-    /// requires are not applied.
+    /// # Errors
+    /// [`LeaseError`] if the settings are withdrawn, the lease has expired, or commands that it requires are
+    /// not applied.
     pub fn valid_until(&self, now: Nanos) -> Result<Nanos, LeaseError> {
         if self.is_withdrawn() {
             return Err(LeaseError::Withdrawn);
@@ -121,7 +123,8 @@
         Ok(next)
     }
 
-    /// Records that a command is applied: all cached answers that it purges are removed.
+    /// Records that the caller has applied the next command: it has removed the cached answers that the
+    /// command purges.
     pub fn record_applied(&mut self, command: &FleetCommand) {
         match &command.action {
             CommandAction::Purge(_) => {}
--- a/crates/lilacpitch-fleet/src/lib.rs
+++ b/crates/lilacpitch-fleet/src/lib.rs
@@ -13,7 +13,7 @@
 //! - [`locate`]: one query to all sites that may have a matching record.
 //! - [`query_dispatcher`]: which process of a site gets a query.
 //! - [`concurrency_limit`]: how many queries a process handles concurrently.
-//! - [`cache`]: cached answers, from which purges remove what they withdraw.
+//! - [`cache`]: cached answers, which purge commands remove.
 //! - [`write_batcher`]: batches of record changes.
 //! - [`audit`]: which front acted on which version, and when.
 //! - [`disk_loss_recovery`]: when a process with a new disk may take part in its site's log.
--- a/crates/lilacpitch-fleet/src/query_dispatcher.rs
+++ b/crates/lilacpitch-fleet/src/query_dispatcher.rs
@@ -19,12 +19,12 @@
     pub tick_ns: Nanos,
 }
 
-/// The delay before the first health check of a process that did not respond; it doubles with each check.
+/// The delay before the first probe of a process that did not respond; it doubles with each probe.
 const FIRST_POLL_DELAY_NS: Nanos = 50_000_000;
-/// The maximum delay between two health checks.
+/// The maximum delay between two probes.
 const MAX_POLL_DELAY_NS: Nanos = 500_000_000;
 
-/// Returns the delay before the `nth` health check, from 0, of a process that did not respond, in
+/// Returns the delay before the `nth` probe, counted from 0, of a process that did not respond, in
 /// nanoseconds.
 pub fn poll_delay_ns(nth: u32) -> Nanos {
     (FIRST_POLL_DELAY_NS << nth.min(16)).min(MAX_POLL_DELAY_NS)
@@ -89,10 +89,12 @@
             resend_interval_ns: 0,
             release_ns: 0,
             max_attempts: 3,
-            // An attempt that times out is followed by one to another process while the budget lasts.
+            // No attempt is cancelled early. One that times out is followed by an attempt at another process
+            // while the budget lasts.
             may_cancel: false,
             max_retry_after_ns: 0,
             must_subscribe: false,
+            // No slow start: a process has its full capacity as soon as it runs.
             slow_start_floor: 1.0,
             slow_start_ns: 0,
             overload_multiple: 1e6,
@@ -124,7 +126,7 @@
         }
     }
 
-    /// Records that a process which did not respond has passed a health check. Queries alone are too rare to
+    /// Records that a process which did not respond has answered a probe. Queries alone are too rare to
     /// detect a recovery in time. The process is then treated as one that has just started, without known
     /// load.
     pub fn mark_recovered(&mut self, now: Nanos, site: usize, process: usize, out: &mut Vec<DispatchAction>) {
--- a/crates/lilacpitch-gossip/src/member_id.rs
+++ b/crates/lilacpitch-gossip/src/member_id.rs
@@ -9,9 +9,9 @@
 /// One incarnation of a front. The order of the fields determines the encoding.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct MemberId {
-    /// The name in its settings.
+    /// The name in the front's settings.
     pub name: String,
-    /// The address of its datagram socket; no two fronts share one.
+    /// The address of the front's datagram socket; no two fronts share one.
     pub address: SocketAddr,
     /// Start of this incarnation, in nanoseconds of Unix time. Incremented when peers have declared the front
     /// dead by mistake.
--- a/crates/lilacpitch-gossip/src/peers/membership.rs
+++ b/crates/lilacpitch-gossip/src/peers/membership.rs
@@ -45,7 +45,7 @@
     delay_ns: Nanos,
     /// Most members known at once so far.
     most_members: usize,
-    /// Announcements in a row after which no more members were known.
+    /// Consecutive rounds of announcements that found no further member.
     rounds_without_gain: u32,
 }
 
--- a/crates/lilacpitch-gossip/src/peers/reports.rs
+++ b/crates/lilacpitch-gossip/src/peers/reports.rs
@@ -12,7 +12,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
-/// Peers that are sent a request in one round: enough that a wrong one is outvoted.
+/// Peers that are sent a request in one round, so many that one with wrong reports is in the minority.
 const REQUESTS_PER_ROUND: usize = 3;
 /// The delay before the second round of requests; it doubles with each round.
 const FIRST_REQUEST_DELAY_NS: Nanos = 300 * MS;
@@ -23,7 +23,8 @@
 /// Most requests answered per second, and in one burst: fronts that start together must not overload their
 /// peers.
 const MAX_ANSWERS_PER_S: u64 = 20;
-/// Tokens that one answer takes from the budget.
+/// Nanoseconds in a second. Also the tokens that one answer takes from the budget, which gains
+/// [`MAX_ANSWERS_PER_S`] tokens in each nanosecond.
 const NS_PER_S: u64 = 1_000_000_000;
 /// Random members that each batch of rumors is sent to.
 const RUMOR_RECEIVERS: usize = 3;
@@ -131,7 +132,7 @@
             self.counters.requests_sent += 1;
             self.send(to, Body::RequestReports { request_id: self.report_requests.id }, effects);
         }
-        // Half of the delay is random, so that fronts that start together don't send their requests in step.
+        // Half of the delay is random, so that fronts that start together don't send requests simultaneously.
         let delay_ns = self.report_requests.delay_ns;
         let jittered_ns = delay_ns / 2 + self.rng.random_range(0..=delay_ns / 2);
         self.report_requests.delay_ns = delay_ns.saturating_mul(2);
--- a/crates/lilacpitch-gossip/src/rumors.rs
+++ b/crates/lilacpitch-gossip/src/rumors.rs
@@ -23,7 +23,8 @@
 /// A rumor replaces one of the same origin only if it is newer by more than this. It is longer than the time
 /// a rumor takes through the installation, which is not part of its age.
 const MIN_NEWER_NS: Nanos = 20 * MS;
-/// Batches in which a front passes a rumor on, each to a few others; so it reaches nearly all fronts.
+/// Number of batches in which a front passes on a rumor. Each batch goes to a few other fronts, which is
+/// enough for the rumor to reach nearly all.
 pub const MAX_ROUNDS: u8 = 2;
 /// Most bytes that the number of servers takes in an encoded batch.
 const COUNT_BYTES: usize = 2;
--- a/crates/lilacpitch-location/src/record.rs
+++ b/crates/lilacpitch-location/src/record.rs
@@ -63,9 +63,9 @@
 /// What a record states about its number.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Kind {
-    /// A binding: a handset, console or driver is reached here.
+    /// A binding: the number is that of a caller, such as a handset, which is reached through the owner.
     Binding,
-    /// A call to it is active here.
+    /// A call to the number is active at the owner.
     ActiveCall,
 }
 
@@ -116,9 +116,9 @@
 pub struct LocationRecord {
     /// Its key.
     pub key: Key,
-    /// The class of the call, or of calls to it; may be empty.
+    /// The class of the call, or of calls to the number; may be empty.
     pub class: String,
-    /// The trunk group: the pool through which it is reached or through which the call goes.
+    /// The trunk group: the pool through which the number is reached or through which the call goes.
     pub trunk_group: String,
     /// Start of the binding or call, in milliseconds of Unix time by the clock of the front that wrote the
     /// record.
--- a/crates/lilacpitch-location/src/store.rs
+++ b/crates/lilacpitch-location/src/store.rs
@@ -27,7 +27,7 @@
         self.records_from(number.as_str()).next().is_some_and(|(key, _)| key.number == *number)
     }
 
-    /// The records from the first number with this prefix on, or from where it would be.
+    /// The records in key order, from the first number that has this prefix or sorts after it.
     fn records_from(&self, digits: &str) -> impl Iterator<Item = (&Key, &LocationRecord)> {
         self.records.range(Key::lowest_with_prefix(digits)..)
     }
--- a/crates/lilacpitch-location/tests/orders.rs
+++ b/crates/lilacpitch-location/tests/orders.rs
@@ -1,6 +1,6 @@
 //! The store's own source compiled with `shuttle`'s locks, whose interleavings are explored: a writer runs
-//! concurrently with a router that follows summaries and with a snapshot. A summary must contain every record
-//! that was inserted before the summary was requested.
+//! concurrently with a snapshot and with a router, which keeps copies of the summaries and updates them. A
+//! summary must contain every record that was inserted before the summary was requested.
 
 use lilacpitch_location::{error, query, record, summary};
 
--- a/crates/lilacpitch-location/tests/store.rs
+++ b/crates/lilacpitch-location/tests/store.rs
@@ -85,8 +85,9 @@
         }
     }
 
-    /// Guards against a relay with an older summary that reverts a router's newer one while the router keeps
-    /// the newer version.
+    /// The router keeps a copy of a summary, which it updates from the store and from a relay that may lag
+    /// behind. Guards against a relay's older update that reverts the content of the router's newer summary
+    /// while the router keeps the newer version.
     #[test]
     fn summary_version_never_decreases_with_updates_from_two_sources(
         steps in prop::collection::vec((0u32..3_000, 0usize..4), 1..500),
--- a/crates/lilacpitch-site/src/log/store.rs
+++ b/crates/lilacpitch-site/src/log/store.rs
@@ -178,7 +178,8 @@
 
     /// Reads the snapshot on disk; `None` if there is none.
     ///
-    /// # Errors [`StoreError::SnapshotHash`] if the file was written only in part or was changed, and
+    /// # Errors
+    /// [`StoreError::SnapshotHash`] if the file was written only in part or was changed, and
     /// [`StoreError::File`] if it can't be read.
     pub fn snapshot(&self) -> Result<Option<Vec<u8>>, StoreError> {
         let path = self.snapshot_path();
--- a/crates/lilacpitch-site/tests/log_store.rs
+++ b/crates/lilacpitch-site/tests/log_store.rs
@@ -1,4 +1,4 @@
-//! The data folder of a process.
+//! The data folder of a process: each incarnation is later than the former one.
 
 use lilacpitch_site::log::store::LogStore;
 
