--- a/crates/lilacpitch-testbed/src/call_rules_checker.rs
+++ b/crates/lilacpitch-testbed/src/call_rules_checker.rs
@@ -19,7 +19,7 @@
 
 /// Time limits that the rules depend on.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Figures {
+pub struct RuleLimits {
     /// How long a server may still receive new attempts after its drain was announced, in nanoseconds.
     pub drain_grace_ns: Nanos,
     /// Minimum gap between an attempt that ended by a timeout, reset or cancel and the call's next attempt,
@@ -61,18 +61,18 @@
 
 /// A violation of a rule.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Breach {
+pub struct Violation {
     /// The rule that was violated.
     pub rule: Rule,
     /// When the violation was recorded, in nanoseconds of the run's clock.
     pub at_ns: Nanos,
     /// Description of the records that show the violation.
-    pub what: String,
+    pub description: String,
 }
 
-impl fmt::Display for Breach {
+impl fmt::Display for Violation {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{:.3} s: {}: {}", self.at_ns as f64 / 1e9, self.rule.text(), self.what)
+        write!(f, "{:.3} s: {}: {}", self.at_ns as f64 / 1e9, self.rule.text(), self.description)
     }
 }
 
@@ -105,25 +105,25 @@
 }
 
 /// Checks a run's records, in any order, and returns the violations by time.
-pub fn judge(records: &[Record], figures: Figures) -> Vec<Breach> {
+pub fn check(records: &[Record], limits: RuleLimits) -> Vec<Violation> {
     let mut ordered: Vec<&Record> = records.iter().collect();
     ordered.sort_by_key(|record| record.at_ns);
-    let mut checker = Checker { figures, ..Checker::default() };
+    let mut checker = Checker { limits, ..Checker::default() };
     for record in ordered {
         checker.observe(record);
     }
     checker.finish()
 }
 
-impl Default for Figures {
+impl Default for RuleLimits {
     fn default() -> Self {
-        Figures { drain_grace_ns: 500_000_000, release_ns: 300_000_000 }
+        RuleLimits { drain_grace_ns: 500_000_000, release_ns: 300_000_000 }
     }
 }
 
 #[derive(Default)]
 struct Checker {
-    figures: Figures,
+    limits: RuleLimits,
     calls: BTreeMap<String, Call>,
     /// The call of each attempt, by the front's number and the attempt's number.
     call_by_attempt: BTreeMap<(usize, u64), String>,
@@ -131,12 +131,12 @@
     draining: BTreeMap<String, Nanos>,
     /// For each front, the spans in which it was frozen; `None` as the end: still frozen.
     frozen: BTreeMap<usize, Vec<(Nanos, Option<Nanos>)>>,
-    breaches: Vec<Breach>,
+    violations: Vec<Violation>,
 }
 
 impl Checker {
-    fn breach(&mut self, rule: Rule, at_ns: Nanos, what: String) {
-        self.breaches.push(Breach { rule, at_ns, what });
+    fn add_violation(&mut self, rule: Rule, at_ns: Nanos, description: String) {
+        self.violations.push(Violation { rule, at_ns, description });
     }
 
     fn observe(&mut self, record: &Record) {
@@ -153,7 +153,11 @@
                     .get(call)
                     .is_some_and(|call| call.answers.iter().any(|(_, answer)| *answer == Answer::Stands));
                 if !was_established {
-                    self.breach(Rule::OneAnswer, at, format!("call {call} released without having stood"));
+                    self.add_violation(
+                        Rule::OneAnswer,
+                        at,
+                        format!("call {call} released without having stood"),
+                    );
                 }
             }
             Seen::NotTaken { call } | Seen::CallerEnded { call } => self.waive_answer(at, call),
@@ -188,8 +192,8 @@
             Seen::Told { server, running: true } => drop(self.draining.remove(server)),
             Seen::Told { server, running: false } => drop(self.draining.entry(server.clone()).or_insert(at)),
             Seen::Fell { server, multiple } => {
-                let what = format!("{server} fell over, sent {multiple:.2} times what it could do");
-                self.breach(Rule::ColdServers, at, what);
+                let description = format!("{server} fell over, sent {multiple:.2} times what it could do");
+                self.add_violation(Rule::ColdServers, at, description);
             }
             Seen::Frozen { edge } => {
                 let spans = self.frozen.entry(*edge).or_default();
@@ -240,7 +244,11 @@
 
     fn observe_answer(&mut self, at: Nanos, name: &str, answer: Answer) {
         let Some(call) = self.calls.get_mut(name) else {
-            return self.breach(Rule::OneAnswer, at, format!("answer for {name}, which nobody offered"));
+            return self.add_violation(
+                Rule::OneAnswer,
+                at,
+                format!("answer for {name}, which nobody offered"),
+            );
         };
         call.answers.push((at, answer));
         let count = call.answers.len();
@@ -248,9 +256,9 @@
         let is_late = at > self.answer_deadline_ns(call);
         let late_by_ms = at.saturating_sub(call.due_ns) / 1_000_000;
         if count > 1 {
-            self.breach(Rule::OneAnswer, at, format!("answer {count} for call {name}: {answer:?}"));
+            self.add_violation(Rule::OneAnswer, at, format!("answer {count} for call {name}: {answer:?}"));
         } else if is_late {
-            self.breach(Rule::OneAnswer, at, format!("call {name} answered {late_by_ms} ms late"));
+            self.add_violation(Rule::OneAnswer, at, format!("call {name} answered {late_by_ms} ms late"));
         }
     }
 
@@ -264,15 +272,15 @@
     ) {
         let drain_ns =
             self.draining.get(server).map(|announced_ns| self.readable_since_ns(edge, *announced_ns));
-        let past_grace = drain_ns.filter(|drain_ns| !repeat && at > drain_ns + self.figures.drain_grace_ns);
+        let past_grace = drain_ns.filter(|drain_ns| !repeat && at > drain_ns + self.limits.drain_grace_ns);
         if let Some(drain_ns) = past_grace {
             let after_ms = (at - drain_ns) / 1_000_000;
-            let what =
+            let description =
                 format!("attempt {number} of {name} reached {server} {after_ms} ms after its drain was told");
-            self.breach(Rule::Drains, at, what);
+            self.add_violation(Rule::Drains, at, description);
         }
         let Some(call) = self.calls.get(name) else {
-            return self.breach(
+            return self.add_violation(
                 Rule::OneAnswer,
                 at,
                 format!("set-up at {server} for {name}, which nobody offered"),
@@ -283,9 +291,9 @@
         let over_ns = answered_ns.into_iter().chain(waived_ns).min();
         if let Some(over_ns) = over_ns.filter(|over_ns| at > over_ns + RECORDING_TOLERANCE_NS) {
             let after_ms = (at - over_ns) / 1_000_000;
-            let what =
+            let description =
                 format!("attempt {number} of {name} reached {server} {after_ms} ms after the call was over");
-            self.breach(Rule::OneAnswer, at, what);
+            self.add_violation(Rule::OneAnswer, at, description);
         }
         if repeat || self.call_by_attempt.contains_key(&(edge, number)) {
             return;
@@ -303,18 +311,18 @@
             .map(|end| end.at_ns)
             .max();
         if let Some((ongoing_number, ongoing_server)) = ongoing {
-            let what = format!(
+            let description = format!(
                 "attempt {number} of {name} reached {server} with attempt {ongoing_number} out at \
                  {ongoing_server}"
             );
-            self.breach(Rule::OneAttempt, at, what);
+            self.add_violation(Rule::OneAttempt, at, description);
         }
-        let release_ns = self.figures.release_ns.saturating_sub(RECORDING_TOLERANCE_NS);
+        let release_ns = self.limits.release_ns.saturating_sub(RECORDING_TOLERANCE_NS);
         if let Some(end_ns) = last_release_needed_ns.filter(|end_ns| at < end_ns + release_ns) {
             let after_ms = at.saturating_sub(end_ns) / 1_000_000;
-            let what =
+            let description =
                 format!("attempt {number} of {name} reached {server} {after_ms} ms after the one before");
-            self.breach(Rule::Release, at, what);
+            self.add_violation(Rule::Release, at, description);
         }
         self.call_by_attempt.insert((edge, number), name.to_string());
         if let Some(call) = self.calls.get_mut(name) {
@@ -323,20 +331,20 @@
     }
 
     /// Reports the calls that were never answered, and returns all violations by time.
-    fn finish(mut self) -> Vec<Breach> {
+    fn finish(mut self) -> Vec<Violation> {
         let unanswered =
             self.calls.iter().filter(|(_, call)| call.answers.is_empty() && call.answer_waived_ns.is_none());
         let unanswered: Vec<_> =
             unanswered.map(|(name, call)| (call.due_ns, name.clone(), call.offered_ns)).collect();
         for (due_ns, name, offered_ns) in unanswered {
             let offered_s = offered_ns as f64 / 1e9;
-            self.breach(
+            self.add_violation(
                 Rule::OneAnswer,
                 due_ns,
                 format!("call {name}, offered at {offered_s:.3} s, was never answered"),
             );
         }
-        self.breaches.sort_by_key(|breach| (breach.at_ns, breach.rule));
-        self.breaches
+        self.violations.sort_by_key(|violation| (violation.at_ns, breach.rule));
+        self.violations
     }
 }
--- a/crates/lilacpitch-testbed/src/cli.rs
+++ b/crates/lilacpitch-testbed/src/cli.rs
@@ -3,7 +3,7 @@
 use clap::{Parser, Subcommand};
 use lilacpitch_edge::core::Safeguards;
 use lilacpitch_testbed::baseline::Baseline;
-use lilacpitch_testbed::call_rules_checker::{Breach, Rule};
+use lilacpitch_testbed::call_rules_checker::{Rule, Violation};
 use lilacpitch_testbed::compare::{compare, HEADING};
 use lilacpitch_testbed::day::{Day, DAY_SCHEMA};
 use lilacpitch_testbed::edges::Program;
@@ -323,9 +323,9 @@
 }
 
 /// Prints for each rule whether it was kept, with the first breaches. Returns whether all rules were kept.
-fn print_verdict(breaches: &[Breach]) -> bool {
+fn print_verdict(breaches: &[Violation]) -> bool {
     for rule in Rule::ALL {
-        let of_rule: Vec<&Breach> = breaches.iter().filter(|b| b.rule == rule).collect();
+        let of_rule: Vec<&Violation> = breaches.iter().filter(|b| b.rule == rule).collect();
         let verdict =
             if of_rule.is_empty() { "kept".to_string() } else { format!("BROKEN {} times", of_rule.len()) };
         println!("{:<42} {verdict}", rule.text());
--- a/crates/lilacpitch-testbed/src/day.rs
+++ b/crates/lilacpitch-testbed/src/day.rs
@@ -1,7 +1,7 @@
 //! A scenario ("day") as a typed record: load by class, servers, and faults ("troubles") with start, duration
 //! and magnitude. [`Day::script`] turns the faults into timed events.
 
-use crate::call_rules_checker::Figures;
+use crate::call_rules_checker::RuleLimits;
 use crate::simulated_network::Weather;
 use crate::simulation::caller::{CallerBehavior, Rate};
 use crate::simulation::server::{Answers, By, Make, ResponseFault};
@@ -316,8 +316,8 @@
     }
 
     /// The parameters of the call rules that the checker needs.
-    pub fn figures(&self) -> Figures {
-        Figures { drain_grace_ns: self.rules.drain_grace_ns, release_ns: self.rules.release_ns }
+    pub fn rule_limits(&self) -> RuleLimits {
+        RuleLimits { drain_grace_ns: self.rules.drain_grace_ns, release_ns: self.rules.release_ns }
     }
 
     /// The parameters of a server's model.
--- a/crates/lilacpitch-testbed/src/load.rs
+++ b/crates/lilacpitch-testbed/src/load.rs
@@ -5,7 +5,7 @@
 //! answer to the caller's read, all by the testbed's clock. It includes the testbed's own latency, which is
 //! measured with the same load on a program that only answers at once.
 
-use crate::call_rules_checker::Breach;
+use crate::call_rules_checker::Violation;
 use crate::day::Day;
 use crate::edges::{used, Program, Used};
 use crate::record::{Record, Seen};
@@ -26,7 +26,7 @@
     /// Number of calls offered, and of those established.
     pub calls: (u64, u64),
     /// Violations of the call rules.
-    pub breaches: Vec<Breach>,
+    pub breaches: Vec<Violation>,
     /// Latency that the front added to each call established at its first attempt, in microseconds.
     pub added_us: Histogram<u64>,
     /// The testbed's own round trip under the same load, in microseconds.
--- a/crates/lilacpitch-testbed/src/runner.rs
+++ b/crates/lilacpitch-testbed/src/runner.rs
@@ -1,7 +1,7 @@
 //! Runs a day with real fronts on loopback: starts them and the simulated servers and callers, injects the
 //! faults, and collects the records of what crossed the sockets.
 
-use crate::call_rules_checker::{judge, Breach};
+use crate::call_rules_checker::{self, Violation};
 use crate::callers;
 use crate::datagram_relay::Relay;
 use crate::day::{pool_list, Day, Kind, Listed, Script};
@@ -53,7 +53,7 @@
     /// The totals.
     pub report: Report,
     /// Violations of the call rules.
-    pub breaches: Vec<Breach>,
+    pub breaches: Vec<Violation>,
     /// Resources used by each front's process; empty for threads.
     pub used: Vec<Used>,
     /// Datagrams between fronts: in virtual time while calls arrive, on sockets from start to end.
@@ -115,7 +115,7 @@
     for record in &mut records {
         record.at_ns = record.at_ns.saturating_sub(start_ns);
     }
-    let breaches = judge(&records, day.figures());
+    let breaches = call_rules_checker::check(&records, day.rule_limits());
     Ok(Played {
         report: report(day, &records, 0),
         breaches,
--- a/crates/lilacpitch-testbed/src/simulated_run.rs
+++ b/crates/lilacpitch-testbed/src/simulated_run.rs
@@ -5,7 +5,7 @@
 //! of fronts runs in seconds. Messages take a random time and keep their order on a connection, as on TCP.
 
 use crate::baseline::Baseline;
-use crate::call_rules_checker::judge;
+use crate::call_rules_checker;
 use crate::day::{Day, Listed, Script, ServerEvent};
 use crate::record::{Record, Seen};
 use crate::report::report;
@@ -179,7 +179,7 @@
     }
     let mut records = simulation.records;
     records.iter_mut().for_each(|record| record.at_ns = record.at_ns.saturating_sub(START_NS));
-    let breaches = judge(&records, day.figures());
+    let breaches = call_rules_checker::check(&records, day.rule_limits());
     let ramp = simulation.servers.iter().map(|server| server.model.ramp()).fold(0.0, f64::max);
     let report = report(day, &records, 0);
     Ok(Played { report, breaches, records, used: Vec::new(), talk: simulation.gossip_traffic, ramp })
--- a/crates/lilacpitch-testbed/tests/call_rules_checker.rs
+++ b/crates/lilacpitch-testbed/tests/call_rules_checker.rs
@@ -2,7 +2,7 @@
 //! under the rule that it violates.
 
 use lilacpitch_protocol::message::call::Answer;
-use lilacpitch_testbed::call_rules_checker::{judge, Figures, Rule};
+use lilacpitch_testbed::call_rules_checker::{check, Rule, RuleLimits};
 use lilacpitch_testbed::record::{Record, Seen};
 
 const MS: u64 = 1_000_000;
@@ -59,15 +59,15 @@
 }
 
 fn violated_rules(records: &[Record]) -> Vec<Rule> {
-    judge(records, Figures::default()).into_iter().map(|breach| breach.rule).collect()
+    check(records, RuleLimits::default()).into_iter().map(|breach| breach.rule).collect()
 }
 
 #[test]
 fn correct_records_pass_in_any_order() {
     let mut records = correct_records();
-    assert_eq!(judge(&records, Figures::default()), vec![]);
+    assert_eq!(check(&records, RuleLimits::default()), vec![]);
     records.reverse();
-    assert_eq!(judge(&records, Figures::default()), vec![]);
+    assert_eq!(check(&records, RuleLimits::default()), vec![]);
 }
 
 #[test]
@@ -215,7 +215,7 @@
         ),
     ];
     for (name, records, rule, text) in cases {
-        let breaches = judge(&records, Figures::default());
+        let breaches = check(&records, RuleLimits::default());
         assert_eq!(breaches.len(), 1, "{name}: {breaches:?}");
         assert_eq!(breaches[0].rule, rule, "{name}");
         assert!(breaches[0].to_string().contains(text), "{name}: {}", breaches[0]);
