--- a/crates/lilacpitch-testbed/src/call_rules_checker.rs
+++ b/crates/lilacpitch-testbed/src/call_rules_checker.rs
@@ -344,7 +344,7 @@
                 format!("call {name}, offered at {offered_s:.3} s, was never answered"),
             );
         }
-        self.violations.sort_by_key(|violation| (violation.at_ns, breach.rule));
+        self.violations.sort_by_key(|violation| (violation.at_ns, violation.rule));
         self.violations
     }
 }
