--- a/crates/lilacpitch-edge/tests/peers_hard.rs
+++ b/crates/lilacpitch-edge/tests/peers_hard.rs
@@ -7,7 +7,7 @@
 use lilacpitch_gossip::{Effect, Keys, Peers, ServerReport, Settings};
 use lilacpitch_protocol::message::call::{Answer, ToCaller};
 use lilacpitch_testbed::datagram_relay::Relay;
-use lilacpitch_testbed::simulated_network::Weather;
+use lilacpitch_testbed::simulated_network::NetworkConditions;
 use std::net::{SocketAddr, UdpSocket};
 use std::sync::mpsc::{channel, Receiver, Sender, TryRecvError};
 use std::thread::JoinHandle;
@@ -340,7 +340,7 @@
 fn counts_damaged_datagrams_and_still_accepts_calls() {
     let servers = Servers::start(&[true, true]);
     let (edges, relay, _key) = start_behind_relay(&servers);
-    relay.weather(Weather { damaged: 50, lost: 20, split: 0 });
+    relay.set_conditions(NetworkConditions { damaged: 50, lost: 20, split: 0 });
     wait_until(TIMEOUT * 2, "every front sees all others", || edges.iter().all(|e| peer_count(e) == 2));
     for edge in &edges {
         set_up_calls(&servers, edge, 10, &[]);
@@ -361,16 +361,16 @@
     let servers = Servers::start(&[true, true]);
     let (edges, relay, _key) = start_behind_relay(&servers);
     wait_until(TIMEOUT * 2, "every front sees all others", || edges.iter().all(|e| peer_count(e) == 2));
-    relay.weather(Weather { split: 1, ..Weather::default() });
+    relay.set_conditions(NetworkConditions { split: 1, ..NetworkConditions::default() });
     wait_until(TIMEOUT * 6, "the two sides of the partition remove each other", || {
         peer_count(&edges[0]) == 0 && peer_count(&edges[1]) == 1
     });
     for edge in &edges {
         set_up_calls(&servers, edge, 3, &[]);
     }
-    relay.weather(Weather { lost: 100, ..Weather::default() });
+    relay.set_conditions(NetworkConditions { lost: 100, ..NetworkConditions::default() });
     std::thread::sleep(ms(300));
     set_up_calls(&servers, &edges[0], 3, &[]);
-    relay.weather(Weather::default());
+    relay.set_conditions(NetworkConditions::default());
     wait_until(TIMEOUT * 4, "every front sees all others again", || edges.iter().all(|e| peer_count(e) == 2));
 }
--- a/crates/lilacpitch-testbed/src/datagram_relay.rs
+++ b/crates/lilacpitch-testbed/src/datagram_relay.rs
@@ -1,7 +1,7 @@
 //! The network between real fronts: a relay on loopback through which each front is reached, with loss,
 //! damage and partitions of datagrams.
 
-use crate::simulated_network::Weather;
+use crate::simulated_network::NetworkConditions;
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 use std::net::SocketAddr;
@@ -30,7 +30,7 @@
 pub struct Relay {
     /// For each front, the address of the relay that forwards to it.
     pub public: Vec<SocketAddr>,
-    weather: watch::Sender<Weather>,
+    conditions: watch::Sender<NetworkConditions>,
     thread: JoinHandle<std::io::Result<Counts>>,
 }
 
@@ -44,23 +44,23 @@
             sockets.push(socket);
         }
         let public = sockets.iter().map(std::net::UdpSocket::local_addr).collect::<Result<_, _>>()?;
-        let (weather, weather_receiver) = watch::channel(Weather::default());
+        let (conditions, conditions_receiver) = watch::channel(NetworkConditions::default());
         let thread = std::thread::spawn(move || {
             let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
             tokio::task::LocalSet::new()
-                .block_on(&runtime, forward_all(sockets, real, weather_receiver, seed))
+                .block_on(&runtime, forward_all(sockets, real, conditions_receiver, seed))
         });
-        Ok(Relay { public, weather, thread })
+        Ok(Relay { public, conditions, thread })
     }
 
     /// Sets the faults from now on.
-    pub fn weather(&self, weather: Weather) {
-        self.weather.send_replace(weather);
+    pub fn set_conditions(&self, conditions: NetworkConditions) {
+        self.conditions.send_replace(conditions);
     }
 
     /// Stops the relay. Returns its counters.
     pub fn stop(self) -> std::io::Result<Counts> {
-        drop(self.weather);
+        drop(self.conditions);
         self.thread.join().unwrap_or_else(|_| Err(std::io::Error::other("the relay panicked")))
     }
 }
@@ -68,7 +68,7 @@
 async fn forward_all(
     sockets: Vec<std::net::UdpSocket>,
     real: Vec<SocketAddr>,
-    weather: watch::Receiver<Weather>,
+    conditions: watch::Receiver<NetworkConditions>,
     seed: u64,
 ) -> std::io::Result<Counts> {
     let real: Rc<[SocketAddr]> = real.into();
@@ -76,7 +76,7 @@
     for (to, socket) in sockets.into_iter().enumerate() {
         let forwarder = Forwarder { to, socket: Rc::new(UdpSocket::from_std(socket)?), real: real.clone() };
         let rng = StdRng::seed_from_u64(seed.wrapping_mul(1_000) + to as u64);
-        tasks.push(tokio::task::spawn_local(forwarder.run(weather.clone(), rng)));
+        tasks.push(tokio::task::spawn_local(forwarder.run(conditions.clone(), rng)));
     }
     let mut sum = Counts::default();
     for task in tasks {
@@ -97,7 +97,7 @@
 }
 
 impl Forwarder {
-    async fn run(self, mut weather: watch::Receiver<Weather>, mut rng: StdRng) -> Counts {
+    async fn run(self, mut conditions: watch::Receiver<NetworkConditions>, mut rng: StdRng) -> Counts {
         let (mut counts, mut buffer) = (Counts::default(), vec![0; MAX_UDP_BYTES]);
         loop {
             let (length, source) = tokio::select! {
@@ -107,7 +107,7 @@
                     Ok(received) => received,
                     Err(_) => continue,
                 },
-                changed = weather.changed() => match changed {
+                changed = conditions.changed() => match changed {
                     Ok(()) => continue,
                     Err(_) => return counts,
                 },
@@ -115,8 +115,8 @@
             counts.came = (counts.came.0 + 1, counts.came.1 + length as u64);
             let from = self.real.iter().position(|a| *a == source).unwrap_or(usize::MAX);
             let bytes = buffer[..length].to_vec();
-            let weather = *weather.borrow();
-            let arriving = weather.carry(from, Some(self.to), bytes, || rng.random());
+            let conditions = *conditions.borrow();
+            let arriving = conditions.carry(from, Some(self.to), bytes, || rng.random());
             counts.lost += u64::from(arriving.is_empty());
             counts.went += arriving.len() as u64;
             for (delay_ns, bytes) in arriving {
--- a/crates/lilacpitch-testbed/src/day.rs
+++ b/crates/lilacpitch-testbed/src/day.rs
@@ -2,7 +2,7 @@
 //! and magnitude. [`Day::script`] turns the faults into timed events.
 
 use crate::call_rules_checker::RuleLimits;
-use crate::simulated_network::Weather;
+use crate::simulated_network::NetworkConditions;
 use crate::simulation::caller::{CallerBehavior, Rate};
 use crate::simulation::server::{Answers, By, Make, ResponseFault};
 use lilacpitch::interface::Nanos;
@@ -404,10 +404,10 @@
     }
 
     /// The faults of the network between fronts at a time of the day.
-    pub fn weather(&self, script: &Script, day_ns: Nanos) -> Weather {
+    pub fn network_conditions(&self, script: &Script, day_ns: Nanos) -> NetworkConditions {
         let all_lost = script.peers_lost.iter().any(|(start, end)| (*start..*end).contains(&day_ns));
         let damaged = script.peers_damaged.iter().filter(|(start, end, _)| (*start..*end).contains(&day_ns));
-        Weather {
+        NetworkConditions {
             lost: if all_lost { 100 } else { self.peer_loss },
             damaged: damaged.map(|(.., percent)| *percent).max().unwrap_or(0),
             split: 0,
--- a/crates/lilacpitch-testbed/src/membership.rs
+++ b/crates/lilacpitch-testbed/src/membership.rs
@@ -2,7 +2,7 @@
 //! other, the traffic, the time until a failure is detected, false detections, and the recovery from a
 //! partition.
 
-use crate::simulated_network::{MembershipChange, Network, Sent};
+use crate::simulated_network::{GossipTraffic, MembershipChange, Network};
 use lilacpitch::interface::Nanos;
 use rayon::prelude::*;
 use std::fmt;
@@ -57,12 +57,12 @@
 /// Runs one case with one seed.
 pub fn watch(case: Case, seed: u64) -> Seen {
     let mut network = Network::new(case.fronts, seed);
-    network.weather.lost = case.lost;
+    network.conditions.lost = case.lost;
     for front in 0..case.fronts {
         network.start(front);
         network.run(START_WITHIN_NS / case.fronts as Nanos);
     }
-    let joined_s = seconds_until(&mut network, Network::all_see_all);
+    let joined_s = seconds_until(&mut network, Network::all_know_all);
     let steady = measure_traffic(&mut network, STEADY_NS);
     let is_false_detection =
         |change: &&MembershipChange| !change.joined && change.is_current_incarnation && change.is_running;
@@ -73,13 +73,13 @@
     for front in (0..case.fronts).rev().take(KILLED_FRONTS.min(case.fronts.saturating_sub(1))) {
         deaths.push(detection_times(&mut network, front));
         network.start(front);
-        returns.push(seconds_until(&mut network, Network::all_see_all));
+        returns.push(seconds_until(&mut network, Network::all_know_all));
     }
-    network.weather.split = case.fronts / 2;
+    network.conditions.split = case.fronts / 2;
     network.run(SPLIT_NS);
-    network.weather.split = 0;
+    network.conditions.split = 0;
     let healing = measure_traffic(&mut network, HEALED_NS);
-    let healed_s = seconds_until(&mut network, Network::all_see_all).map(|s| s + HEALED_NS as f64 / 1e9);
+    let healed_s = seconds_until(&mut network, Network::all_know_all).map(|s| s + HEALED_NS as f64 / 1e9);
     Seen {
         joined_s,
         steady: (steady.datagrams_per_s, steady.bytes_per_s),
@@ -121,7 +121,7 @@
     let before = network.sent();
     let changes = network.run(duration_ns);
     let seconds = duration_ns as f64 / 1e9;
-    let rates = |(after, before): (&Sent, &Sent)| {
+    let rates = |(after, before): (&GossipTraffic, &GossipTraffic)| {
         let datagrams = (after.datagrams - before.datagrams) as f64 / seconds;
         (datagrams, (after.bytes - before.bytes) as f64 / seconds)
     };
--- a/crates/lilacpitch-testbed/src/runner.rs
+++ b/crates/lilacpitch-testbed/src/runner.rs
@@ -8,7 +8,7 @@
 use crate::edges::{EdgeError, Program, Running, Used};
 use crate::record::{Record, Seen};
 use crate::report::{report, Report};
-use crate::simulated_network::{Sent, Weather};
+use crate::simulated_network::{GossipTraffic, NetworkConditions};
 use crate::simulation::caller::Callers;
 use crate::standin::{self, Play};
 use lilacpitch::interface::Nanos;
@@ -57,7 +57,7 @@
     /// Resources used by each front's process; empty for threads.
     pub used: Vec<Used>,
     /// Datagrams between fronts: in virtual time while calls arrive, on sockets from start to end.
-    pub talk: Sent,
+    pub talk: GossipTraffic,
     /// The highest [`ramp`](crate::simulation::server::Server::ramp) of a server in virtual time; 0 on
     /// sockets.
     pub ramp: f64,
@@ -121,7 +121,7 @@
         breaches,
         records,
         used,
-        talk: Sent { datagrams, bytes },
+        talk: GossipTraffic { datagrams, bytes },
         ramp: 0.0,
     })
 }
@@ -258,7 +258,7 @@
         Freeze(usize, bool),
         Kill(usize),
         Start(usize),
-        Weather(Weather),
+        NetworkConditions(NetworkConditions),
     }
     let mut events: Vec<(Nanos, DayEvent)> =
         script.list.iter().map(|(at, server, listed)| (*at, DayEvent::Listed(*server, *listed))).collect();
@@ -271,8 +271,10 @@
     }
     let lost = script.peers_lost.iter().flat_map(|(start, end)| [*start, *end]);
     let damaged = script.peers_damaged.iter().flat_map(|(start, end, _)| [*start, *end]);
-    let weather_changes = std::iter::once(0).chain(lost).chain(damaged);
-    events.extend(weather_changes.map(|at| (at, DayEvent::Weather(day.weather(script, at)))));
+    let condition_changes = std::iter::once(0).chain(lost).chain(damaged);
+    events.extend(
+        condition_changes.map(|at| (at, DayEvent::NetworkConditions(day.network_conditions(script, at)))),
+    );
     events.sort_by_key(|(at, _)| *at);
     let mut records = Vec::new();
     for (at, event) in events {
@@ -305,8 +307,8 @@
                 fronts.running[edge] = started.map_err(panicked)??;
                 continue;
             }
-            DayEvent::Weather(weather) => {
-                fronts.relay.iter().for_each(|relay| relay.weather(weather));
+            DayEvent::NetworkConditions(conditions) => {
+                fronts.relay.iter().for_each(|relay| relay.set_conditions(conditions));
                 continue;
             }
         };
--- a/crates/lilacpitch-testbed/src/simulated_network.rs
+++ b/crates/lilacpitch-testbed/src/simulated_network.rs
@@ -20,7 +20,7 @@
 
 /// The faults of the network.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
-pub struct Weather {
+pub struct NetworkConditions {
     /// Percentage of datagrams lost.
     pub lost: u32,
     /// Percentage of datagrams damaged; see [`damaged`].
@@ -29,7 +29,7 @@
     pub split: usize,
 }
 
-impl Weather {
+impl NetworkConditions {
     /// The datagrams that arrive in place of one that is sent, each with its additional delay. `to` is `None`
     /// if the address belongs to no front. `draw` returns a random number.
     pub fn carry(
@@ -80,7 +80,7 @@
 
 /// The datagrams that a front has sent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
-pub struct Sent {
+pub struct GossipTraffic {
     /// Number of datagrams.
     pub datagrams: u64,
     /// Their bytes, without the headers of UDP and IP.
@@ -110,7 +110,7 @@
     /// Start of the current or last incarnation. Higher epochs than this are renewals of the same
     /// incarnation.
     started_ns: Nanos,
-    sent: Sent,
+    sent: GossipTraffic,
 }
 
 /// The fronts and the datagrams in transit between them.
@@ -118,7 +118,7 @@
     /// The virtual time.
     pub now: Nanos,
     /// The faults in effect.
-    pub weather: Weather,
+    pub conditions: NetworkConditions,
     fronts: Vec<Front>,
     /// The next timeout of each front, by time.
     timeouts: BTreeSet<(Nanos, usize)>,
@@ -136,10 +136,10 @@
     pub fn new(fronts: usize, seed: u64) -> Self {
         let mut rng = StdRng::seed_from_u64(seed);
         let key: [u8; 32] = rng.random();
-        let front = |_| Front { peers: None, started_ns: 0, sent: Sent::default() };
+        let front = |_| Front { peers: None, started_ns: 0, sent: GossipTraffic::default() };
         Network {
             now: START_NS,
-            weather: Weather::default(),
+            conditions: NetworkConditions::default(),
             fronts: (0..fronts).map(front).collect(),
             timeouts: BTreeSet::new(),
             timeout_of: vec![None; fronts],
@@ -174,28 +174,28 @@
     }
 
     /// Whether a front is running.
-    pub fn runs(&self, front: usize) -> bool {
+    pub fn is_running(&self, front: usize) -> bool {
         self.fronts[front].peers.is_some()
     }
 
     /// The number of other running fronts that a front knows; former incarnations are not counted.
-    pub fn sees(&self, front: usize) -> usize {
+    pub fn known_members(&self, front: usize) -> usize {
         let Some(peers) = &self.fronts[front].peers else { return 0 };
         let is_current = |peer: &lilacpitch_gossip::MemberId| {
             index(peer.address, self.fronts.len())
-                .is_some_and(|member| self.runs(member) && peer.epoch >= self.fronts[member].started_ns)
+                .is_some_and(|member| self.is_running(member) && peer.epoch >= self.fronts[member].started_ns)
         };
         peers.member_ids().filter(|peer| is_current(peer)).count()
     }
 
     /// Whether each running front knows all other running fronts.
-    pub fn all_see_all(&self) -> bool {
-        let running: Vec<usize> = (0..self.fronts.len()).filter(|i| self.runs(*i)).collect();
-        running.iter().all(|i| self.sees(*i) + 1 == running.len())
+    pub fn all_know_all(&self) -> bool {
+        let running: Vec<usize> = (0..self.fronts.len()).filter(|i| self.is_running(*i)).collect();
+        running.iter().all(|i| self.known_members(*i) + 1 == running.len())
     }
 
     /// What each front has sent so far.
-    pub fn sent(&self) -> Vec<Sent> {
+    pub fn sent(&self) -> Vec<GossipTraffic> {
         self.fronts.iter().map(|front| front.sent).collect()
     }
 
@@ -256,7 +256,7 @@
                 member,
                 joined,
                 is_current_incarnation: peer.epoch >= self.fronts[member].started_ns,
-                is_running: self.runs(member),
+                is_running: self.is_running(member),
             });
         }
         self.update_timeout(front);
@@ -266,7 +266,7 @@
         let sent = &mut self.fronts[from].sent;
         sent.datagrams += 1;
         sent.bytes += bytes.len() as u64;
-        let arriving = self.weather.carry(from, index(to, self.fronts.len()), bytes, || self.rng.random());
+        let arriving = self.conditions.carry(from, index(to, self.fronts.len()), bytes, || self.rng.random());
         let arrival = self.now + MAX_LATENCY_NS / 2 + self.rng.random_range(0..=MAX_LATENCY_NS / 2);
         let Some(to) = index(to, self.fronts.len()) else { return };
         for (delay_ns, bytes) in arriving {
--- a/crates/lilacpitch-testbed/src/simulated_run.rs
+++ b/crates/lilacpitch-testbed/src/simulated_run.rs
@@ -10,7 +10,7 @@
 use crate::record::{Record, Seen};
 use crate::report::report;
 use crate::runner::Played;
-use crate::simulated_network::Sent;
+use crate::simulated_network::GossipTraffic;
 use crate::simulation::caller::{Callers, Rate, Try};
 use crate::simulation::server::{Does, Server};
 use lilacpitch::interface::Nanos;
@@ -149,7 +149,7 @@
     effects: Vec<Effect>,
     does: Vec<Does>,
     /// The gossip traffic of all fronts together.
-    gossip_traffic: Sent,
+    gossip_traffic: GossipTraffic,
 }
 
 /// Runs a day in virtual time with the module's own policy.
@@ -211,7 +211,7 @@
             records: Vec::new(),
             effects: Vec::new(),
             does: Vec::new(),
-            gossip_traffic: Sent::default(),
+            gossip_traffic: GossipTraffic::default(),
         };
         for (server, listed) in &script.servers {
             let mut model = Server::new(day.make(server));
@@ -774,7 +774,7 @@
     }
 
     fn datagram(&mut self, from: usize, to: usize, bytes: Vec<u8>) {
-        let conditions = self.day.weather(self.script, self.now.saturating_sub(START_NS));
+        let conditions = self.day.network_conditions(self.script, self.now.saturating_sub(START_NS));
         let to = Some(to).filter(|to| *to < self.fronts.len());
         let deliveries = conditions.carry(from, to, bytes, || self.rng.next_u64());
         let at = self.now + LATENCY_NS + self.rng.next_u64() % LATENCY_NS;
--- a/crates/lilacpitch-testbed/tests/membership.rs
+++ b/crates/lilacpitch-testbed/tests/membership.rs
@@ -42,18 +42,18 @@
     let mut net = Network::new(6, 3);
     (0..6).for_each(|front| net.start(front));
     net.run(10 * S);
-    assert!(net.all_see_all());
-    net.weather.split = 3;
+    assert!(net.all_know_all());
+    net.conditions.split = 3;
     net.run(60 * S);
-    assert!((0..6).all(|front| net.sees(front) == 2), "each half must see only itself");
-    net.weather.split = 0;
+    assert!((0..6).all(|front| net.known_members(front) == 2), "each half must see only itself");
+    net.conditions.split = 0;
     net.run(60 * S);
-    assert!(net.all_see_all());
+    assert!(net.all_know_all());
     net.kill(5);
     net.start(5);
-    assert_eq!(net.sees(0), 4, "the old incarnation must not count as the new one");
+    assert_eq!(net.known_members(0), 4, "the old incarnation must not count as the new one");
     net.run(10 * S);
-    assert!(net.all_see_all());
+    assert!(net.all_know_all());
 }
 
 /// Guards against two former faults: the first messages to the seeds were not resent after a loss, and each
@@ -76,11 +76,11 @@
     let mut net = Network::new(120, 9);
     (0..120).for_each(|front| net.start(front));
     net.run(20 * S);
-    assert!(net.all_see_all());
+    assert!(net.all_know_all());
     net.kill(119);
     net.run(30 * S);
     net.start(119);
     net.run(10 * S);
-    assert_eq!(net.sees(119), 119);
-    assert!(net.all_see_all());
+    assert_eq!(net.known_members(119), 119);
+    assert!(net.all_know_all());
 }
--- a/crates/lilacpitch-testbed/tests/restarts.rs
+++ b/crates/lilacpitch-testbed/tests/restarts.rs
@@ -6,7 +6,7 @@
 use lilacpitch_testbed::edges::Program;
 use lilacpitch_testbed::record::{Record, Seen};
 use lilacpitch_testbed::runner::{play, PlayError};
-use lilacpitch_testbed::simulated_network::Weather;
+use lilacpitch_testbed::simulated_network::NetworkConditions;
 use std::net::UdpSocket;
 use std::path::PathBuf;
 use std::time::Duration;
@@ -83,11 +83,11 @@
             .collect()
     };
     assert_eq!(send_and_receive(3), [[0; 100], [1; 100], [2; 100]], "datagrams must arrive in order");
-    relay.weather(Weather { lost: 100, ..Weather::default() });
+    relay.set_conditions(NetworkConditions { lost: 100, ..NetworkConditions::default() });
     assert_eq!(send_and_receive(3), Vec::<Vec<u8>>::new());
-    relay.weather(Weather { split: 1, ..Weather::default() });
+    relay.set_conditions(NetworkConditions { split: 1, ..NetworkConditions::default() });
     assert_eq!(send_and_receive(3), Vec::<Vec<u8>>::new());
-    relay.weather(Weather { damaged: 100, ..Weather::default() });
+    relay.set_conditions(NetworkConditions { damaged: 100, ..NetworkConditions::default() });
     let damaged = send_and_receive(60);
     assert!(damaged.iter().any(|datagram| datagram.len() < 100), "none was truncated");
     assert!(damaged.iter().any(|datagram| datagram.len() > 1_452), "none was extended");
