--- a/crates/lilacpitch-testbed/src/bound.rs
+++ b/crates/lilacpitch-testbed/src/bound.rs
@@ -6,7 +6,7 @@
 //! set-ups cost the router only a retry elsewhere and are ignored. Random variation, latency, releases and
 //! circuits are left out, so the bound is a little above what can be reached.
 
-use crate::day::{Day, Listed, ServerEvent, ServerMake};
+use crate::day::{Day, Listed, ServerEvent, ServerSpec};
 use crate::simulation::server::{By, Server};
 use lilacpitch::interface::Nanos;
 use std::collections::VecDeque;
@@ -25,8 +25,8 @@
 pub fn bound(day: &Day) -> f64 {
     let script = day.script();
     let rate = day.rate(&script);
-    let new_server = |(make, listed): &(ServerMake, bool)| BoundServer {
-        model: Server::new(day.make(make)),
+    let new_server = |(spec, listed): &(ServerSpec, bool)| BoundServer {
+        model: Server::new(day.server_parameters(spec)),
         running: *listed,
         listed: *listed,
     };
--- a/crates/lilacpitch-testbed/src/callers.rs
+++ b/crates/lilacpitch-testbed/src/callers.rs
@@ -2,7 +2,7 @@
 //! read is recorded.
 
 use crate::record::{Record, Seen};
-use crate::simulation::caller::{Callers, Rate, Try};
+use crate::simulation::caller::{CallAttempt, Callers, Rate};
 use lilacpitch::interface::Nanos;
 use lilacpitch_edge::net::{open, Clock, ConnectionEvent, Outgoing, WebSocketConnection};
 use lilacpitch_protocol::frame::Role;
@@ -47,7 +47,7 @@
 
 /// An action that is due at a certain time.
 enum Task {
-    Offer(Try),
+    Offer(CallAttempt),
     Release(String),
     Leave,
     Connect(usize),
@@ -73,7 +73,7 @@
     clock: Clock,
     sockets: Vec<Option<Socket>>,
     /// Calls without an answer, each with its socket.
-    waiting: BTreeMap<String, (Try, usize)>,
+    waiting: BTreeMap<String, (CallAttempt, usize)>,
     /// Established calls, each with its socket.
     established: BTreeMap<String, usize>,
     /// Tasks by the time at which they are due and a serial number.
@@ -194,7 +194,7 @@
     }
 
     /// Makes a try: sends its set-up on one of the sockets.
-    fn offer(&mut self, new_try: Try) {
+    fn offer(&mut self, new_try: CallAttempt) {
         self.serial += 1;
         let socket = self.serial as usize % self.sockets.len();
         let message = FromCaller::Setup {
--- a/crates/lilacpitch-testbed/src/day.rs
+++ b/crates/lilacpitch-testbed/src/day.rs
@@ -4,7 +4,7 @@
 use crate::call_rules_checker::RuleLimits;
 use crate::simulated_network::NetworkConditions;
 use crate::simulation::caller::{CallerBehavior, Rate};
-use crate::simulation::server::{Answers, By, Make, ResponseFault};
+use crate::simulation::server::{Answers, By, ResponseFault, ServerParameters};
 use lilacpitch::interface::Nanos;
 use lilacpitch_config::{de_duration, load, load_text, ConfigError, Loaded, Schema};
 use serde::Deserialize;
@@ -40,7 +40,7 @@
     /// Classes of calls.
     pub classes: Vec<Class>,
     /// The servers.
-    pub servers: Vec<ServerMake>,
+    pub servers: Vec<ServerSpec>,
     /// The faults.
     pub troubles: Vec<Trouble>,
     /// Parameters of the call rules and of servers that warm up.
@@ -85,7 +85,7 @@
 
 /// A server.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
-pub struct ServerMake {
+pub struct ServerSpec {
     /// Its name.
     pub name: String,
     /// The pool it is in.
@@ -119,7 +119,7 @@
     #[serde(deserialize_with = "de_duration", rename = "tip_span")]
     pub tip_span_ns: Nanos,
     /// Whether a server that is warming up tolerates random variation above that load; see
-    /// [`Make::tip_chance`].
+    /// [`ServerParameters::tip_chance`].
     pub tip_chance: bool,
 }
 
@@ -257,7 +257,7 @@
     /// Periods with another rate of calls: start, end, factor.
     pub jumps: Vec<(Nanos, Nanos, f64)>,
     /// The day's servers and their replacements, each with whether it is listed from the start.
-    pub servers: Vec<(ServerMake, bool)>,
+    pub servers: Vec<(ServerSpec, bool)>,
 }
 
 impl Script {
@@ -321,8 +321,8 @@
     }
 
     /// The parameters of a server's model.
-    pub fn make(&self, server: &ServerMake) -> Make {
-        Make {
+    pub fn server_parameters(&self, server: &ServerSpec) -> ServerParameters {
+        ServerParameters {
             per_s: server.per_s,
             circuits: server.circuits,
             full_after_ns: server.full_after_ns,
@@ -346,7 +346,7 @@
     }
 
     /// The behavior of callers, by class.
-    pub fn habits(&self) -> Vec<CallerBehavior> {
+    pub fn caller_behaviors(&self) -> Vec<CallerBehavior> {
         let behavior = |class: &Class| CallerBehavior {
             share: class.share,
             hold_ns: class.hold_ns,
@@ -432,7 +432,7 @@
     /// Adds the events of a fault.
     fn add_trouble(&self, trouble: &Trouble, script: &mut Script) {
         let (start, end, size) = (trouble.at_ns, trouble.at_ns + trouble.for_ns, trouble.size);
-        let is_affected = |s: &ServerMake| trouble.servers.is_empty() || trouble.servers.contains(&s.name);
+        let is_affected = |s: &ServerSpec| trouble.servers.is_empty() || trouble.servers.contains(&s.name);
         let servers: Vec<usize> =
             (0..self.servers.len()).filter(|i| is_affected(&self.servers[*i])).collect();
         let edges: Vec<usize> =
@@ -513,7 +513,7 @@
                     let new = script.servers.len();
                     script
                         .servers
-                        .push((ServerMake { name: format!("{}-new", old.name), ..old.clone() }, false));
+                        .push((ServerSpec { name: format!("{}-new", old.name), ..old.clone() }, false));
                     script.server.push((start, new, ServerEvent::Start));
                     script.list.push((start, new, Listed::Running(Some(start))));
                 }
--- a/crates/lilacpitch-testbed/src/fleet/cluster.rs
+++ b/crates/lilacpitch-testbed/src/fleet/cluster.rs
@@ -4,7 +4,7 @@
 use super::fault_proxy::FaultProxy;
 use crate::edges::{used, Used};
 use crate::record::Record;
-use crate::simulation::server::Make;
+use crate::simulation::server::ServerParameters;
 use crate::standin::{self, Play};
 use lilacpitch_edge::net::{fetch, Clock};
 use lilacpitch_gossip::Keys;
@@ -459,7 +459,7 @@
     let mut pools: Vec<&String> = plan.fronts.iter().filter(|home| !home.is_empty()).collect();
     pools.sort_unstable();
     pools.dedup();
-    let make = Make {
+    let parameters = ServerParameters {
         per_s: 100_000.0,
         circuits: 1_000_000,
         full_after_ns: 10_000_000_000,
@@ -475,7 +475,13 @@
             let (listener, address) = standin::bind()?;
             let name = format!("s-{pool}-{nth}");
             let _ = writeln!(list, "{{name: {name:?}, pool: {pool:?}, address: \"{address}\"}},");
-            plays.push(Play { name, make: make.clone(), listener, events: Vec::new(), absent: false });
+            plays.push(Play {
+                name,
+                parameters: parameters.clone(),
+                listener,
+                events: Vec::new(),
+                absent: false,
+            });
         }
     }
     list.push_str("]\n");
--- a/crates/lilacpitch-testbed/src/runner.rs
+++ b/crates/lilacpitch-testbed/src/runner.rs
@@ -144,7 +144,7 @@
         let events = script.server.iter().filter(|(_, i, _)| *i == index);
         Play {
             name: server.name.clone(),
-            make: day.make(server),
+            parameters: day.server_parameters(server),
             listener,
             events: events.map(|(at, _, event)| (start_ns + at, *event)).collect(),
             absent: !listed,
@@ -219,7 +219,7 @@
         pools: day.pools(),
         callers: Callers::new(
             format!("e{edge}c"),
-            day.habits(),
+            day.caller_behaviors(),
             day.pools().len(),
             day.seed.wrapping_mul(1000) + edge as u64,
         ),
--- a/crates/lilacpitch-testbed/src/simulated_run.rs
+++ b/crates/lilacpitch-testbed/src/simulated_run.rs
@@ -11,8 +11,8 @@
 use crate::report::report;
 use crate::runner::Played;
 use crate::simulated_network::GossipTraffic;
-use crate::simulation::caller::{Callers, Rate, Try};
-use crate::simulation::server::{Does, Server};
+use crate::simulation::caller::{CallAttempt, Callers, Rate};
+use crate::simulation::server::{Server, ServerEffect};
 use lilacpitch::interface::Nanos;
 use lilacpitch_config::{ConfigError, Edge, Pools, ServerState};
 use lilacpitch_edge::core::{CallerId, EdgeCore, Effect, Input, Safeguards, UpstreamId};
@@ -63,7 +63,7 @@
         text: String,
     },
     Arrival(usize),
-    Offer(usize, Try),
+    Offer(usize, CallAttempt),
     Release(usize, String),
     ServerChange(usize, ServerEvent),
     /// The endpoint list's entry of a server changes.
@@ -94,7 +94,7 @@
     held_inputs: Vec<Input>,
     caller: CallerId,
     callers: Callers,
-    waiting: BTreeMap<String, Try>,
+    waiting: BTreeMap<String, CallAttempt>,
     established: BTreeMap<String, ()>,
 }
 
@@ -147,7 +147,7 @@
     policy: Baseline,
     records: Vec<Record>,
     effects: Vec<Effect>,
-    does: Vec<Does>,
+    server_effects: Vec<ServerEffect>,
     /// The gossip traffic of all fronts together.
     gossip_traffic: GossipTraffic,
 }
@@ -210,13 +210,13 @@
             policy,
             records: Vec::new(),
             effects: Vec::new(),
-            does: Vec::new(),
+            server_effects: Vec::new(),
             gossip_traffic: GossipTraffic::default(),
         };
         for (server, listed) in &script.servers {
-            let mut model = Server::new(day.make(server));
+            let mut model = Server::new(day.server_parameters(server));
             if !listed {
-                model.die();
+                model.silence();
             }
             simulation.servers.push(SimulatedServer {
                 name: server.name.clone(),
@@ -231,7 +231,7 @@
         for edge in 0..day.edges {
             let seed = day.seed.wrapping_mul(1000) + edge as u64;
             let front = simulation.new_front(edge)?;
-            let callers = Callers::new(format!("e{edge}c"), day.habits(), day.pools().len(), seed);
+            let callers = Callers::new(format!("e{edge}c"), day.caller_behaviors(), day.pools().len(), seed);
             simulation.fronts.push(SimulatedFront {
                 front,
                 peers: None,
@@ -299,7 +299,7 @@
     /// Returns the endpoint list in its current state.
     fn pools(&self) -> Pools {
         let entries = self.script.servers.iter().zip(&self.listed).enumerate();
-        let server = |(index, ((make, _), listed)): (usize, (&(crate::day::ServerMake, bool), &Listed))| {
+        let server = |(index, ((spec, _), listed)): (usize, (&(crate::day::ServerSpec, bool), &Listed))| {
             let (state, started_ms) = match listed {
                 Listed::Running(None) => (ServerState::Running, 0),
                 Listed::Running(Some(at)) => (ServerState::Running, (START_NS + at) / 1_000_000),
@@ -307,8 +307,8 @@
                 Listed::Gone => return None,
             };
             Some(lilacpitch_config::Server {
-                name: make.name.clone(),
-                pool: make.pool.clone(),
+                name: spec.name.clone(),
+                pool: spec.pool.clone(),
                 zone: String::new(),
                 // The port encodes the server's index in the script.
                 address: SocketAddr::from((Ipv4Addr::LOCALHOST, index as u16 + 1)),
@@ -337,9 +337,9 @@
             }
             Event::ServerTimeout(server) => {
                 self.servers[server].timeout_ns = None;
-                let mut does = std::mem::take(&mut self.does);
-                self.servers[server].model.work(self.now, &mut does);
-                self.does = does;
+                let mut server_effects = std::mem::take(&mut self.server_effects);
+                self.servers[server].model.work(self.now, &mut server_effects);
+                self.server_effects = server_effects;
                 self.server_does(server);
             }
             Event::ToCaller { front, caller, text } => self.caller_receives(front, caller, &text),
@@ -484,23 +484,23 @@
         }
         let Ok(message) = ToServer::decode(text) else { return };
         let server_state = &self.servers[server];
-        let known = server_state.model.knows((front, message.attempt()));
+        let known = server_state.model.has_attempt((front, message.attempt()));
         self.record(Seen::read(&server_state.name.clone(), front, &message, known));
-        let mut does = std::mem::take(&mut self.does);
-        self.servers[server].model.hear(self.now, front, &message, &mut does);
-        self.does = does;
+        let mut server_effects = std::mem::take(&mut self.server_effects);
+        self.servers[server].model.handle(self.now, front, &message, &mut server_effects);
+        self.server_effects = server_effects;
         self.server_does(server);
     }
 
     fn server_does(&mut self, server: usize) {
-        for does in std::mem::take(&mut self.does) {
-            match does {
-                Does::Send(front, message) => self.server_sends(server, front, &message),
-                Does::Loses((edge, attempt)) => {
+        for effect in std::mem::take(&mut self.server_effects) {
+            match effect {
+                ServerEffect::Send(front, message) => self.server_sends(server, front, &message),
+                ServerEffect::AnswerLost((edge, attempt)) => {
                     let server = self.servers[server].name.clone();
                     self.record(Seen::Answered { server, edge, attempt, stands: true });
                 }
-                Does::Falls { multiple, from } => {
+                ServerEffect::Failed { multiple, from } => {
                     self.servers[server].dead = true;
                     // Fronts that a delayed list kept from learning of the server's start can't apply slow
                     // start.
@@ -549,12 +549,12 @@
         let (now, server_state) = (self.now, &mut self.servers[server]);
         match event {
             ServerEvent::Slow(times) => server_state.model.slow(times),
-            ServerEvent::Still(span) => server_state.model.stand_still(now + span),
+            ServerEvent::Still(span) => server_state.model.pause(now + span),
             ServerEvent::LoseAnswers(share) => server_state.model.lose_answers(share),
-            ServerEvent::Ail(ailment) => server_state.model.ail(ailment),
-            ServerEvent::Heal(ailment) => server_state.model.heal(&ailment),
+            ServerEvent::Ail(ailment) => server_state.model.add_fault(ailment),
+            ServerEvent::Heal(ailment) => server_state.model.remove_fault(&ailment),
             ServerEvent::Die => {
-                server_state.model.die();
+                server_state.model.silence();
                 server_state.dead = true;
             }
             ServerEvent::Start => {
@@ -565,7 +565,7 @@
             ServerEvent::Reset => self.close_all_connections(server),
             ServerEvent::Stop => {
                 let cut = server_state.model.cut_all();
-                server_state.model.die();
+                server_state.model.silence();
                 (server_state.dead, server_state.stopped) = (true, true);
                 for (front, message) in cut {
                     self.server_sends(server, front, &message);
@@ -597,7 +597,7 @@
         }
     }
 
-    fn offer(&mut self, front: usize, made: Try) {
+    fn offer(&mut self, front: usize, made: CallAttempt) {
         if self.now >= START_NS + self.day.length_ns {
             return;
         }
--- a/crates/lilacpitch-testbed/src/simulation/caller.rs
+++ b/crates/lilacpitch-testbed/src/simulation/caller.rs
@@ -24,7 +24,7 @@
 
 /// One try of a caller to establish a call.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Try {
+pub struct CallAttempt {
     /// Id of the try, unique in a day.
     pub call: String,
     /// Id of the caller's first try.
@@ -95,7 +95,7 @@
     }
 
     /// The next call. Also determines the time of the one after it.
-    pub fn next(&mut self, rate: &Rate) -> Try {
+    pub fn next(&mut self, rate: &Rate) -> CallAttempt {
         let now = self.next_ns;
         let gap_s = self.exponential(1.0 / rate.at(now).max(1e-9));
         self.next_ns = now + (gap_s * 1e9) as Nanos;
@@ -113,7 +113,17 @@
         let behavior = &self.behaviors[class];
         let budget_ns = whole_milliseconds((behavior.give_up_ns as f64 * behavior.try_share) as Nanos);
         let number = 14_000_000_000 + self.rng.next_u64() % 1_000_000_000;
-        Try { origin: call.clone(), call, class, pool, number, first_ns: now, before: 0, budget_ns, hold_ns }
+        CallAttempt {
+            origin: call.clone(),
+            call,
+            class,
+            pool,
+            number,
+            first_ns: now,
+            before: 0,
+            budget_ns,
+            hold_ns,
+        }
     }
 
     /// The further try after an answer other than [`Answer::Stands`], and its time; `None` if the caller
@@ -121,10 +131,10 @@
     pub fn again(
         &mut self,
         now: Nanos,
-        last: &Try,
+        last: &CallAttempt,
         answer: Answer,
         come_back_ms: Option<u64>,
-    ) -> Option<(Nanos, Try)> {
+    ) -> Option<(Nanos, CallAttempt)> {
         let jitter = 0.5 + self.uniform();
         let behavior = &self.behaviors[last.class];
         let wait_ns =
@@ -135,7 +145,8 @@
         }
         let budget_ns = whole_milliseconds(last.budget_ns.min(end - at));
         let call = format!("{}r{}", last.origin, last.before + 1);
-        (budget_ns > 0).then(|| (at, Try { call, before: last.before + 1, budget_ns, ..last.clone() }))
+        (budget_ns > 0)
+            .then(|| (at, CallAttempt { call, before: last.before + 1, budget_ns, ..last.clone() }))
     }
 }
 
--- a/crates/lilacpitch-testbed/src/simulation/server.rs
+++ b/crates/lilacpitch-testbed/src/simulation/server.rs
@@ -15,7 +15,7 @@
 
 /// The parameters of a server.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Make {
+pub struct ServerParameters {
     /// Calls per second that it can process when warm, all work of a call included.
     pub per_s: f64,
     /// Most calls at once.
@@ -45,8 +45,8 @@
 const REPEAT: f64 = 0.3;
 /// Work of a rejection.
 const REJECTION: f64 = 0.15;
-/// Without [`Make::tip_chance`], most set-ups within a window that never make a server fail, whatever the
-/// multiple: so few may be random variation.
+/// Without [`ServerParameters::tip_chance`], most set-ups within a window that never make a server fail,
+/// whatever the multiple: so few may be random variation.
 const MAX_TOLERATED_SETUPS: usize = 5;
 
 /// State of a call.
@@ -112,13 +112,13 @@
 
 /// An effect of a server.
 #[derive(Debug, Clone, PartialEq)]
-pub enum Does {
+pub enum ServerEffect {
     /// Sends a message to a front.
     Send(usize, FromServer),
-    /// Loses an answer.
-    Loses(Key),
-    /// Has failed under too much load while warming up.
-    Falls {
+    /// An answer was lost.
+    AnswerLost(Key),
+    /// The server failed under too much load while warming up.
+    Failed {
         /// The load, as a multiple of its capacity.
         multiple: f64,
         /// The front of each set-up in the window.
@@ -129,7 +129,7 @@
 /// A simulated server.
 #[derive(Debug)]
 pub struct Server {
-    make: Make,
+    parameters: ServerParameters,
     calls: BTreeMap<Key, State>,
     /// Queued work and its cost.
     queue: VecDeque<(Work, f64)>,
@@ -157,9 +157,9 @@
 
 impl Server {
     /// A warm server.
-    pub fn new(make: Make) -> Self {
+    pub fn new(parameters: ServerParameters) -> Self {
         Server {
-            make,
+            parameters,
             calls: BTreeMap::new(),
             queue: VecDeque::new(),
             busy: None,
@@ -178,18 +178,18 @@
 
     /// Restarts the server cold, without any calls or faults.
     pub fn start(&mut self, now: Nanos) {
-        *self = Server { up_since_ns: Some(now), ramp: self.ramp, ..Server::new(self.make.clone()) };
+        *self = Server { up_since_ns: Some(now), ramp: self.ramp, ..Server::new(self.parameters.clone()) };
     }
 
     /// The highest load of a window while it was warming up, as a share of what it tolerates: N set-ups by
-    /// [`Make::tip_multiple`], and 2√N + 2 more for random variation.
+    /// [`ServerParameters::tip_multiple`], and 2√N + 2 more for random variation.
     pub fn ramp(&self) -> f64 {
         self.ramp
     }
 
     /// Makes the server silent: it accepts everything and answers nothing until it restarts.
-    pub fn die(&mut self) {
-        *self = Server { dead: true, ramp: self.ramp, ..Server::new(self.make.clone()) };
+    pub fn silence(&mut self) {
+        *self = Server { dead: true, ramp: self.ramp, ..Server::new(self.parameters.clone()) };
     }
 
     /// Makes the processor run this many times slower.
@@ -198,7 +198,7 @@
     }
 
     /// Pauses the processor until the given time.
-    pub fn stand_still(&mut self, until_ns: Nanos) {
+    pub fn pause(&mut self, until_ns: Nanos) {
         self.still_until_ns = until_ns;
         if let Some((_, done)) = &mut self.busy {
             *done = (*done).max(until_ns);
@@ -211,12 +211,12 @@
     }
 
     /// Begins a fault.
-    pub fn ail(&mut self, fault: ResponseFault) {
+    pub fn add_fault(&mut self, fault: ResponseFault) {
         self.response_faults.push((fault, 0));
     }
 
     /// Ends a fault.
-    pub fn heal(&mut self, fault: &ResponseFault) {
+    pub fn remove_fault(&mut self, fault: &ResponseFault) {
         self.response_faults.retain(|(other, _)| other != fault);
     }
 
@@ -242,17 +242,17 @@
     }
 
     /// Whether the server has this attempt.
-    pub fn knows(&self, key: Key) -> bool {
+    pub fn has_attempt(&self, key: Key) -> bool {
         self.calls.contains_key(&key)
     }
 
     /// Calls per second that it can process now.
     pub fn can_do_per_s(&self, now: Nanos) -> f64 {
         let warmth = self.up_since_ns.map_or(1.0, |up| {
-            let age = now.saturating_sub(up) as f64 / self.make.cold_span_ns.max(1) as f64;
-            (self.make.cold_from + (1.0 - self.make.cold_from) * age).min(1.0)
+            let age = now.saturating_sub(up) as f64 / self.parameters.cold_span_ns.max(1) as f64;
+            (self.parameters.cold_from + (1.0 - self.parameters.cold_from) * age).min(1.0)
         });
-        self.make.per_s * warmth / self.slow
+        self.parameters.per_s * warmth / self.slow
     }
 
     /// Processing time of work with this cost.
@@ -268,14 +268,14 @@
 
     fn load(&self, now: Nanos) -> Option<Load> {
         Some(Load {
-            free: Some(self.make.circuits.saturating_sub(self.calls.len()) as u64),
+            free: Some(self.parameters.circuits.saturating_sub(self.calls.len()) as u64),
             latency_ms: Some((self.wait_ns(now) / 1_000_000) as f64),
             can_take_per_s: Some(self.can_do_per_s(now).round()),
         })
     }
 
     /// Handles a message of a front.
-    pub fn hear(&mut self, now: Nanos, front: usize, message: &ToServer, effects: &mut Vec<Does>) {
+    pub fn handle(&mut self, now: Nanos, front: usize, message: &ToServer, effects: &mut Vec<ServerEffect>) {
         if self.dead {
             return;
         }
@@ -316,7 +316,13 @@
     }
 
     /// Sends the response of a fault, at the cost of a rejection and independent of the queue.
-    fn respond_with_fault(&mut self, now: Nanos, key: Key, fault: ResponseFault, effects: &mut Vec<Does>) {
+    fn respond_with_fault(
+        &mut self,
+        now: Nanos,
+        key: Key,
+        fault: ResponseFault,
+        effects: &mut Vec<ServerEffect>,
+    ) {
         self.count_setup(now, key.0, effects);
         if self.dead {
             return;
@@ -334,11 +340,11 @@
             Answers::Busy => FromServer::LinesBusy { attempt, load },
         };
         self.enqueue(Work::Idle, REJECTION);
-        effects.push(Does::Send(front, answer));
+        effects.push(ServerEffect::Send(front, answer));
     }
 
     /// Handles a set-up that no fault affects.
-    fn set_up(&mut self, now: Nanos, key: Key, effects: &mut Vec<Does>) {
+    fn set_up(&mut self, now: Nanos, key: Key, effects: &mut Vec<ServerEffect>) {
         let (front, attempt) = key;
         if let Some(state) = self.calls.get(&key).copied() {
             // A repeat: if the answer was sent, it may have been lost and is sent again.
@@ -350,13 +356,14 @@
             return;
         }
         let wait_ns = self.wait_ns(now);
-        if wait_ns > self.make.full_after_ns {
+        if wait_ns > self.parameters.full_after_ns {
             self.enqueue(Work::Idle, REJECTION);
             let wait_ms = Some((wait_ns / 2_000_000).max(1));
-            effects.push(Does::Send(front, FromServer::Full { attempt, wait_ms, load: self.load(now) }));
-        } else if self.calls.len() >= self.make.circuits {
+            effects
+                .push(ServerEffect::Send(front, FromServer::Full { attempt, wait_ms, load: self.load(now) }));
+        } else if self.calls.len() >= self.parameters.circuits {
             self.enqueue(Work::Idle, REJECTION);
-            effects.push(Does::Send(front, FromServer::NoCircuit { attempt, load: self.load(now) }));
+            effects.push(ServerEffect::Send(front, FromServer::NoCircuit { attempt, load: self.load(now) }));
         } else {
             self.calls.insert(key, State::Waiting);
             self.enqueue(Work::SetUp(key), SETUP);
@@ -364,31 +371,32 @@
     }
 
     /// Counts a set-up of a server that is warming up; the server fails if there are too many in the window.
-    fn count_setup(&mut self, now: Nanos, front: usize, effects: &mut Vec<Does>) {
-        let Some(up) = self.up_since_ns.filter(|up| now < up + self.make.cold_span_ns) else { return };
-        let window_ns = self.make.tip_span_ns;
+    fn count_setup(&mut self, now: Nanos, front: usize, effects: &mut Vec<ServerEffect>) {
+        let Some(up) = self.up_since_ns.filter(|up| now < up + self.parameters.cold_span_ns) else { return };
+        let window_ns = self.parameters.tip_span_ns;
         self.recent.push_back((now, front));
         while self.recent.front().is_some_and(|(at, _)| *at + window_ns < now) {
             self.recent.pop_front();
         }
         // The capacity by age alone: a server that is slow for another reason tolerates as much as one that
         // isn't.
-        let age = (now - up) as f64 / self.make.cold_span_ns.max(1) as f64;
-        let capacity_per_s = self.make.per_s * (self.make.cold_from + (1.0 - self.make.cold_from) * age);
+        let age = (now - up) as f64 / self.parameters.cold_span_ns.max(1) as f64;
+        let capacity_per_s =
+            self.parameters.per_s * (self.parameters.cold_from + (1.0 - self.parameters.cold_from) * age);
         let capacity = capacity_per_s * window_ns as f64 / 1e9;
         let multiple = self.recent.len() as f64 / capacity;
-        let allowed = self.make.tip_multiple * capacity;
+        let allowed = self.parameters.tip_multiple * capacity;
         let ramp = self.recent.len() as f64 / (allowed + 2.0 * allowed.sqrt() + 2.0);
         self.ramp = self.ramp.max(ramp);
-        let is_overloaded = if self.make.tip_chance {
+        let is_overloaded = if self.parameters.tip_chance {
             ramp > 1.0
         } else {
-            multiple > self.make.tip_multiple && self.recent.len() > MAX_TOLERATED_SETUPS
+            multiple > self.parameters.tip_multiple && self.recent.len() > MAX_TOLERATED_SETUPS
         };
         if is_overloaded {
             let from = self.recent.iter().map(|(_, front)| *front).collect();
-            self.die();
-            effects.push(Does::Falls { multiple, from });
+            self.silence();
+            effects.push(ServerEffect::Failed { multiple, from });
         }
     }
 
@@ -403,7 +411,7 @@
     }
 
     /// Processes the queue up to now.
-    pub fn work(&mut self, now: Nanos, effects: &mut Vec<Does>) {
+    pub fn work(&mut self, now: Nanos, effects: &mut Vec<ServerEffect>) {
         loop {
             if self.busy.is_none() {
                 let Some((work, cost)) = self.queue.pop_front() else { return };
@@ -428,10 +436,10 @@
                     // Selected by count rather than at random, so that a run can be reproduced.
                     let is_lost = (self.answers as f64 * self.lose_answers).fract() < self.lose_answers;
                     if is_lost {
-                        effects.push(Does::Loses(key));
+                        effects.push(ServerEffect::AnswerLost(key));
                     } else {
                         let answer = FromServer::Answer { attempt: key.1, load: self.load(now) };
-                        effects.push(Does::Send(key.0, answer));
+                        effects.push(ServerEffect::Send(key.0, answer));
                     }
                 }
                 Work::Idle => {}
--- a/crates/lilacpitch-testbed/src/standin.rs
+++ b/crates/lilacpitch-testbed/src/standin.rs
@@ -3,7 +3,7 @@
 
 use crate::day::ServerEvent;
 use crate::record::{Record, Seen};
-use crate::simulation::server::{Does, Make, Server};
+use crate::simulation::server::{Server, ServerEffect, ServerParameters};
 use lilacpitch::interface::Nanos;
 use lilacpitch_edge::net::{serve_handshake, Clock, ConnectionEvent, Outgoing, WebSocketConnection};
 use lilacpitch_protocol::frame::Role;
@@ -25,7 +25,7 @@
     /// Its name in the pool list.
     pub name: String,
     /// The parameters of its model.
-    pub make: Make,
+    pub parameters: ServerParameters,
     /// Its bound socket.
     pub listener: std::net::TcpListener,
     /// The events that concern it, ordered by time of the clock.
@@ -59,7 +59,7 @@
     by_edge: BTreeMap<usize, u64>,
     last_connection: u64,
     records: Vec<Record>,
-    effects: Vec<Does>,
+    effects: Vec<ServerEffect>,
     /// Whether it is silent: it accepts connections and answers nothing, not even their handshake.
     dead: bool,
     stopped: bool,
@@ -96,7 +96,7 @@
     let (socket_events, mut inbox) = mpsc::channel(QUEUE);
     let mut server = SocketServer {
         name: play.name,
-        model: Server::new(play.make),
+        model: Server::new(play.parameters),
         clock,
         connections: BTreeMap::new(),
         opening: BTreeMap::new(),
@@ -108,7 +108,7 @@
         stopped: false,
     };
     if play.absent {
-        server.model.die();
+        server.model.silence();
     }
     loop {
         let event_ns = events.peek().map(|(at, _)| *at);
@@ -181,11 +181,11 @@
             SocketEvent::Text { connection, text } => {
                 let Some(edge) = self.connections.get(&connection).map(|c| c.edge) else { return };
                 let Ok(message) = ToServer::decode(&text) else { return };
-                let known = self.model.knows((edge, message.attempt()));
+                let known = self.model.has_attempt((edge, message.attempt()));
                 let seen = Seen::read(&self.name, edge, &message, known);
                 self.record(seen);
                 let now = self.clock.now();
-                self.model.hear(now, edge, &message, &mut self.effects);
+                self.model.handle(now, edge, &message, &mut self.effects);
                 self.carry_out();
             }
         }
@@ -194,12 +194,12 @@
     fn carry_out(&mut self) {
         for effect in std::mem::take(&mut self.effects) {
             match effect {
-                Does::Send(edge, message) => self.send(edge, message),
-                Does::Loses((edge, attempt)) => {
+                ServerEffect::Send(edge, message) => self.send(edge, message),
+                ServerEffect::AnswerLost((edge, attempt)) => {
                     let server = self.name.clone();
                     self.record(Seen::Answered { server, edge, attempt, stands: true });
                 }
-                Does::Falls { multiple, .. } => {
+                ServerEffect::Failed { multiple, .. } => {
                     self.dead = true;
                     self.record(Seen::Fell { server: self.name.clone(), multiple });
                 }
@@ -236,12 +236,12 @@
         let now = self.clock.now();
         match event {
             ServerEvent::Slow(times) => self.model.slow(times),
-            ServerEvent::Still(duration) => self.model.stand_still(now + duration),
+            ServerEvent::Still(duration) => self.model.pause(now + duration),
             ServerEvent::LoseAnswers(share) => self.model.lose_answers(share),
-            ServerEvent::Ail(fault) => self.model.ail(fault),
-            ServerEvent::Heal(fault) => self.model.heal(&fault),
+            ServerEvent::Ail(fault) => self.model.add_fault(fault),
+            ServerEvent::Heal(fault) => self.model.remove_fault(&fault),
             ServerEvent::Die => {
-                self.model.die();
+                self.model.silence();
                 self.dead = true;
             }
             ServerEvent::Start => {
@@ -254,7 +254,7 @@
                 for (edge, message) in self.model.cut_all() {
                     self.send(edge, message);
                 }
-                self.model.die();
+                self.model.silence();
                 self.drop_all();
                 (self.dead, self.stopped) = (true, true);
             }
