--- a/crates/lilacpitch-edge/tests/peers_hard.rs
+++ b/crates/lilacpitch-edge/tests/peers_hard.rs
@@ -353,7 +353,7 @@
     assert!(edges.iter().all(|e| peer_count(e) == 2), "no front is removed as failed");
     drop(edges);
     let counts = relay.stop().unwrap();
-    assert!(counts.lost > 0 && counts.went > 0, "{counts:?}");
+    assert!(counts.lost > 0 && counts.forwarded > 0, "{counts:?}");
 }
 
 #[test]
--- a/crates/lilacpitch-testbed/src/cli.rs
+++ b/crates/lilacpitch-testbed/src/cli.rs
@@ -208,9 +208,9 @@
     records.map_or(Ok(()), |path| write_records(path, &played.records))?;
     println!("{}", played.report);
     let seconds = day.length_ns as f64 / 1e9;
-    for (edge, used) in played.used.iter().enumerate() {
-        let share = 100.0 * used.cpu_s / seconds;
-        println!("front {edge}: {share:.1} % of a core, {:.1} MiB at most", used.peak_mib);
+    for (edge, usage) in played.resource_usage.iter().enumerate() {
+        let share = 100.0 * usage.cpu_s / seconds;
+        println!("front {edge}: {share:.1} % of a core, {:.1} MiB at most", usage.peak_mib);
     }
     Ok(print_verdict(&played.breaches))
 }
@@ -308,8 +308,8 @@
         println!("{}", played.report);
         if day.peers {
             let front_seconds = day.length_ns as f64 / 1e9 * day.edges as f64;
-            let datagrams_per_s = played.talk.datagrams as f64 / front_seconds;
-            let bytes_per_s = played.talk.bytes as f64 / front_seconds;
+            let datagrams_per_s = played.gossip_traffic.datagrams as f64 / front_seconds;
+            let bytes_per_s = played.gossip_traffic.bytes as f64 / front_seconds;
             println!(
                 "each front told others {datagrams_per_s:.1} datagrams and {:.1} kB a second",
                 bytes_per_s / 1e3
--- a/crates/lilacpitch-testbed/src/datagram_relay.rs
+++ b/crates/lilacpitch-testbed/src/datagram_relay.rs
@@ -16,13 +16,13 @@
 
 /// Counters of a relay.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
-pub struct Counts {
+pub struct RelayCounters {
     /// Datagrams received, and their bytes.
-    pub came: (u64, u64),
+    pub received: (u64, u64),
     /// Datagrams received and lost.
     pub lost: u64,
     /// Datagrams forwarded, duplicates included.
-    pub went: u64,
+    pub forwarded: u64,
 }
 
 /// A relay that runs on a thread of its own.
@@ -31,7 +31,7 @@
     /// For each front, the address of the relay that forwards to it.
     pub public: Vec<SocketAddr>,
     conditions: watch::Sender<NetworkConditions>,
-    thread: JoinHandle<std::io::Result<Counts>>,
+    thread: JoinHandle<std::io::Result<RelayCounters>>,
 }
 
 impl Relay {
@@ -59,7 +59,7 @@
     }
 
     /// Stops the relay. Returns its counters.
-    pub fn stop(self) -> std::io::Result<Counts> {
+    pub fn stop(self) -> std::io::Result<RelayCounters> {
         drop(self.conditions);
         self.thread.join().unwrap_or_else(|_| Err(std::io::Error::other("the relay panicked")))
     }
@@ -70,7 +70,7 @@
     real: Vec<SocketAddr>,
     conditions: watch::Receiver<NetworkConditions>,
     seed: u64,
-) -> std::io::Result<Counts> {
+) -> std::io::Result<RelayCounters> {
     let real: Rc<[SocketAddr]> = real.into();
     let mut tasks = Vec::new();
     for (to, socket) in sockets.into_iter().enumerate() {
@@ -78,11 +78,11 @@
         let rng = StdRng::seed_from_u64(seed.wrapping_mul(1_000) + to as u64);
         tasks.push(tokio::task::spawn_local(forwarder.run(conditions.clone(), rng)));
     }
-    let mut sum = Counts::default();
+    let mut sum = RelayCounters::default();
     for task in tasks {
         let counts = task.await.map_err(std::io::Error::other)?;
-        sum.came = (sum.came.0 + counts.came.0, sum.came.1 + counts.came.1);
-        (sum.lost, sum.went) = (sum.lost + counts.lost, sum.went + counts.went);
+        sum.received = (sum.received.0 + counts.received.0, sum.received.1 + counts.received.1);
+        (sum.lost, sum.forwarded) = (sum.lost + counts.lost, sum.forwarded + counts.forwarded);
     }
     Ok(sum)
 }
@@ -97,8 +97,8 @@
 }
 
 impl Forwarder {
-    async fn run(self, mut conditions: watch::Receiver<NetworkConditions>, mut rng: StdRng) -> Counts {
-        let (mut counts, mut buffer) = (Counts::default(), vec![0; MAX_UDP_BYTES]);
+    async fn run(self, mut conditions: watch::Receiver<NetworkConditions>, mut rng: StdRng) -> RelayCounters {
+        let (mut counts, mut buffer) = (RelayCounters::default(), vec![0; MAX_UDP_BYTES]);
         loop {
             let (length, source) = tokio::select! {
                 // An error means that an earlier datagram reached a closed port; that datagram is lost, as on
@@ -112,13 +112,13 @@
                     Err(_) => return counts,
                 },
             };
-            counts.came = (counts.came.0 + 1, counts.came.1 + length as u64);
+            counts.received = (counts.received.0 + 1, counts.received.1 + length as u64);
             let from = self.real.iter().position(|a| *a == source).unwrap_or(usize::MAX);
             let bytes = buffer[..length].to_vec();
             let conditions = *conditions.borrow();
             let arriving = conditions.carry(from, Some(self.to), bytes, || rng.random());
             counts.lost += u64::from(arriving.is_empty());
-            counts.went += arriving.len() as u64;
+            counts.forwarded += arriving.len() as u64;
             for (delay_ns, bytes) in arriving {
                 let (socket, address) = (self.socket.clone(), self.real[self.to]);
                 tokio::task::spawn_local(async move {
--- a/crates/lilacpitch-testbed/src/edges.rs
+++ b/crates/lilacpitch-testbed/src/edges.rs
@@ -70,7 +70,7 @@
 
 /// Resources that a process has used so far.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
-pub struct Used {
+pub struct ResourceUsage {
     /// Processor time, in seconds.
     pub cpu_s: f64,
     /// Peak resident memory, in MiB.
@@ -207,9 +207,9 @@
     }
 
     /// Resources that its process has used; `None` for a thread.
-    pub fn used(&self) -> Option<Used> {
+    pub fn resource_usage(&self) -> Option<ResourceUsage> {
         match &self.host {
-            Host::Process(child) => used(child.id()),
+            Host::Process(child) => resource_usage(child.id()),
             Host::Thread(..) => None,
         }
     }
@@ -248,7 +248,7 @@
 }
 
 /// Resources that a process has used, as the kernel reports them in `/proc`.
-pub fn used(pid: u32) -> Option<Used> {
+pub fn resource_usage(pid: u32) -> Option<ResourceUsage> {
     let stat = std::fs::read_to_string(format!("/proc/{pid}/stat")).ok()?;
     // The fields after the name, which may itself contain spaces and parentheses. The first is field 3, the
     // state; utime and stime, in ticks, are fields 14 and 15.
@@ -257,5 +257,5 @@
     let status = std::fs::read_to_string(format!("/proc/{pid}/status")).ok()?;
     let peak = status.lines().find_map(|l| l.strip_prefix("VmHWM:"))?;
     let peak_kib: f64 = peak.split_whitespace().next()?.parse().ok()?;
-    Some(Used { cpu_s: ticks / USER_HZ, peak_mib: peak_kib / 1024.0 })
+    Some(ResourceUsage { cpu_s: ticks / USER_HZ, peak_mib: peak_kib / 1024.0 })
 }
--- a/crates/lilacpitch-testbed/src/fleet/cluster.rs
+++ b/crates/lilacpitch-testbed/src/fleet/cluster.rs
@@ -2,7 +2,7 @@
 //! behind the fronts.
 
 use super::fault_proxy::FaultProxy;
-use crate::edges::{used, Used};
+use crate::edges::{resource_usage, ResourceUsage};
 use crate::record::Record;
 use crate::simulation::server::ServerParameters;
 use crate::standin::{self, Play};
@@ -388,8 +388,8 @@
     }
 
     /// Returns the resource usage of a running process.
-    pub fn resource_usage(&self, index: usize) -> Option<Used> {
-        self.processes[index].child.as_ref().and_then(|child| used(child.id()))
+    pub fn resource_usage(&self, index: usize) -> Option<ResourceUsage> {
+        self.processes[index].child.as_ref().and_then(|child| resource_usage(child.id()))
     }
 
     /// Requests an admin page of a process and returns its status and body.
--- a/crates/lilacpitch-testbed/src/load.rs
+++ b/crates/lilacpitch-testbed/src/load.rs
@@ -7,10 +7,10 @@
 
 use crate::call_rules_checker::Violation;
 use crate::day::Day;
-use crate::edges::{used, Program, Used};
+use crate::edges::{resource_usage, Program, ResourceUsage};
 use crate::record::{Record, Seen};
 use crate::report::histogram;
-use crate::runner::{play, PlayError, Played};
+use crate::runner::{play, PlayError, RunResult};
 use hdrhistogram::Histogram;
 use lilacpitch::interface::Nanos;
 use std::collections::BTreeMap;
@@ -32,7 +32,7 @@
     /// The testbed's own round trip under the same load, in microseconds.
     pub testbed_us: Histogram<u64>,
     /// Resources used by the front's process.
-    pub front: Used,
+    pub front: ResourceUsage,
     /// Processor time of the testbed while the front ran, in seconds.
     pub testbed_cpu_s: f64,
 }
@@ -59,9 +59,10 @@
 pub fn load(program: &Program, per_s: f64, seconds: u64) -> Result<Load, String> {
     let day = steady_load(per_s, seconds)?;
     let text = |e: PlayError| e.to_string();
-    let before = used(std::process::id()).unwrap_or_default();
-    let Played { records, breaches, used: fronts, report, .. } = play(&day, program).map_err(text)?;
-    let after = used(std::process::id()).unwrap_or_default();
+    let before = resource_usage(std::process::id()).unwrap_or_default();
+    let RunResult { records, breaches, resource_usage: fronts, report, .. } =
+        play(&day, program).map_err(text)?;
+    let after = resource_usage(std::process::id()).unwrap_or_default();
     let added_us = added_latency(&records);
     let calls = (
         report.classes.iter().map(|c| c.offered).sum(),
--- a/crates/lilacpitch-testbed/src/membership.rs
+++ b/crates/lilacpitch-testbed/src/membership.rs
@@ -55,7 +55,7 @@
 }
 
 /// Runs one case with one seed.
-pub fn watch(case: Case, seed: u64) -> Seen {
+pub fn measure(case: Case, seed: u64) -> Seen {
     let mut network = Network::new(case.fronts, seed);
     network.conditions.lost = case.lost;
     for front in 0..case.fronts {
@@ -171,7 +171,7 @@
 pub fn membership(cases: &[Case], seeds: u64) -> Vec<Row> {
     let run_case = |case: &Case| Row {
         case: *case,
-        runs: (1..=seeds).into_par_iter().map(|seed| watch(*case, seed)).collect(),
+        runs: (1..=seeds).into_par_iter().map(|seed| measure(*case, seed)).collect(),
     };
     cases.par_iter().map(run_case).collect()
 }
--- a/crates/lilacpitch-testbed/src/runner.rs
+++ b/crates/lilacpitch-testbed/src/runner.rs
@@ -5,7 +5,7 @@
 use crate::callers;
 use crate::datagram_relay::Relay;
 use crate::day::{pool_list, Day, Kind, Listed, Script};
-use crate::edges::{EdgeError, Program, Running, Used};
+use crate::edges::{EdgeError, Program, ResourceUsage, Running};
 use crate::record::{Record, Seen};
 use crate::report::{report, Report};
 use crate::simulated_network::{GossipTraffic, NetworkConditions};
@@ -47,7 +47,7 @@
 
 /// The result of a day.
 #[derive(Debug)]
-pub struct Played {
+pub struct RunResult {
     /// The events at the sockets, in order of time.
     pub records: Vec<Record>,
     /// The totals.
@@ -55,16 +55,16 @@
     /// Violations of the call rules.
     pub breaches: Vec<Violation>,
     /// Resources used by each front's process; empty for threads.
-    pub used: Vec<Used>,
+    pub resource_usage: Vec<ResourceUsage>,
     /// Datagrams between fronts: in virtual time while calls arrive, on sockets from start to end.
-    pub talk: GossipTraffic,
+    pub gossip_traffic: GossipTraffic,
     /// The highest [`ramp`](crate::simulation::server::Server::ramp) of a server in virtual time; 0 on
     /// sockets.
     pub ramp: f64,
 }
 
 /// Runs a day with this program as its fronts. Blocks until the day is over.
-pub fn play(day: &Day, program: &Program) -> Result<Played, PlayError> {
+pub fn play(day: &Day, program: &Program) -> Result<RunResult, PlayError> {
     let has = |kind: Kind| day.troubles.iter().any(|t| t.kind == kind);
     if has(Kind::PeersConfused) || has(Kind::ListLate) {
         return Err(PlayError::VirtualOnly);
@@ -92,7 +92,7 @@
         .start(day, folder.path(), &pool_list.path)
         .and_then(|()| play_day(day, &script, &mut fronts, pool_list, clock, start_ns));
     let Fronts { running: edges, relay, .. } = fronts;
-    let used: Vec<Used> = edges.iter().filter_map(Running::used).collect();
+    let resource_usage: Vec<ResourceUsage> = edges.iter().filter_map(Running::resource_usage).collect();
     for edge in edges {
         // Only the first error is kept: the later ones are usually consequences of it.
         if let (Err(error), Ok(_)) = (edge.stop(), &result) {
@@ -101,7 +101,7 @@
     }
     let _ = stop.send(true);
     let (datagrams, bytes) = match relay.map(Relay::stop).transpose() {
-        Ok(counts) => counts.unwrap_or_default().came,
+        Ok(counts) => counts.unwrap_or_default().received,
         Err(error) => return Err(PlayError::Io("the network between fronts", error)),
     };
     let server_records = match servers.join() {
@@ -116,12 +116,12 @@
         record.at_ns = record.at_ns.saturating_sub(start_ns);
     }
     let breaches = call_rules_checker::check(&records, day.rule_limits());
-    Ok(Played {
+    Ok(RunResult {
         report: report(day, &records, 0),
         breaches,
         records,
-        used,
-        talk: GossipTraffic { datagrams, bytes },
+        resource_usage,
+        gossip_traffic: GossipTraffic { datagrams, bytes },
         ramp: 0.0,
     })
 }
--- a/crates/lilacpitch-testbed/src/simulated_run.rs
+++ b/crates/lilacpitch-testbed/src/simulated_run.rs
@@ -9,7 +9,7 @@
 use crate::day::{Day, Listed, Script, ServerEvent};
 use crate::record::{Record, Seen};
 use crate::report::report;
-use crate::runner::Played;
+use crate::runner::RunResult;
 use crate::simulated_network::GossipTraffic;
 use crate::simulation::caller::{CallAttempt, Callers, Rate};
 use crate::simulation::server::{Server, ServerEffect};
@@ -157,7 +157,7 @@
 /// # Errors
 ///
 /// Returns an error if the settings of a front are invalid.
-pub fn play(day: &Day, guards: Safeguards) -> Result<Played, ConfigError> {
+pub fn play(day: &Day, guards: Safeguards) -> Result<RunResult, ConfigError> {
     play_with(day, guards, Baseline::Module)
 }
 
@@ -166,7 +166,7 @@
 /// # Errors
 ///
 /// Returns an error if the settings of a front are invalid.
-pub fn play_with(day: &Day, guards: Safeguards, policy: Baseline) -> Result<Played, ConfigError> {
+pub fn play_with(day: &Day, guards: Safeguards, policy: Baseline) -> Result<RunResult, ConfigError> {
     let script = day.script();
     let mut simulation = Simulation::new(day, &script, guards, policy)?;
     let end_ns = START_NS + day.length_ns + ANSWER_WAIT_NS;
@@ -182,7 +182,14 @@
     let breaches = call_rules_checker::check(&records, day.rule_limits());
     let ramp = simulation.servers.iter().map(|server| server.model.ramp()).fold(0.0, f64::max);
     let report = report(day, &records, 0);
-    Ok(Played { report, breaches, records, used: Vec::new(), talk: simulation.gossip_traffic, ramp })
+    Ok(RunResult {
+        report,
+        breaches,
+        records,
+        resource_usage: Vec::new(),
+        gossip_traffic: simulation.gossip_traffic,
+        ramp,
+    })
 }
 
 impl<'a> Simulation<'a> {
--- a/crates/lilacpitch-testbed/tests/guards.rs
+++ b/crates/lilacpitch-testbed/tests/guards.rs
@@ -5,7 +5,7 @@
 use lilacpitch_testbed::call_rules_checker::Rule;
 use lilacpitch_testbed::day::Day;
 use lilacpitch_testbed::edges::Program;
-use lilacpitch_testbed::runner::{play, Played};
+use lilacpitch_testbed::runner::{play, RunResult};
 
 /// A day of six seconds in which one server drains, one loses answers, and one resets its connections.
 fn day() -> Day {
@@ -31,7 +31,7 @@
     .unwrap()
 }
 
-fn play_with_safeguards(safeguards: Safeguards) -> Played {
+fn play_with_safeguards(safeguards: Safeguards) -> RunResult {
     play(&day(), &Program::Thread(safeguards)).unwrap()
 }
 
--- a/crates/lilacpitch-testbed/tests/membership.rs
+++ b/crates/lilacpitch-testbed/tests/membership.rs
@@ -1,13 +1,13 @@
 //! Tests of the fronts' gossip membership on a simulated network, and of its report.
 
-use lilacpitch_testbed::membership::{membership, watch, Case};
+use lilacpitch_testbed::membership::{measure, membership, Case};
 use lilacpitch_testbed::simulated_network::Network;
 
 const S: u64 = 1_000_000_000;
 
 #[test]
 fn without_loss_changes_are_detected_soon_and_without_false_positives() {
-    let seen = watch(Case { fronts: 12, lost: 0 }, 1);
+    let seen = measure(Case { fronts: 12, lost: 0 }, 1);
     assert!(seen.joined_s.is_some_and(|s| s < 5.0), "{seen:?}");
     assert_eq!(seen.false_per_front_hour, 0.0);
     assert!(seen.steady.0 > 0.5 && seen.steady.1 > 50.0, "too little gossip: {seen:?}");
@@ -33,8 +33,8 @@
 #[test]
 fn runs_are_determined_by_their_seed() {
     let case = Case { fronts: 6, lost: 20 };
-    assert_eq!(watch(case, 5), watch(case, 5));
-    assert_ne!(watch(case, 5), watch(case, 6));
+    assert_eq!(measure(case, 5), measure(case, 5));
+    assert_ne!(measure(case, 5), measure(case, 6));
 }
 
 #[test]
@@ -61,7 +61,7 @@
 #[test]
 fn few_fronts_join_without_false_positives_at_30_percent_loss() {
     for seed in 1..=4 {
-        let seen = watch(Case { fronts: 3, lost: 30 }, seed);
+        let seen = measure(Case { fronts: 3, lost: 30 }, seed);
         assert!(seen.joined_s.is_some_and(|s| s < 10.0), "{seed}: {seen:?}");
         assert!(seen.healed_s.is_some(), "{seed}: {seen:?}");
         assert!(seen.returns.iter().all(|back| back.is_some_and(|s| s < 30.0)), "{seed}: {seen:?}");
--- a/crates/lilacpitch-testbed/tests/restarts.rs
+++ b/crates/lilacpitch-testbed/tests/restarts.rs
@@ -41,7 +41,7 @@
     let played = play(&day, &program).unwrap();
     assert_eq!(played.breaches, vec![]);
     assert!(played.report.service > 0.5, "{}", played.report);
-    assert!(played.talk.datagrams > 100, "too little gossip: {:?}", played.talk);
+    assert!(played.gossip_traffic.datagrams > 100, "too little gossip: {:?}", played.gossip_traffic);
     let setups = |front: usize, from_s: u64, to_s: u64| {
         let is_within = |at_ns: u64| (from_s * 1_000_000_000..to_s * 1_000_000_000).contains(&at_ns);
         let is_setup = |seen: &Seen| matches!(seen, Seen::Setup { edge, .. } if *edge == front);
@@ -99,5 +99,5 @@
     );
     assert!(damaged.len() > 60, "none was duplicated: {}", damaged.len());
     let counts = relay.stop().unwrap();
-    assert_eq!((counts.came, counts.lost), ((69, 6_900), 6));
+    assert_eq!((counts.received, counts.lost), ((69, 6_900), 6));
 }
