--- a/crates/lilacpitch-testbed/src/bound.rs
+++ b/crates/lilacpitch-testbed/src/bound.rs
@@ -7,7 +7,7 @@
 //! circuits are left out, so the bound is a little above what can be reached.
 
 use crate::day::{Day, Listed, ServerEvent, ServerSpec};
-use crate::simulation::server::{By, Server};
+use crate::simulation::server::{FaultSelector, Server};
 use lilacpitch::interface::Nanos;
 use std::collections::VecDeque;
 
@@ -42,15 +42,15 @@
             let server = &mut servers[*server];
             match event {
                 ServerEvent::Slow(times) => server.model.slow(*times),
-                ServerEvent::Still(_) | ServerEvent::LoseAnswers(_) | ServerEvent::Reset => {}
-                ServerEvent::Ail(fault) if fault.first == 0 && fault.by != By::Setup => {
+                ServerEvent::Pause(_) | ServerEvent::LoseAnswers(_) | ServerEvent::Reset => {}
+                ServerEvent::BeginFault(fault) if fault.first == 0 && fault.by != FaultSelector::Setup => {
                     lost += fault.share;
                 }
-                ServerEvent::Heal(fault) if fault.first == 0 && fault.by != By::Setup => {
+                ServerEvent::EndFault(fault) if fault.first == 0 && fault.by != FaultSelector::Setup => {
                     lost -= fault.share;
                 }
-                ServerEvent::Ail(_) | ServerEvent::Heal(_) => {}
-                ServerEvent::Die | ServerEvent::Stop => server.running = false,
+                ServerEvent::BeginFault(_) | ServerEvent::EndFault(_) => {}
+                ServerEvent::Silence | ServerEvent::Stop => server.running = false,
                 ServerEvent::Start => {
                     server.model.start(now);
                     server.running = true;
@@ -62,7 +62,7 @@
         }
         let step_s = STEP_NS as f64 / 1e9;
         let in_service = servers.iter().filter(|server| server.running && server.listed);
-        let mut capacity = in_service.map(|server| server.model.can_do_per_s(now)).sum::<f64>() * step_s;
+        let mut capacity = in_service.map(|server| server.model.capacity_per_s(now)).sum::<f64>() * step_s;
         // The average over the servers, so that the same fault at all of them counts once.
         let reachable = 1.0 - (lost / servers.len() as f64).clamp(0.0, 1.0);
         let calls = rate.at(now) * day.edges as f64 * step_s;
--- a/crates/lilacpitch-testbed/src/day.rs
+++ b/crates/lilacpitch-testbed/src/day.rs
@@ -4,7 +4,7 @@
 use crate::call_rules_checker::RuleLimits;
 use crate::simulated_network::NetworkConditions;
 use crate::simulation::caller::{CallerBehavior, Rate};
-use crate::simulation::server::{Answers, By, ResponseFault, ServerParameters};
+use crate::simulation::server::{FaultAnswer, FaultSelector, ResponseFault, ServerParameters};
 use lilacpitch::interface::Nanos;
 use lilacpitch_config::{de_duration, load, load_text, ConfigError, Loaded, Schema};
 use serde::Deserialize;
@@ -17,7 +17,7 @@
 const SILENT_NOTICE_NS: Nanos = 4_000_000_000;
 /// Delay until the pool list shows that a silent server is back.
 const BACK_NOTICE_NS: Nanos = 500_000_000;
-/// Interval between the pauses of a processor ([`Kind::Still`]).
+/// Interval between the pauses of a processor ([`TroubleKind::Still`]).
 const STILL_EVERY_NS: Nanos = 2_000_000_000;
 
 /// A scenario.
@@ -127,7 +127,7 @@
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 pub struct Trouble {
     /// Its kind.
-    pub kind: Kind,
+    pub kind: TroubleKind,
     /// Its start, from the start of the day.
     #[serde(deserialize_with = "de_duration", rename = "at")]
     pub at_ns: Nanos,
@@ -140,11 +140,11 @@
     pub servers: Vec<String>,
     /// Indexes of the fronts affected; empty: all.
     pub edges: Vec<usize>,
-    /// Retry-after of 'full' answers, period of [`Kind::Flap`], or delay of [`Kind::ListLate`].
+    /// Retry-after of 'full' answers, period of [`TroubleKind::Flap`], or delay of [`TroubleKind::ListLate`].
     #[serde(deserialize_with = "de_duration", rename = "wait")]
     pub wait_ns: Nanos,
     /// What a share of set-ups is selected by.
-    pub by: By,
+    pub by: FaultSelector,
     /// Most set-ups affected at a server; 0: no limit.
     pub first: u64,
 }
@@ -152,7 +152,7 @@
 /// Kinds of faults.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Kind {
+pub enum TroubleKind {
     /// A server's processor runs `size` times slower.
     Slow,
     /// A server answers nothing, and restarts cold at the end.
@@ -205,17 +205,17 @@
     /// Its processor runs this many times slower.
     Slow(f64),
     /// It becomes silent.
-    Die,
+    Silence,
     /// It restarts, cold.
     Start,
     /// Its processor pauses for this long.
-    Still(Nanos),
+    Pause(Nanos),
     /// It loses this share of its answers.
     LoseAnswers(f64),
     /// A share of its set-ups begins to get a fault response.
-    Ail(ResponseFault),
+    BeginFault(ResponseFault),
     /// That fault ends.
-    Heal(ResponseFault),
+    EndFault(ResponseFault),
     /// Its connections are lost.
     Reset,
     /// It stops for good.
@@ -438,16 +438,18 @@
         let edges: Vec<usize> =
             if trouble.edges.is_empty() { (0..self.edges).collect() } else { trouble.edges.clone() };
         match trouble.kind {
-            Kind::Jump => script.jumps.push((start, end, size)),
-            Kind::Freeze => script.freeze.extend(edges.into_iter().map(|edge| (start, end, edge))),
-            Kind::Restart => script.restart.extend(edges.into_iter().map(|edge| (start, end, edge))),
-            Kind::PeersConfused => script.confused.extend(edges.into_iter().map(|edge| (start, edge))),
-            Kind::ListLate => {
+            TroubleKind::Jump => script.jumps.push((start, end, size)),
+            TroubleKind::Freeze => script.freeze.extend(edges.into_iter().map(|edge| (start, end, edge))),
+            TroubleKind::Restart => script.restart.extend(edges.into_iter().map(|edge| (start, end, edge))),
+            TroubleKind::PeersConfused => script.confused.extend(edges.into_iter().map(|edge| (start, edge))),
+            TroubleKind::ListLate => {
                 script.list_late.extend(edges.into_iter().map(|edge| (start, end, edge, trouble.wait_ns)));
             }
-            Kind::PeersLost => script.peers_lost.push((start, end)),
-            Kind::PeersDamaged => script.peers_damaged.push((start, end, (100.0 * size.min(1.0)) as u32)),
-            Kind::CallersLeave => script.leave.extend(edges.into_iter().map(|edge| (start, edge))),
+            TroubleKind::PeersLost => script.peers_lost.push((start, end)),
+            TroubleKind::PeersDamaged => {
+                script.peers_damaged.push((start, end, (100.0 * size.min(1.0)) as u32))
+            }
+            TroubleKind::CallersLeave => script.leave.extend(edges.into_iter().map(|edge| (start, edge))),
             _ => servers.into_iter().for_each(|s| self.add_server_trouble(trouble, s, (start, end), script)),
         }
     }
@@ -469,46 +471,46 @@
             wait_ns: trouble.wait_ns,
         };
         let fault = match trouble.kind {
-            Kind::FullShare => Some(response_fault(Answers::Full)),
-            Kind::NoCircuitShare => Some(response_fault(Answers::NoCircuit)),
-            Kind::UnansweredShare => Some(response_fault(Answers::Nothing)),
-            Kind::FaultShare => Some(response_fault(Answers::Fault)),
-            Kind::BusyShare => Some(response_fault(Answers::Busy)),
+            TroubleKind::FullShare => Some(response_fault(FaultAnswer::Full)),
+            TroubleKind::NoCircuitShare => Some(response_fault(FaultAnswer::NoCircuit)),
+            TroubleKind::UnansweredShare => Some(response_fault(FaultAnswer::Nothing)),
+            TroubleKind::FaultShare => Some(response_fault(FaultAnswer::Fault)),
+            TroubleKind::BusyShare => Some(response_fault(FaultAnswer::Busy)),
             _ => None,
         };
         let mut add_event = |at, event| script.server.push((at, server, event));
         if let Some(fault) = fault {
-            add_event(start, ServerEvent::Ail(fault));
-            add_event(end, ServerEvent::Heal(fault));
+            add_event(start, ServerEvent::BeginFault(fault));
+            add_event(end, ServerEvent::EndFault(fault));
         }
         match trouble.kind {
-            Kind::Slow => {
+            TroubleKind::Slow => {
                 add_event(start, ServerEvent::Slow(size));
                 add_event(end, ServerEvent::Slow(1.0));
             }
-            Kind::Still => {
+            TroubleKind::Still => {
                 let count = (end - start) / STILL_EVERY_NS;
                 (0..count.max(1)).for_each(|i| {
-                    add_event(start + i * STILL_EVERY_NS, ServerEvent::Still((size * 1e6) as Nanos));
+                    add_event(start + i * STILL_EVERY_NS, ServerEvent::Pause((size * 1e6) as Nanos));
                 });
             }
-            Kind::AnswersLost => {
+            TroubleKind::AnswersLost => {
                 add_event(start, ServerEvent::LoseAnswers(size));
                 add_event(end, ServerEvent::LoseAnswers(0.0));
             }
-            Kind::Reset => add_event(start, ServerEvent::Reset),
-            Kind::Silent => add_silence(server, (start, end), script),
-            Kind::Flap => {
+            TroubleKind::Reset => add_event(start, ServerEvent::Reset),
+            TroubleKind::Silent => add_silence(server, (start, end), script),
+            TroubleKind::Flap => {
                 let period_ns = trouble.wait_ns.max(1_000_000_000) as usize;
                 (start..end)
                     .step_by(period_ns)
                     .for_each(|at| add_silence(server, (at, at + period_ns as u64 / 2), script));
             }
-            Kind::Drain | Kind::Replace => {
+            TroubleKind::Drain | TroubleKind::Replace => {
                 add_event(end, ServerEvent::Stop);
                 script.list.push((start, server, Listed::Draining));
                 script.list.push((end, server, Listed::Gone));
-                if trouble.kind == Kind::Replace {
+                if trouble.kind == TroubleKind::Replace {
                     let old = &self.servers[server];
                     let new = script.servers.len();
                     script
@@ -526,7 +528,7 @@
 /// Adds the events of a server that answers nothing and then restarts cold. The pool list shows both with a
 /// delay.
 fn add_silence(server: usize, (start, end): (Nanos, Nanos), script: &mut Script) {
-    script.server.push((start, server, ServerEvent::Die));
+    script.server.push((start, server, ServerEvent::Silence));
     script.server.push((end, server, ServerEvent::Start));
     if start + SILENT_NOTICE_NS < end {
         script.list.push((start + SILENT_NOTICE_NS, server, Listed::Gone));
--- a/crates/lilacpitch-testbed/src/fleet/cluster.rs
+++ b/crates/lilacpitch-testbed/src/fleet/cluster.rs
@@ -5,7 +5,7 @@
 use crate::edges::{resource_usage, ResourceUsage};
 use crate::record::Record;
 use crate::simulation::server::ServerParameters;
-use crate::standin::{self, Play};
+use crate::standin::{self, ScriptedServer};
 use lilacpitch_edge::net::{fetch, Clock};
 use lilacpitch_gossip::Keys;
 use lilacpitch_net::free_addresses;
@@ -475,7 +475,7 @@
             let (listener, address) = standin::bind()?;
             let name = format!("s-{pool}-{nth}");
             let _ = writeln!(list, "{{name: {name:?}, pool: {pool:?}, address: \"{address}\"}},");
-            plays.push(Play {
+            plays.push(ScriptedServer {
                 name,
                 parameters: parameters.clone(),
                 listener,
--- a/crates/lilacpitch-testbed/src/newcomers.rs
+++ b/crates/lilacpitch-testbed/src/newcomers.rs
@@ -2,11 +2,11 @@
 //! while: on the same days without gossip, with gossip, with all gossip lost, and with a peer that sends
 //! false reports.
 
-use crate::day::{Day, Kind, Trouble};
+use crate::day::{Day, Trouble, TroubleKind};
 use crate::record::{Record, Seen};
 use crate::report::report;
 use crate::simulated_run::play;
-use crate::simulation::server::By;
+use crate::simulation::server::FaultSelector;
 use lilacpitch::interface::Nanos;
 use lilacpitch_config::ConfigError;
 use lilacpitch_edge::core::Safeguards;
@@ -51,14 +51,14 @@
     match gossip {
         GossipMode::Lost => day.peer_loss = 100,
         GossipMode::Confused => day.troubles.push(Trouble {
-            kind: Kind::PeersConfused,
+            kind: TroubleKind::PeersConfused,
             at_ns: 0,
             for_ns: 0,
             size: 1.0,
             servers: Vec::new(),
             edges: vec![0],
             wait_ns: 0,
-            by: By::Setup,
+            by: FaultSelector::Setup,
             first: 0,
         }),
         GossipMode::None | GossipMode::Sound => {}
--- a/crates/lilacpitch-testbed/src/record.rs
+++ b/crates/lilacpitch-testbed/src/record.rs
@@ -131,21 +131,21 @@
 }
 
 /// The caller's id of a call in the label `FRONT/SERIAL/ID` that a front gives it.
-pub fn call_of(label: &str) -> &str {
+pub fn call_id(label: &str) -> &str {
     label.splitn(3, '/').nth(2).unwrap_or(label)
 }
 
 impl Seen {
     /// The event of a server that reads a front's message. `known`: whether the server has the attempt
     /// already.
-    pub fn read(server: &str, edge: usize, message: &ToServer, known: bool) -> Seen {
+    pub fn received_by_server(server: &str, edge: usize, message: &ToServer, known: bool) -> Seen {
         let server = server.to_string();
         match message {
             ToServer::Setup { attempt, call, repeat, .. } => Seen::Setup {
                 server,
                 edge,
                 attempt: *attempt,
-                call: call_of(call).to_string(),
+                call: call_id(call).to_string(),
                 repeat: *repeat > 0 && known,
             },
             ToServer::Cancel { attempt } => Seen::Ended { server, edge, attempt: *attempt, cancel: true },
@@ -154,7 +154,7 @@
     }
 
     /// The event of a server that sends a message.
-    pub fn said(server: &str, edge: usize, message: &FromServer) -> Seen {
+    pub fn sent_by_server(server: &str, edge: usize, message: &FromServer) -> Seen {
         let (server, attempt) = (server.to_string(), message.attempt());
         match message {
             FromServer::Answer { .. } => Seen::Answered { server, edge, attempt, stands: true },
--- a/crates/lilacpitch-testbed/src/runner.rs
+++ b/crates/lilacpitch-testbed/src/runner.rs
@@ -4,13 +4,13 @@
 use crate::call_rules_checker::{self, Violation};
 use crate::callers;
 use crate::datagram_relay::Relay;
-use crate::day::{pool_list, Day, Kind, Listed, Script};
+use crate::day::{pool_list, Day, Listed, Script, TroubleKind};
 use crate::edges::{EdgeError, Program, ResourceUsage, Running};
 use crate::record::{Record, Seen};
 use crate::report::{report, Report};
 use crate::simulated_network::{GossipTraffic, NetworkConditions};
 use crate::simulation::caller::Callers;
-use crate::standin::{self, Play};
+use crate::standin::{self, ScriptedServer};
 use lilacpitch::interface::Nanos;
 use lilacpitch_edge::net::Clock;
 use lilacpitch_net::free_addresses;
@@ -65,11 +65,11 @@
 
 /// Runs a day with this program as its fronts. Blocks until the day is over.
 pub fn play(day: &Day, program: &Program) -> Result<RunResult, PlayError> {
-    let has = |kind: Kind| day.troubles.iter().any(|t| t.kind == kind);
-    if has(Kind::PeersConfused) || has(Kind::ListLate) {
+    let has = |kind: TroubleKind| day.troubles.iter().any(|t| t.kind == kind);
+    if has(TroubleKind::PeersConfused) || has(TroubleKind::ListLate) {
         return Err(PlayError::VirtualOnly);
     }
-    if has(Kind::Restart) && !matches!(program, Program::Process(..)) {
+    if has(TroubleKind::Restart) && !matches!(program, Program::Process(..)) {
         return Err(PlayError::ProcessesOnly);
     }
     let folder = tempfile::tempdir().map_err(|e| PlayError::Io("a folder for settings", e))?;
@@ -138,11 +138,11 @@
     script: &Script,
     sockets: Vec<(std::net::TcpListener, SocketAddr)>,
     start_ns: Nanos,
-) -> Vec<Play> {
+) -> Vec<ScriptedServer> {
     let play = |(index, (listener, _)): (usize, (std::net::TcpListener, SocketAddr))| {
         let (server, listed) = &script.servers[index];
         let events = script.server.iter().filter(|(_, i, _)| *i == index);
-        Play {
+        ScriptedServer {
             name: server.name.clone(),
             parameters: day.server_parameters(server),
             listener,
--- a/crates/lilacpitch-testbed/src/simulated_run.rs
+++ b/crates/lilacpitch-testbed/src/simulated_run.rs
@@ -492,7 +492,7 @@
         let Ok(message) = ToServer::decode(text) else { return };
         let server_state = &self.servers[server];
         let known = server_state.model.has_attempt((front, message.attempt()));
-        self.record(Seen::read(&server_state.name.clone(), front, &message, known));
+        self.record(Seen::received_by_server(&server_state.name.clone(), front, &message, known));
         let mut server_effects = std::mem::take(&mut self.server_effects);
         self.servers[server].model.handle(self.now, front, &message, &mut server_effects);
         self.server_effects = server_effects;
@@ -532,7 +532,7 @@
 
     fn server_sends(&mut self, server: usize, front: usize, message: &FromServer) {
         let Some(link) = self.servers[server].connections.get(&front).copied() else { return };
-        self.record(Seen::said(&self.servers[server].name.clone(), front, message));
+        self.record(Seen::sent_by_server(&self.servers[server].name.clone(), front, message));
         let at = self.arrival_ns((SERVER_TO_FRONT, server, front));
         self.schedule(at, Event::ToFront(front, Input::UpstreamText(link, message.encode())));
     }
@@ -556,11 +556,11 @@
         let (now, server_state) = (self.now, &mut self.servers[server]);
         match event {
             ServerEvent::Slow(times) => server_state.model.slow(times),
-            ServerEvent::Still(span) => server_state.model.pause(now + span),
+            ServerEvent::Pause(span) => server_state.model.pause(now + span),
             ServerEvent::LoseAnswers(share) => server_state.model.lose_answers(share),
-            ServerEvent::Ail(ailment) => server_state.model.add_fault(ailment),
-            ServerEvent::Heal(ailment) => server_state.model.remove_fault(&ailment),
-            ServerEvent::Die => {
+            ServerEvent::BeginFault(fault) => server_state.model.add_fault(fault),
+            ServerEvent::EndFault(fault) => server_state.model.remove_fault(&fault),
+            ServerEvent::Silence => {
                 server_state.model.silence();
                 server_state.dead = true;
             }
--- a/crates/lilacpitch-testbed/src/simulation/server.rs
+++ b/crates/lilacpitch-testbed/src/simulation/server.rs
@@ -11,7 +11,7 @@
 use std::hash::{DefaultHasher, Hash, Hasher};
 
 /// An attempt of a front: index of the front, id of the attempt.
-pub type Key = (usize, u64);
+pub type AttemptKey = (usize, u64);
 
 /// The parameters of a server.
 #[derive(Debug, Clone, PartialEq)]
@@ -61,8 +61,8 @@
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Work {
-    SetUp(Key),
-    Answer(Key),
+    SetUp(AttemptKey),
+    Answer(AttemptKey),
     /// Takes time but has no effect when it is done.
     Idle,
 }
@@ -70,7 +70,7 @@
 /// The response to a set-up that a [`ResponseFault`] affects.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Answers {
+pub enum FaultAnswer {
     /// 'Processor full', with a retry-after.
     Full,
     /// 'No circuit'.
@@ -86,7 +86,7 @@
 /// What the set-ups that a [`ResponseFault`] affects are selected by.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum By {
+pub enum FaultSelector {
     /// Each set-up by itself.
     Setup,
     /// The call: all its attempts, at every server.
@@ -99,11 +99,11 @@
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct ResponseFault {
     /// The response.
-    pub answers: Answers,
+    pub answers: FaultAnswer,
     /// Share of the set-ups that get it.
     pub share: f64,
     /// What they are selected by.
-    pub by: By,
+    pub by: FaultSelector,
     /// Most set-ups affected; 0: no limit.
     pub first: u64,
     /// Retry-after of a 'full' response; 0: none.
@@ -116,7 +116,7 @@
     /// Sends a message to a front.
     Send(usize, FromServer),
     /// An answer was lost.
-    AnswerLost(Key),
+    AnswerLost(AttemptKey),
     /// The server failed under too much load while warming up.
     Failed {
         /// The load, as a multiple of its capacity.
@@ -130,7 +130,7 @@
 #[derive(Debug)]
 pub struct Server {
     parameters: ServerParameters,
-    calls: BTreeMap<Key, State>,
+    calls: BTreeMap<AttemptKey, State>,
     /// Queued work and its cost.
     queue: VecDeque<(Work, f64)>,
     /// The work in progress and the time at which it will be done.
@@ -228,7 +228,7 @@
     /// Cuts all calls. Returns the messages to the fronts of those that were established.
     pub fn cut_all(&mut self) -> Vec<(usize, FromServer)> {
         let established = self.calls.iter().filter(|(_, state)| **state == State::Answered);
-        let released = |((front, attempt), _): (&Key, &State)| {
+        let released = |((front, attempt), _): (&AttemptKey, &State)| {
             (*front, FromServer::Released { attempt: *attempt, cause: ReleaseCause::Cut })
         };
         let messages = established.map(released).collect();
@@ -242,12 +242,12 @@
     }
 
     /// Whether the server has this attempt.
-    pub fn has_attempt(&self, key: Key) -> bool {
+    pub fn has_attempt(&self, key: AttemptKey) -> bool {
         self.calls.contains_key(&key)
     }
 
     /// Calls per second that it can process now.
-    pub fn can_do_per_s(&self, now: Nanos) -> f64 {
+    pub fn capacity_per_s(&self, now: Nanos) -> f64 {
         let warmth = self.up_since_ns.map_or(1.0, |up| {
             let age = now.saturating_sub(up) as f64 / self.parameters.cold_span_ns.max(1) as f64;
             (self.parameters.cold_from + (1.0 - self.parameters.cold_from) * age).min(1.0)
@@ -257,7 +257,7 @@
 
     /// Processing time of work with this cost.
     fn processing_ns(&self, cost: f64, now: Nanos) -> Nanos {
-        (cost * 1e9 / self.can_do_per_s(now)) as Nanos
+        (cost * 1e9 / self.capacity_per_s(now)) as Nanos
     }
 
     /// The wait of a set-up that arrives now.
@@ -270,7 +270,7 @@
         Some(Load {
             free: Some(self.parameters.circuits.saturating_sub(self.calls.len()) as u64),
             latency_ms: Some((self.wait_ns(now) / 1_000_000) as f64),
-            can_take_per_s: Some(self.can_do_per_s(now).round()),
+            can_take_per_s: Some(self.capacity_per_s(now).round()),
         })
     }
 
@@ -299,15 +299,15 @@
     }
 
     /// The fault that affects a set-up. A repeat of a set-up that was accepted gets none.
-    fn fault_for(&mut self, key: Key, call: &str, number: Option<&str>) -> Option<ResponseFault> {
+    fn fault_for(&mut self, key: AttemptKey, call: &str, number: Option<&str>) -> Option<ResponseFault> {
         if self.calls.contains_key(&key) {
             return None;
         }
         let selected = self.response_faults.iter_mut().find(|(fault, affected)| {
             let fraction = match fault.by {
-                By::Setup => hashed_fraction(&key),
-                By::Call => hashed_fraction(&call),
-                By::Number => hashed_fraction(&number),
+                FaultSelector::Setup => hashed_fraction(&key),
+                FaultSelector::Call => hashed_fraction(&call),
+                FaultSelector::Number => hashed_fraction(&number),
             };
             fraction < fault.share && (fault.first == 0 || *affected < fault.first)
         })?;
@@ -319,7 +319,7 @@
     fn respond_with_fault(
         &mut self,
         now: Nanos,
-        key: Key,
+        key: AttemptKey,
         fault: ResponseFault,
         effects: &mut Vec<ServerEffect>,
     ) {
@@ -330,21 +330,21 @@
         let (front, attempt) = key;
         let load = self.load(now);
         let answer = match fault.answers {
-            Answers::Nothing => return,
-            Answers::Full => {
+            FaultAnswer::Nothing => return,
+            FaultAnswer::Full => {
                 let wait_ms = Some(fault.wait_ns / 1_000_000).filter(|ms| *ms > 0);
                 FromServer::Full { attempt, wait_ms, load }
             }
-            Answers::NoCircuit => FromServer::NoCircuit { attempt, load },
-            Answers::Fault => FromServer::Fault { attempt, cause: "far end".into(), load },
-            Answers::Busy => FromServer::LinesBusy { attempt, load },
+            FaultAnswer::NoCircuit => FromServer::NoCircuit { attempt, load },
+            FaultAnswer::Fault => FromServer::Fault { attempt, cause: "far end".into(), load },
+            FaultAnswer::Busy => FromServer::LinesBusy { attempt, load },
         };
         self.enqueue(Work::Idle, REJECTION);
         effects.push(ServerEffect::Send(front, answer));
     }
 
     /// Handles a set-up that no fault affects.
-    fn set_up(&mut self, now: Nanos, key: Key, effects: &mut Vec<ServerEffect>) {
+    fn set_up(&mut self, now: Nanos, key: AttemptKey, effects: &mut Vec<ServerEffect>) {
         let (front, attempt) = key;
         if let Some(state) = self.calls.get(&key).copied() {
             // A repeat: if the answer was sent, it may have been lost and is sent again.
--- a/crates/lilacpitch-testbed/src/standin.rs
+++ b/crates/lilacpitch-testbed/src/standin.rs
@@ -21,7 +21,7 @@
 const QUEUE: usize = 65_536;
 
 /// A server to be simulated.
-pub struct Play {
+pub struct ScriptedServer {
     /// Its name in the pool list.
     pub name: String,
     /// The parameters of its model.
@@ -75,7 +75,7 @@
 
 /// Runs servers until the value of `stop` changes. Returns their records. Must be called within a `LocalSet`.
 pub async fn play(
-    plays: Vec<Play>,
+    plays: Vec<ScriptedServer>,
     clock: Clock,
     stop: watch::Receiver<bool>,
 ) -> std::io::Result<Vec<Record>> {
@@ -90,7 +90,11 @@
     Ok(records)
 }
 
-async fn serve(play: Play, clock: Clock, mut stop: watch::Receiver<bool>) -> std::io::Result<Vec<Record>> {
+async fn serve(
+    play: ScriptedServer,
+    clock: Clock,
+    mut stop: watch::Receiver<bool>,
+) -> std::io::Result<Vec<Record>> {
     let listener = TcpListener::from_std(play.listener)?;
     let mut events = play.events.into_iter().peekable();
     let (socket_events, mut inbox) = mpsc::channel(QUEUE);
@@ -182,7 +186,7 @@
                 let Some(edge) = self.connections.get(&connection).map(|c| c.edge) else { return };
                 let Ok(message) = ToServer::decode(&text) else { return };
                 let known = self.model.has_attempt((edge, message.attempt()));
-                let seen = Seen::read(&self.name, edge, &message, known);
+                let seen = Seen::received_by_server(&self.name, edge, &message, known);
                 self.record(seen);
                 let now = self.clock.now();
                 self.model.handle(now, edge, &message, &mut self.effects);
@@ -212,7 +216,7 @@
         let Some(connection) = connection else { return };
         let text = message.encode();
         let _ = connection.outgoing.try_send(Outgoing { number: 0, text, not_after_ns: None });
-        let seen = Seen::said(&self.name, edge, &message);
+        let seen = Seen::sent_by_server(&self.name, edge, &message);
         self.record(seen);
     }
 
@@ -236,11 +240,11 @@
         let now = self.clock.now();
         match event {
             ServerEvent::Slow(times) => self.model.slow(times),
-            ServerEvent::Still(duration) => self.model.pause(now + duration),
+            ServerEvent::Pause(duration) => self.model.pause(now + duration),
             ServerEvent::LoseAnswers(share) => self.model.lose_answers(share),
-            ServerEvent::Ail(fault) => self.model.add_fault(fault),
-            ServerEvent::Heal(fault) => self.model.remove_fault(&fault),
-            ServerEvent::Die => {
+            ServerEvent::BeginFault(fault) => self.model.add_fault(fault),
+            ServerEvent::EndFault(fault) => self.model.remove_fault(&fault),
+            ServerEvent::Silence => {
                 self.model.silence();
                 self.dead = true;
             }
