--- a/crates/lilacpitch-testbed/src/callers.rs
+++ b/crates/lilacpitch-testbed/src/callers.rs
@@ -86,7 +86,7 @@
 }
 
 /// Runs the callers of a front to the end of the day. Must be called within a `LocalSet`.
-pub(crate) async fn play(plan: Plan, clock: Clock) -> Result<Vec<Record>, String> {
+pub(crate) async fn run(plan: Plan, clock: Clock) -> Result<Vec<Record>, String> {
     let (received, mut inbox) = mpsc::channel(QUEUE);
     let (sockets, end_ns) = (plan.sockets, plan.start_ns + plan.length_ns);
     let mut callers = FrontCallers {
@@ -286,7 +286,8 @@
                     self.schedule(now + answered_try.hold_ns, Task::Release(call));
                 } else {
                     let day_ns = now - self.plan.start_ns;
-                    let next_try = self.plan.callers.again(day_ns, &answered_try, answer, come_back_ms);
+                    let next_try =
+                        self.plan.callers.next_attempt(day_ns, &answered_try, answer, come_back_ms);
                     if let Some((at, next_try)) = next_try {
                         self.schedule(self.plan.start_ns + at, Task::Offer(next_try));
                     }
--- a/crates/lilacpitch-testbed/src/cli.rs
+++ b/crates/lilacpitch-testbed/src/cli.rs
@@ -11,15 +11,15 @@
 use lilacpitch_testbed::membership::{self, membership, Case};
 use lilacpitch_testbed::newcomers::{newcomer_service, GossipMode};
 use lilacpitch_testbed::record::Record;
-use lilacpitch_testbed::runner::play;
+use lilacpitch_testbed::runner;
 use lilacpitch_testbed::simulated_run;
 use std::ffi::OsString;
 use std::io::IsTerminal;
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 
-/// Most breaches of one rule that are printed.
-const MAX_PRINTED_BREACHES: usize = 5;
+/// Most violations of one rule that are printed.
+const MAX_PRINTED_VIOLATIONS: usize = 5;
 
 /// The testbed: runs fronts against simulated servers and callers, injects faults, and checks the call rules.
 #[derive(Debug, Parser)]
@@ -204,15 +204,15 @@
         day.length_ns / 1_000_000_000,
         day.troubles.len()
     );
-    let played = play(&day, &program).map_err(|e| e.to_string())?;
-    records.map_or(Ok(()), |path| write_records(path, &played.records))?;
-    println!("{}", played.report);
+    let result = runner::run_day(&day, &program).map_err(|e| e.to_string())?;
+    records.map_or(Ok(()), |path| write_records(path, &result.records))?;
+    println!("{}", result.report);
     let seconds = day.length_ns as f64 / 1e9;
-    for (edge, usage) in played.resource_usage.iter().enumerate() {
+    for (edge, usage) in result.resource_usage.iter().enumerate() {
         let share = 100.0 * usage.cpu_s / seconds;
         println!("front {edge}: {share:.1} % of a core, {:.1} MiB at most", usage.peak_mib);
     }
-    Ok(print_verdict(&played.breaches))
+    Ok(print_verdict(&result.violations))
 }
 
 fn write_records(path: &Path, records: &[Record]) -> Result<(), String> {
@@ -224,7 +224,7 @@
 fn front_program(path: Option<PathBuf>) -> Result<Program, String> {
     match path {
         Some(path) => Ok(Program::Process(path, Vec::new())),
-        None => Program::this().map_err(|e| format!("this program's own path: {e}")),
+        None => Program::current_executable().map_err(|e| format!("this program's own path: {e}")),
     }
 }
 
@@ -236,8 +236,8 @@
     for (per_s, seconds) in loads {
         let load = load(&program, per_s, seconds)?;
         println!("{load}");
-        load.breaches.iter().take(MAX_PRINTED_BREACHES).for_each(|breach| println!("  {breach}"));
-        rules_kept &= load.breaches.is_empty();
+        load.violations.iter().take(MAX_PRINTED_VIOLATIONS).for_each(|violation| println!("  {violation}"));
+        rules_kept &= load.violations.is_empty();
     }
     Ok(rules_kept)
 }
@@ -248,7 +248,7 @@
     for gossip in GossipMode::ALL {
         let service = newcomer_service(&day, gossip, seeds).map_err(|e| e.to_string())?;
         println!("{:<10} {service}", format!("{gossip:?}"));
-        rules_kept &= service.breaches == 0;
+        rules_kept &= service.violations == 0;
     }
     Ok(rules_kept)
 }
@@ -303,35 +303,35 @@
     let mut rules_kept = true;
     for _ in 0..seeds {
         let start = std::time::Instant::now();
-        let played = simulated_run::play(&day, Safeguards::default()).map_err(|e| e.to_string())?;
+        let result = simulated_run::simulate_day(&day, Safeguards::default()).map_err(|e| e.to_string())?;
         println!("seed {}, {} fronts, played in {:.1} s", day.seed, day.edges, start.elapsed().as_secs_f64());
-        println!("{}", played.report);
+        println!("{}", result.report);
         if day.peers {
             let front_seconds = day.length_ns as f64 / 1e9 * day.edges as f64;
-            let datagrams_per_s = played.gossip_traffic.datagrams as f64 / front_seconds;
-            let bytes_per_s = played.gossip_traffic.bytes as f64 / front_seconds;
+            let datagrams_per_s = result.gossip_traffic.datagrams as f64 / front_seconds;
+            let bytes_per_s = result.gossip_traffic.bytes as f64 / front_seconds;
             println!(
                 "each front told others {datagrams_per_s:.1} datagrams and {:.1} kB a second",
                 bytes_per_s / 1e3
             );
         }
-        records.map_or(Ok(()), |path| write_records(path, &played.records))?;
-        rules_kept &= print_verdict(&played.breaches);
+        records.map_or(Ok(()), |path| write_records(path, &result.records))?;
+        rules_kept &= print_verdict(&result.violations);
         day.seed += 1;
     }
     Ok(rules_kept)
 }
 
-/// Prints for each rule whether it was kept, with the first breaches. Returns whether all rules were kept.
-fn print_verdict(breaches: &[Violation]) -> bool {
+/// Prints for each rule whether it was kept, with the first violations. Returns whether all rules were kept.
+fn print_verdict(violations: &[Violation]) -> bool {
     for rule in Rule::ALL {
-        let of_rule: Vec<&Violation> = breaches.iter().filter(|b| b.rule == rule).collect();
+        let of_rule: Vec<&Violation> = violations.iter().filter(|b| b.rule == rule).collect();
         let verdict =
             if of_rule.is_empty() { "kept".to_string() } else { format!("BROKEN {} times", of_rule.len()) };
         println!("{:<42} {verdict}", rule.text());
-        of_rule.iter().take(MAX_PRINTED_BREACHES).for_each(|breach| println!("  {breach}"));
+        of_rule.iter().take(MAX_PRINTED_VIOLATIONS).for_each(|violation| println!("  {violation}"));
     }
-    breaches.is_empty()
+    violations.is_empty()
 }
 
 /// The safeguards of a process of the fleet, without those that the environment variable
--- a/crates/lilacpitch-testbed/src/compare.rs
+++ b/crates/lilacpitch-testbed/src/compare.rs
@@ -5,7 +5,7 @@
 use crate::call_rules_checker::Rule;
 use crate::day::Day;
 use crate::report::Report;
-use crate::simulated_run::play_with;
+use crate::simulated_run::simulate_day_with;
 use indicatif::{ProgressBar, ProgressStyle};
 use lilacpitch::interface::Nanos;
 use lilacpitch_config::ConfigError;
@@ -70,13 +70,13 @@
         .map(|(index, policy, seed)| {
             let mut day = days[*index].1.clone();
             day.seed += seed;
-            let played = play_with(&day, Safeguards::default(), *policy)?;
+            let result = simulate_day_with(&day, Safeguards::default(), *policy)?;
             bar.inc(1);
-            let mut broken: Vec<Rule> = played.breaches.iter().map(|b| b.rule).collect();
+            let mut broken: Vec<Rule> = result.violations.iter().map(|b| b.rule).collect();
             broken.sort();
             broken.dedup();
-            let recovery_s = recovery(&day, &played.report);
-            let (service, worst) = (played.report.service, played.report.worst.0);
+            let recovery_s = recovery(&day, &result.report);
+            let (service, worst) = (result.report.service, result.report.worst.0);
             Ok(Run { service, worst, recovery_s, broken })
         })
         .collect();
--- a/crates/lilacpitch-testbed/src/edges.rs
+++ b/crates/lilacpitch-testbed/src/edges.rs
@@ -56,7 +56,7 @@
 
 /// A running front.
 #[derive(Debug)]
-pub struct Running {
+pub struct RunningEdge {
     /// The address callers connect to.
     pub callers: SocketAddr,
     host: Host,
@@ -79,12 +79,12 @@
 
 impl Program {
     /// This program itself as a front, by its hidden subcommand `edge`.
-    pub fn this() -> std::io::Result<Self> {
+    pub fn current_executable() -> std::io::Result<Self> {
         Ok(Program::Process(std::env::current_exe()?, vec!["edge".into()]))
     }
 
     /// Starts a front with a settings file and waits until it listens.
-    pub fn start(&self, config: &Path) -> Result<Running, EdgeError> {
+    pub fn start(&self, config: &Path) -> Result<RunningEdge, EdgeError> {
         match self {
             Program::Process(program, arguments) => start_process(program, arguments, config),
             Program::Thread(safeguards) => start_thread(*safeguards, config),
@@ -93,7 +93,7 @@
     }
 }
 
-fn start_process(program: &Path, arguments: &[String], config: &Path) -> Result<Running, EdgeError> {
+fn start_process(program: &Path, arguments: &[String], config: &Path) -> Result<RunningEdge, EdgeError> {
     let failed = |e| EdgeError::Process(program.display().to_string(), e);
     let mut child = Command::new(program)
         .args(arguments)
@@ -110,10 +110,10 @@
         serde_json::from_str(&line).map_err(|e| EdgeError::NotReady(format!("{line:?}: {e}")))?;
     let callers = ready["callers"].as_str().and_then(|a| a.parse().ok());
     let Some(callers) = callers else { return Err(EdgeError::NotReady(line)) };
-    Ok(Running { callers, host: Host::Process(child) })
+    Ok(RunningEdge { callers, host: Host::Process(child) })
 }
 
-fn start_thread(safeguards: Safeguards, config: &Path) -> Result<Running, EdgeError> {
+fn start_thread(safeguards: Safeguards, config: &Path) -> Result<RunningEdge, EdgeError> {
     let settings = Edge::load(config).map_err(|e| EdgeError::NotReady(e.to_string()))?.value;
     let (stop, stopped) = oneshot::channel();
     let (ready_sender, ready_receiver) = std::sync::mpsc::channel();
@@ -129,12 +129,12 @@
         result.map_err(|e| e.to_string())
     });
     match ready_receiver.recv_timeout(START_STOP_TIMEOUT) {
-        Ok(ready) => Ok(Running { callers: ready.callers, host: Host::Thread(stop, thread) }),
+        Ok(ready) => Ok(RunningEdge { callers: ready.callers, host: Host::Thread(stop, thread) }),
         Err(error) => Err(EdgeError::NotReady(error.to_string())),
     }
 }
 
-fn start_null() -> Result<Running, EdgeError> {
+fn start_null() -> Result<RunningEdge, EdgeError> {
     let failed = |e| EdgeError::Process("a socket".into(), e);
     let (listener, callers) = crate::standin::bind().map_err(failed)?;
     let (stop, stopped) = oneshot::channel();
@@ -156,7 +156,7 @@
         };
         tokio::task::LocalSet::new().block_on(&runtime, serving)
     });
-    Ok(Running { callers, host: Host::Thread(stop, thread) })
+    Ok(RunningEdge { callers, host: Host::Thread(stop, thread) })
 }
 
 /// Answers every set-up of a caller's connection as established.
@@ -184,7 +184,7 @@
     connection.run(&unread_bytes, &mut queue, on_event).await;
 }
 
-impl Running {
+impl RunningEdge {
     /// Suspends its process, or resumes it. Returns `false` for a thread, which can't be suspended.
     pub fn freeze(&self, on: bool) -> bool {
         self.signal(if on { Signal::SIGSTOP } else { Signal::SIGCONT })
--- a/crates/lilacpitch-testbed/src/fleet/cluster.rs
+++ b/crates/lilacpitch-testbed/src/fleet/cluster.rs
@@ -469,13 +469,13 @@
         tip_span_ns: 1_000_000_000,
         tip_chance: false,
     };
-    let (mut plays, mut list) = (Vec::new(), String::from("servers: [\n"));
+    let (mut servers, mut list) = (Vec::new(), String::from("servers: [\n"));
     for pool in pools {
         for nth in 0..2 {
             let (listener, address) = standin::bind()?;
             let name = format!("s-{pool}-{nth}");
             let _ = writeln!(list, "{{name: {name:?}, pool: {pool:?}, address: \"{address}\"}},");
-            plays.push(ScriptedServer {
+            servers.push(ScriptedServer {
                 name,
                 parameters: parameters.clone(),
                 listener,
@@ -489,7 +489,7 @@
     let (stop, stop_receiver) = watch::channel(false);
     let thread = std::thread::spawn(move || {
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
-        tokio::task::LocalSet::new().block_on(&runtime, standin::play(plays, Clock::start(), stop_receiver))
+        tokio::task::LocalSet::new().block_on(&runtime, standin::run(servers, Clock::start(), stop_receiver))
     });
     Ok((stop, thread))
 }
--- a/crates/lilacpitch-testbed/src/load.rs
+++ b/crates/lilacpitch-testbed/src/load.rs
@@ -10,7 +10,7 @@
 use crate::edges::{resource_usage, Program, ResourceUsage};
 use crate::record::{Record, Seen};
 use crate::report::histogram;
-use crate::runner::{play, PlayError, RunResult};
+use crate::runner::{run_day, RunError, RunResult};
 use hdrhistogram::Histogram;
 use lilacpitch::interface::Nanos;
 use std::collections::BTreeMap;
@@ -26,7 +26,7 @@
     /// Number of calls offered, and of those established.
     pub calls: (u64, u64),
     /// Violations of the call rules.
-    pub breaches: Vec<Violation>,
+    pub violations: Vec<Violation>,
     /// Latency that the front added to each call established at its first attempt, in microseconds.
     pub added_us: Histogram<u64>,
     /// The testbed's own round trip under the same load, in microseconds.
@@ -58,10 +58,10 @@
 /// Measures a front under a steady load, and the testbed alone under the same load.
 pub fn load(program: &Program, per_s: f64, seconds: u64) -> Result<Load, String> {
     let day = steady_load(per_s, seconds)?;
-    let text = |e: PlayError| e.to_string();
+    let text = |e: RunError| e.to_string();
     let before = resource_usage(std::process::id()).unwrap_or_default();
-    let RunResult { records, breaches, resource_usage: fronts, report, .. } =
-        play(&day, program).map_err(text)?;
+    let RunResult { records, violations, resource_usage: fronts, report, .. } =
+        run_day(&day, program).map_err(text)?;
     let after = resource_usage(std::process::id()).unwrap_or_default();
     let added_us = added_latency(&records);
     let calls = (
@@ -70,14 +70,14 @@
     );
     drop(records);
     // A tenth of the time is enough for the testbed's own latency.
-    let alone = play(&steady_load(per_s, (seconds / 10).max(5))?, &Program::Null).map_err(text)?;
+    let alone = run_day(&steady_load(per_s, (seconds / 10).max(5))?, &Program::Null).map_err(text)?;
     let mut testbed_us = histogram();
     alone.report.classes.iter().for_each(|c| testbed_us.add(&c.setup_us).unwrap_or(()));
     Ok(Load {
         per_s,
         seconds,
         calls,
-        breaches,
+        violations,
         added_us,
         testbed_us,
         front: fronts.first().copied().unwrap_or_default(),
@@ -142,7 +142,7 @@
             percent_of_core(self.front.cpu_s),
             self.front.peak_mib,
             percent_of_core(self.testbed_cpu_s),
-            self.breaches.len()
+            self.violations.len()
         )
     }
 }
--- a/crates/lilacpitch-testbed/src/membership.rs
+++ b/crates/lilacpitch-testbed/src/membership.rs
@@ -34,7 +34,7 @@
 
 /// The measurements of one run.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Seen {
+pub struct Measurement {
     /// Seconds from the last start until all fronts knew each other; `None`: more than two minutes.
     pub joined_s: Option<f64>,
     /// Datagrams and bytes sent per front and second in the steady state.
@@ -44,10 +44,10 @@
     /// False detections of failures in the steady state, per front and hour.
     pub false_per_front_hour: f64,
     /// For each front killed, seconds until the first other front detected it, and until all had.
-    pub deaths: Vec<(Option<f64>, Option<f64>)>,
+    pub detections_s: Vec<(Option<f64>, Option<f64>)>,
     /// For each of these fronts, seconds from its restart with the same name until all fronts knew each
     /// other.
-    pub returns: Vec<Option<f64>>,
+    pub rejoined_s: Vec<Option<f64>>,
     /// Seconds from the end of the partition until all fronts knew each other.
     pub healed_s: Option<f64>,
     /// Bytes per front and second in the five seconds after the partition, as a multiple of the steady state.
@@ -55,7 +55,7 @@
 }
 
 /// Runs one case with one seed.
-pub fn measure(case: Case, seed: u64) -> Seen {
+pub fn measure(case: Case, seed: u64) -> Measurement {
     let mut network = Network::new(case.fronts, seed);
     network.conditions.lost = case.lost;
     for front in 0..case.fronts {
@@ -67,26 +67,26 @@
     let is_false_detection =
         |change: &&MembershipChange| !change.joined && change.is_current_incarnation && change.is_running;
     let false_detections = steady.changes.iter().filter(is_false_detection).count();
-    let (mut deaths, mut returns) = (Vec::new(), Vec::new());
+    let (mut detections_s, mut rejoined_s) = (Vec::new(), Vec::new());
     // The last fronts and not the first, which are the seeds: a front that restarts announces itself to
     // these.
     for front in (0..case.fronts).rev().take(KILLED_FRONTS.min(case.fronts.saturating_sub(1))) {
-        deaths.push(detection_times(&mut network, front));
+        detections_s.push(detection_times(&mut network, front));
         network.start(front);
-        returns.push(seconds_until(&mut network, Network::all_know_all));
+        rejoined_s.push(seconds_until(&mut network, Network::all_know_all));
     }
     network.conditions.split = case.fronts / 2;
     network.run(SPLIT_NS);
     network.conditions.split = 0;
     let healing = measure_traffic(&mut network, HEALED_NS);
     let healed_s = seconds_until(&mut network, Network::all_know_all).map(|s| s + HEALED_NS as f64 / 1e9);
-    Seen {
+    Measurement {
         joined_s,
         steady: (steady.datagrams_per_s, steady.bytes_per_s),
         max_bytes_per_s: steady.max_bytes_per_s,
         false_per_front_hour: false_detections as f64 / case.fronts as f64 * 3_600e9 / STEADY_NS as f64,
-        deaths,
-        returns,
+        detections_s,
+        rejoined_s,
         healed_s,
         heal_storm: healing.bytes_per_s / steady.bytes_per_s.max(f64::MIN_POSITIVE),
     }
@@ -164,7 +164,7 @@
     /// The parameters.
     pub case: Case,
     /// One run for each seed.
-    pub runs: Vec<Seen>,
+    pub runs: Vec<Measurement>,
 }
 
 /// Runs all cases with this many seeds each, several at a time.
@@ -182,13 +182,13 @@
 
 impl fmt::Display for Row {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let mean = |value: &dyn Fn(&Seen) -> f64| {
+        let mean = |value: &dyn Fn(&Measurement) -> f64| {
             self.runs.iter().map(value).sum::<f64>() / self.runs.len().max(1) as f64
         };
-        let all = |values: &dyn Fn(&Seen) -> Vec<Option<f64>>| {
+        let all = |values: &dyn Fn(&Measurement) -> Vec<Option<f64>>| {
             self.runs.iter().flat_map(values).collect::<Vec<_>>()
         };
-        let detected_by_all = all(&|r| r.deaths.iter().map(|d| d.1).collect());
+        let detected_by_all = all(&|r| r.detections_s.iter().map(|d| d.1).collect());
         write!(
             f,
             "{:>6} {:>4}% {:>9} {:>12.1} {:>8.0} {:>13.0} {:>17.2} {:>14} {:>13} {:>7} {:>9} {:>6.2}",
@@ -199,9 +199,9 @@
             mean(&|r| r.steady.1),
             self.runs.iter().map(|r| r.max_bytes_per_s).fold(0.0, f64::max),
             mean(&|r| r.false_per_front_hour),
-            mean_of(&all(&|r| r.deaths.iter().map(|d| d.0).collect())),
+            mean_of(&all(&|r| r.detections_s.iter().map(|d| d.0).collect())),
             format!("{} ({})", mean_of(&detected_by_all), max_of(&detected_by_all)),
-            mean_of(&all(&|r| r.returns.clone())),
+            mean_of(&all(&|r| r.rejoined_s.clone())),
             mean_of(&all(&|r| vec![r.healed_s])),
             mean(&|r| r.heal_storm),
         )
--- a/crates/lilacpitch-testbed/src/newcomers.rs
+++ b/crates/lilacpitch-testbed/src/newcomers.rs
@@ -5,7 +5,7 @@
 use crate::day::{Day, Trouble, TroubleKind};
 use crate::record::{Record, Seen};
 use crate::report::report;
-use crate::simulated_run::play;
+use crate::simulated_run::simulate_day;
 use crate::simulation::server::FaultSelector;
 use lilacpitch::interface::Nanos;
 use lilacpitch_config::ConfigError;
@@ -42,7 +42,7 @@
     /// Service of fronts that are not restarted.
     pub warm: f64,
     /// Violations of the call rules.
-    pub breaches: usize,
+    pub violations: usize,
 }
 
 /// Runs a day that has restarts with this many seeds, and returns the means.
@@ -65,18 +65,18 @@
     }
     let script = day.script();
     let starts: Vec<(Nanos, usize)> = script.restart.iter().map(|(_, up, edge)| (*up, *edge)).collect();
-    let mut sum = NewcomerService { new: 0.0, warm: 0.0, breaches: 0 };
+    let mut sum = NewcomerService { new: 0.0, warm: 0.0, violations: 0 };
     for _ in 0..seeds {
-        let played = play(&day, Safeguards::default())?;
+        let result = simulate_day(&day, Safeguards::default())?;
         let is_within = |at: Nanos, start: Nanos| (start..start + NEW_NS).contains(&at);
         let is_new =
             |edge: usize, at: Nanos| starts.iter().any(|(start, e)| *e == edge && is_within(at, *start));
         let is_warm = |edge: usize, at: Nanos| {
             starts.iter().all(|(_, e)| *e != edge) && starts.iter().any(|(start, _)| is_within(at, *start))
         };
-        sum.new += service(&day, &played.records, is_new);
-        sum.warm += service(&day, &played.records, is_warm);
-        sum.breaches += played.breaches.len();
+        sum.new += service(&day, &result.records, is_new);
+        sum.warm += service(&day, &result.records, is_warm);
+        sum.violations += result.violations.len();
         day.seed += 1;
     }
     let count = seeds.max(1) as f64;
@@ -96,6 +96,6 @@
 impl fmt::Display for NewcomerService {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let (new, warm) = (self.new, self.warm);
-        write!(f, "first minute of new fronts {new:.3}, warm fronts {warm:.3}, breaches {}", self.breaches)
+        write!(f, "first minute of new fronts {new:.3}, warm fronts {warm:.3}, breaches {}", self.violations)
     }
 }
--- a/crates/lilacpitch-testbed/src/runner.rs
+++ b/crates/lilacpitch-testbed/src/runner.rs
@@ -5,7 +5,7 @@
 use crate::callers;
 use crate::datagram_relay::Relay;
 use crate::day::{pool_list, Day, Listed, Script, TroubleKind};
-use crate::edges::{EdgeError, Program, ResourceUsage, Running};
+use crate::edges::{EdgeError, Program, ResourceUsage, RunningEdge};
 use crate::record::{Record, Seen};
 use crate::report::{report, Report};
 use crate::simulated_network::{GossipTraffic, NetworkConditions};
@@ -27,7 +27,7 @@
 
 /// Why a day could not be run.
 #[derive(Debug, Error)]
-pub enum PlayError {
+pub enum RunError {
     /// A front failed.
     #[error(transparent)]
     Edge(#[from] EdgeError),
@@ -53,7 +53,7 @@
     /// The totals.
     pub report: Report,
     /// Violations of the call rules.
-    pub breaches: Vec<Violation>,
+    pub violations: Vec<Violation>,
     /// Resources used by each front's process; empty for threads.
     pub resource_usage: Vec<ResourceUsage>,
     /// Datagrams between fronts: in virtual time while calls arrive, on sockets from start to end.
@@ -64,35 +64,35 @@
 }
 
 /// Runs a day with this program as its fronts. Blocks until the day is over.
-pub fn play(day: &Day, program: &Program) -> Result<RunResult, PlayError> {
+pub fn run_day(day: &Day, program: &Program) -> Result<RunResult, RunError> {
     let has = |kind: TroubleKind| day.troubles.iter().any(|t| t.kind == kind);
     if has(TroubleKind::PeersConfused) || has(TroubleKind::ListLate) {
-        return Err(PlayError::VirtualOnly);
+        return Err(RunError::VirtualOnly);
     }
     if has(TroubleKind::Restart) && !matches!(program, Program::Process(..)) {
-        return Err(PlayError::ProcessesOnly);
+        return Err(RunError::ProcessesOnly);
     }
-    let folder = tempfile::tempdir().map_err(|e| PlayError::Io("a folder for settings", e))?;
+    let folder = tempfile::tempdir().map_err(|e| RunError::Io("a folder for settings", e))?;
     let script = day.script();
     let clock = Clock::start();
     let mut sockets = Vec::new();
     for _ in &script.servers {
-        sockets.push(standin::bind().map_err(|e| PlayError::Io("a server's socket", e))?);
+        sockets.push(standin::bind().map_err(|e| RunError::Io("a server's socket", e))?);
     }
     let addresses: Vec<SocketAddr> = sockets.iter().map(|(_, address)| *address).collect();
     let mut pool_list = PoolListFile::new(&script, addresses, folder.path());
-    pool_list.write().map_err(|e| PlayError::Io("the pool list", e))?;
+    pool_list.write().map_err(|e| RunError::Io("the pool list", e))?;
     let start_ns = clock.now() + LEAD_NS * 2;
     pool_list.day_start_ms = start_ns / 1_000_000;
     let (stop, stopped) = watch::channel(false);
-    let plays = plays(day, &script, sockets, start_ns);
-    let servers = std::thread::spawn(move || run_locally(standin::play(plays, clock, stopped)));
+    let scripted_servers = scripted_servers(day, &script, sockets, start_ns);
+    let servers = std::thread::spawn(move || run_locally(standin::run(scripted_servers, clock, stopped)));
     let mut fronts = Fronts { program, configs: Vec::new(), running: Vec::new(), relay: None };
     let mut result = fronts
         .start(day, folder.path(), &pool_list.path)
         .and_then(|()| play_day(day, &script, &mut fronts, pool_list, clock, start_ns));
     let Fronts { running: edges, relay, .. } = fronts;
-    let resource_usage: Vec<ResourceUsage> = edges.iter().filter_map(Running::resource_usage).collect();
+    let resource_usage: Vec<ResourceUsage> = edges.iter().filter_map(RunningEdge::resource_usage).collect();
     for edge in edges {
         // Only the first error is kept: the later ones are usually consequences of it.
         if let (Err(error), Ok(_)) = (edge.stop(), &result) {
@@ -102,12 +102,12 @@
     let _ = stop.send(true);
     let (datagrams, bytes) = match relay.map(Relay::stop).transpose() {
         Ok(counts) => counts.unwrap_or_default().received,
-        Err(error) => return Err(PlayError::Io("the network between fronts", error)),
+        Err(error) => return Err(RunError::Io("the network between fronts", error)),
     };
     let server_records = match servers.join() {
         Ok(Ok(Ok(records))) => records,
-        Ok(Ok(Err(error)) | Err(error)) => return Err(PlayError::Io("a server", error)),
-        Err(_) => return Err(PlayError::Io("a server", std::io::Error::other("panicked"))),
+        Ok(Ok(Err(error)) | Err(error)) => return Err(RunError::Io("a server", error)),
+        Err(_) => return Err(RunError::Io("a server", std::io::Error::other("panicked"))),
     };
     let mut records = result?;
     records.extend(server_records);
@@ -115,10 +115,10 @@
     for record in &mut records {
         record.at_ns = record.at_ns.saturating_sub(start_ns);
     }
-    let breaches = call_rules_checker::check(&records, day.rule_limits());
+    let violations = call_rules_checker::check(&records, day.rule_limits());
     Ok(RunResult {
         report: report(day, &records, 0),
-        breaches,
+        violations,
         records,
         resource_usage,
         gossip_traffic: GossipTraffic { datagrams, bytes },
@@ -133,13 +133,13 @@
 }
 
 /// The simulated servers of a day.
-fn plays(
+fn scripted_servers(
     day: &Day,
     script: &Script,
     sockets: Vec<(std::net::TcpListener, SocketAddr)>,
     start_ns: Nanos,
 ) -> Vec<ScriptedServer> {
-    let play = |(index, (listener, _)): (usize, (std::net::TcpListener, SocketAddr))| {
+    let scripted_server = |(index, (listener, _)): (usize, (std::net::TcpListener, SocketAddr))| {
         let (server, listed) = &script.servers[index];
         let events = script.server.iter().filter(|(_, i, _)| *i == index);
         ScriptedServer {
@@ -150,20 +150,20 @@
             absent: !listed,
         }
     };
-    sockets.into_iter().enumerate().map(play).collect()
+    sockets.into_iter().enumerate().map(scripted_server).collect()
 }
 
 /// The fronts of a day and the network between them.
 struct Fronts<'a> {
     program: &'a Program,
     configs: Vec<PathBuf>,
-    running: Vec<Running>,
+    running: Vec<RunningEdge>,
     relay: Option<Relay>,
 }
 
 impl Fronts<'_> {
-    fn start(&mut self, day: &Day, folder: &Path, list: &Path) -> Result<(), PlayError> {
-        let io = |context| move |e| PlayError::Io(context, e);
+    fn start(&mut self, day: &Day, folder: &Path, list: &Path) -> Result<(), RunError> {
+        let io = |context| move |e| RunError::Io(context, e);
         // The addresses are chosen here, so that a front has the same one after a restart.
         let listen = free_addresses(day.edges).map_err(io("fronts' addresses"))?;
         let peers = if day.peers { self.connect(day, folder)? } else { vec![String::new(); day.edges] };
@@ -179,12 +179,12 @@
 
     /// Starts a relay in front of each front. Returns the part of each front's settings that concerns its
     /// peers.
-    fn connect(&mut self, day: &Day, folder: &Path) -> Result<Vec<String>, PlayError> {
-        let network_error = |e| PlayError::Io("the network between fronts", e);
+    fn connect(&mut self, day: &Day, folder: &Path) -> Result<Vec<String>, RunError> {
+        let network_error = |e| RunError::Io("the network between fronts", e);
         let real = free_addresses(day.edges).map_err(network_error)?;
         let relay = Relay::start(real.clone(), day.seed).map_err(network_error)?;
         let key = folder.join("peers.key");
-        std::fs::write(&key, "5a".repeat(32)).map_err(|e| PlayError::Io("the key of fronts", e))?;
+        std::fs::write(&key, "5a".repeat(32)).map_err(|e| RunError::Io("the key of fronts", e))?;
         let seeds: Vec<String> =
             relay.public.iter().take(SEEDS).map(|a| format!("{:?}", a.to_string())).collect();
         let peers = |(listen, reached): (&SocketAddr, &SocketAddr)| {
@@ -209,7 +209,7 @@
     pool_list: PoolListFile,
     clock: Clock,
     start_ns: Nanos,
-) -> Result<Vec<Record>, PlayError> {
+) -> Result<Vec<Record>, RunError> {
     let addresses: Vec<SocketAddr> = fronts.running.iter().map(|edge| edge.callers).collect();
     let plan = |edge: usize| callers::Plan {
         edge,
@@ -231,16 +231,16 @@
     };
     let all = async {
         let callers: Vec<_> = (0..addresses.len())
-            .map(|edge| tokio::task::spawn_local(callers::play(plan(edge), clock)))
+            .map(|edge| tokio::task::spawn_local(callers::run(plan(edge), clock)))
             .collect();
         let mut records = run_events(day, script, fronts, pool_list, clock, start_ns).await?;
         for task in callers {
-            let caller_records = task.await.map_err(|e| PlayError::Callers(e.to_string()))?;
-            records.extend(caller_records.map_err(PlayError::Callers)?);
+            let caller_records = task.await.map_err(|e| RunError::Callers(e.to_string()))?;
+            records.extend(caller_records.map_err(RunError::Callers)?);
         }
         Ok(records)
     };
-    run_locally(all).map_err(|e| PlayError::Io("the event loop of callers", e))?
+    run_locally(all).map_err(|e| RunError::Io("the event loop of callers", e))?
 }
 
 /// Runs the events that concern neither a single server nor the callers: changes of the pool list, fronts
@@ -252,7 +252,7 @@
     mut pool_list: PoolListFile,
     clock: Clock,
     start_ns: Nanos,
-) -> Result<Vec<Record>, PlayError> {
+) -> Result<Vec<Record>, RunError> {
     enum DayEvent {
         Listed(usize, Listed),
         Freeze(usize, bool),
@@ -282,7 +282,7 @@
         let seen = match event {
             DayEvent::Listed(server, listed) => {
                 pool_list.listed[server] = listed;
-                pool_list.write().map_err(|e| PlayError::Io("the pool list", e))?;
+                pool_list.write().map_err(|e| RunError::Io("the pool list", e))?;
                 let running = matches!(listed, Listed::Running(_));
                 Seen::Told { server: script.servers[server].0.name.clone(), running }
             }
--- a/crates/lilacpitch-testbed/src/simulated_run.rs
+++ b/crates/lilacpitch-testbed/src/simulated_run.rs
@@ -157,8 +157,8 @@
 /// # Errors
 ///
 /// Returns an error if the settings of a front are invalid.
-pub fn play(day: &Day, guards: Safeguards) -> Result<RunResult, ConfigError> {
-    play_with(day, guards, Baseline::Module)
+pub fn simulate_day(day: &Day, guards: Safeguards) -> Result<RunResult, ConfigError> {
+    simulate_day_with(day, guards, Baseline::Module)
 }
 
 /// Runs a day in virtual time with another policy in place of the module's.
@@ -166,7 +166,7 @@
 /// # Errors
 ///
 /// Returns an error if the settings of a front are invalid.
-pub fn play_with(day: &Day, guards: Safeguards, policy: Baseline) -> Result<RunResult, ConfigError> {
+pub fn simulate_day_with(day: &Day, guards: Safeguards, policy: Baseline) -> Result<RunResult, ConfigError> {
     let script = day.script();
     let mut simulation = Simulation::new(day, &script, guards, policy)?;
     let end_ns = START_NS + day.length_ns + ANSWER_WAIT_NS;
@@ -179,12 +179,12 @@
     }
     let mut records = simulation.records;
     records.iter_mut().for_each(|record| record.at_ns = record.at_ns.saturating_sub(START_NS));
-    let breaches = call_rules_checker::check(&records, day.rule_limits());
+    let violations = call_rules_checker::check(&records, day.rule_limits());
     let ramp = simulation.servers.iter().map(|server| server.model.ramp()).fold(0.0, f64::max);
     let report = report(day, &records, 0);
     Ok(RunResult {
         report,
-        breaches,
+        violations,
         records,
         resource_usage: Vec::new(),
         gossip_traffic: simulation.gossip_traffic,
@@ -645,7 +645,8 @@
                     self.schedule(self.now + made.hold_ns, Event::Release(front, call));
                 } else {
                     let day_ns = self.now - START_NS;
-                    if let Some((at, again)) = front_state.callers.again(day_ns, &made, answer, come_back_ms)
+                    if let Some((at, again)) =
+                        front_state.callers.next_attempt(day_ns, &made, answer, come_back_ms)
                     {
                         self.schedule(START_NS + at, Event::Offer(front, again));
                     }
--- a/crates/lilacpitch-testbed/src/simulation/caller.rs
+++ b/crates/lilacpitch-testbed/src/simulation/caller.rs
@@ -128,7 +128,7 @@
 
     /// The further try after an answer other than [`Answer::Stands`], and its time; `None` if the caller
     /// gives up.
-    pub fn again(
+    pub fn next_attempt(
         &mut self,
         now: Nanos,
         last: &CallAttempt,
--- a/crates/lilacpitch-testbed/src/simulation/server.rs
+++ b/crates/lilacpitch-testbed/src/simulation/server.rs
@@ -237,7 +237,7 @@
     }
 
     /// Number of established calls.
-    pub fn standing(&self) -> usize {
+    pub fn established_calls(&self) -> usize {
         self.calls.values().filter(|s| **s == State::Answered).count()
     }
 
--- a/crates/lilacpitch-testbed/src/standin.rs
+++ b/crates/lilacpitch-testbed/src/standin.rs
@@ -74,14 +74,14 @@
 }
 
 /// Runs servers until the value of `stop` changes. Returns their records. Must be called within a `LocalSet`.
-pub async fn play(
-    plays: Vec<ScriptedServer>,
+pub async fn run(
+    servers: Vec<ScriptedServer>,
     clock: Clock,
     stop: watch::Receiver<bool>,
 ) -> std::io::Result<Vec<Record>> {
     let mut tasks = Vec::new();
-    for play in plays {
-        tasks.push(tokio::task::spawn_local(serve(play, clock, stop.clone())));
+    for server in servers {
+        tasks.push(tokio::task::spawn_local(serve(server, clock, stop.clone())));
     }
     let mut records = Vec::new();
     for task in tasks {
@@ -91,16 +91,16 @@
 }
 
 async fn serve(
-    play: ScriptedServer,
+    scripted: ScriptedServer,
     clock: Clock,
     mut stop: watch::Receiver<bool>,
 ) -> std::io::Result<Vec<Record>> {
-    let listener = TcpListener::from_std(play.listener)?;
-    let mut events = play.events.into_iter().peekable();
+    let listener = TcpListener::from_std(scripted.listener)?;
+    let mut events = scripted.events.into_iter().peekable();
     let (socket_events, mut inbox) = mpsc::channel(QUEUE);
     let mut server = SocketServer {
-        name: play.name,
-        model: Server::new(play.parameters),
+        name: scripted.name,
+        model: Server::new(scripted.parameters),
         clock,
         connections: BTreeMap::new(),
         opening: BTreeMap::new(),
@@ -108,10 +108,10 @@
         last_connection: 0,
         records: Vec::new(),
         effects: Vec::new(),
-        dead: play.absent,
+        dead: scripted.absent,
         stopped: false,
     };
-    if play.absent {
+    if scripted.absent {
         server.model.silence();
     }
     loop {
--- a/crates/lilacpitch-testbed/tests/call_rules_checker.rs
+++ b/crates/lilacpitch-testbed/tests/call_rules_checker.rs
@@ -59,7 +59,7 @@
 }
 
 fn violated_rules(records: &[Record]) -> Vec<Rule> {
-    check(records, RuleLimits::default()).into_iter().map(|breach| breach.rule).collect()
+    check(records, RuleLimits::default()).into_iter().map(|violation| violation.rule).collect()
 }
 
 #[test]
@@ -215,10 +215,10 @@
         ),
     ];
     for (name, records, rule, text) in cases {
-        let breaches = check(&records, RuleLimits::default());
-        assert_eq!(breaches.len(), 1, "{name}: {breaches:?}");
-        assert_eq!(breaches[0].rule, rule, "{name}");
-        assert!(breaches[0].to_string().contains(text), "{name}: {}", breaches[0]);
+        let violations = check(&records, RuleLimits::default());
+        assert_eq!(violations.len(), 1, "{name}: {violations:?}");
+        assert_eq!(violations[0].rule, rule, "{name}");
+        assert!(violations[0].to_string().contains(text), "{name}: {}", violations[0]);
     }
 }
 
--- a/crates/lilacpitch-testbed/tests/guards.rs
+++ b/crates/lilacpitch-testbed/tests/guards.rs
@@ -5,7 +5,7 @@
 use lilacpitch_testbed::call_rules_checker::Rule;
 use lilacpitch_testbed::day::Day;
 use lilacpitch_testbed::edges::Program;
-use lilacpitch_testbed::runner::{play, RunResult};
+use lilacpitch_testbed::runner::{run_day, RunResult};
 
 /// A day of six seconds in which one server drains, one loses answers, and one resets its connections.
 fn day() -> Day {
@@ -31,54 +31,54 @@
     .unwrap()
 }
 
-fn play_with_safeguards(safeguards: Safeguards) -> RunResult {
-    play(&day(), &Program::Thread(safeguards)).unwrap()
+fn run_with_safeguards(safeguards: Safeguards) -> RunResult {
+    run_day(&day(), &Program::Thread(safeguards)).unwrap()
 }
 
 #[test]
 fn all_safeguards_enabled_keep_all_rules() {
-    let played = play_with_safeguards(Safeguards::default());
-    assert_eq!(played.breaches, vec![]);
-    assert!(played.report.setups > 200, "too few set-ups to check: {}", played.report);
-    assert!(played.report.service > 0.5, "{}", played.report);
+    let result = run_with_safeguards(Safeguards::default());
+    assert_eq!(result.violations, vec![]);
+    assert!(result.report.setups > 200, "too few set-ups to check: {}", result.report);
+    assert!(result.report.service > 0.5, "{}", result.report);
 }
 
 #[test]
 fn detects_two_concurrent_attempts() {
-    let played = play_with_safeguards(Safeguards { one_attempt: false, ..Safeguards::default() });
+    let result = run_with_safeguards(Safeguards { one_attempt: false, ..Safeguards::default() });
     assert!(
-        played.breaches.iter().any(|breach| breach.rule == Rule::OneAttempt),
+        result.violations.iter().any(|violation| violation.rule == Rule::OneAttempt),
         "{:?}",
-        played.breaches.first()
+        result.violations.first()
     );
 }
 
 #[test]
 fn detects_an_attempt_after_the_drain_grace() {
-    let played = play_with_safeguards(Safeguards { drain_deadline: false, ..Safeguards::default() });
+    let result = run_with_safeguards(Safeguards { drain_deadline: false, ..Safeguards::default() });
     assert!(
-        played.breaches.iter().any(|breach| breach.rule == Rule::Drains),
+        result.violations.iter().any(|violation| violation.rule == Rule::Drains),
         "{:?}",
-        played.breaches.first()
+        result.violations.first()
     );
 }
 
 #[test]
 fn detects_a_second_final_answer() {
-    let played = play_with_safeguards(Safeguards { one_answer: false, ..Safeguards::default() });
+    let result = run_with_safeguards(Safeguards { one_answer: false, ..Safeguards::default() });
     assert!(
-        played.breaches.iter().any(|breach| breach.rule == Rule::OneAnswer),
+        result.violations.iter().any(|violation| violation.rule == Rule::OneAnswer),
         "{:?}",
-        played.breaches.first()
+        result.violations.first()
     );
 }
 
 #[test]
 fn detects_an_attempt_that_does_not_wait_for_the_release() {
-    let played = play_with_safeguards(Safeguards { release: false, ..Safeguards::default() });
+    let result = run_with_safeguards(Safeguards { release: false, ..Safeguards::default() });
     assert!(
-        played.breaches.iter().any(|breach| breach.rule == Rule::Release),
+        result.violations.iter().any(|violation| violation.rule == Rule::Release),
         "{:?}",
-        played.breaches.first()
+        result.violations.first()
     );
 }
--- a/crates/lilacpitch-testbed/tests/membership.rs
+++ b/crates/lilacpitch-testbed/tests/membership.rs
@@ -11,13 +11,13 @@
     assert!(seen.joined_s.is_some_and(|s| s < 5.0), "{seen:?}");
     assert_eq!(seen.false_per_front_hour, 0.0);
     assert!(seen.steady.0 > 0.5 && seen.steady.1 > 50.0, "too little gossip: {seen:?}");
-    assert_eq!(seen.deaths.len(), 3);
-    for (first, all) in &seen.deaths {
+    assert_eq!(seen.detections_s.len(), 3);
+    for (first, all) in &seen.detections_s {
         // Detection takes some time, because a suspicion phase distinguishes a failed front from lost
         // datagrams.
         assert!(first.is_some_and(|s| s > 0.2) && all.is_some_and(|s| s < 30.0), "{seen:?}");
     }
-    assert!(seen.returns.iter().all(|back| back.is_some_and(|s| s < 10.0)), "{seen:?}");
+    assert!(seen.rejoined_s.iter().all(|back| back.is_some_and(|s| s < 10.0)), "{seen:?}");
     assert!(seen.healed_s.is_some_and(|s| s < 60.0), "{seen:?}");
     assert!(seen.heal_storm < 10.0, "{seen:?}");
 }
@@ -64,7 +64,7 @@
         let seen = measure(Case { fronts: 3, lost: 30 }, seed);
         assert!(seen.joined_s.is_some_and(|s| s < 10.0), "{seed}: {seen:?}");
         assert!(seen.healed_s.is_some(), "{seed}: {seen:?}");
-        assert!(seen.returns.iter().all(|back| back.is_some_and(|s| s < 30.0)), "{seed}: {seen:?}");
+        assert!(seen.rejoined_s.iter().all(|back| back.is_some_and(|s| s < 30.0)), "{seed}: {seen:?}");
         assert_eq!(seen.false_per_front_hour, 0.0, "{seed}");
     }
 }
--- a/crates/lilacpitch-testbed/tests/ramps.rs
+++ b/crates/lilacpitch-testbed/tests/ramps.rs
@@ -6,7 +6,7 @@
 use lilacpitch_testbed::baseline::Baseline;
 use lilacpitch_testbed::call_rules_checker::Rule;
 use lilacpitch_testbed::day::Day;
-use lilacpitch_testbed::simulated_run::{play, play_with};
+use lilacpitch_testbed::simulated_run::{simulate_day, simulate_day_with};
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
 
@@ -129,19 +129,19 @@
     TestRunner::new_with_rng(config, TestRng::from_seed(RngAlgorithm::ChaCha, &[seed; 32]))
         .run(&drawn(), |drawn| {
             let day = Day::from_text("drawn", &drawn.text()).unwrap();
-            let played = play(&day, Safeguards::default()).unwrap();
+            let result = simulate_day(&day, Safeguards::default()).unwrap();
             if days.is_some() {
-                println!("{:.3} {:?}", played.ramp, drawn);
+                println!("{:.3} {:?}", result.ramp, drawn);
             }
-            ramps.borrow_mut().push(played.ramp);
-            let exceeded = played.breaches.iter().any(|breach| breach.rule == Rule::ColdServers);
+            ramps.borrow_mut().push(result.ramp);
+            let exceeded = result.violations.iter().any(|violation| violation.rule == Rule::ColdServers);
             // A front that gets a drain late can't keep the grace period; other tests cover that rule.
             let is_late_drain = |rule: Rule| rule == Rule::Drains && drawn.late_ms > 0;
             let is_other_rule = |rule: Rule| rule != Rule::ColdServers && !is_late_drain(rule);
-            let other_breach = played.breaches.iter().find(|breach| is_other_rule(breach.rule));
-            prop_assert!(other_breach.is_none(), "{other_breach:?}\n{drawn:?}");
+            let other_violation = result.violations.iter().find(|violation| is_other_rule(violation.rule));
+            prop_assert!(other_violation.is_none(), "{other_violation:?}\n{drawn:?}");
             if exceeded {
-                exceeding.borrow_mut().push((played.ramp, drawn));
+                exceeding.borrow_mut().push((result.ramp, drawn));
             }
             Ok(())
         })
@@ -181,9 +181,9 @@
         seed: 5,
     };
     let day = Day::from_text("without a ramp", &drawn.text()).unwrap();
-    let without = play_with(&day, Safeguards::default(), Baseline::Random).unwrap();
-    assert!(without.ramp > 1.0, "{} {:?}", without.ramp, without.breaches);
-    assert!(without.breaches.iter().any(|breach| breach.rule == Rule::ColdServers));
-    let with = play(&day, Safeguards::default()).unwrap();
-    assert!(with.ramp < 1.0 && with.breaches.is_empty(), "{} {:?}", with.ramp, with.breaches);
+    let without = simulate_day_with(&day, Safeguards::default(), Baseline::Random).unwrap();
+    assert!(without.ramp > 1.0, "{} {:?}", without.ramp, without.violations);
+    assert!(without.violations.iter().any(|violation| violation.rule == Rule::ColdServers));
+    let with = simulate_day(&day, Safeguards::default()).unwrap();
+    assert!(with.ramp < 1.0 && with.violations.is_empty(), "{} {:?}", with.ramp, with.violations);
 }
--- a/crates/lilacpitch-testbed/tests/restarts.rs
+++ b/crates/lilacpitch-testbed/tests/restarts.rs
@@ -5,7 +5,7 @@
 use lilacpitch_testbed::day::Day;
 use lilacpitch_testbed::edges::Program;
 use lilacpitch_testbed::record::{Record, Seen};
-use lilacpitch_testbed::runner::{play, PlayError};
+use lilacpitch_testbed::runner::{run_day, RunError};
 use lilacpitch_testbed::simulated_network::NetworkConditions;
 use std::net::UdpSocket;
 use std::path::PathBuf;
@@ -38,14 +38,14 @@
     let day = Day::from_text("day.cue", DAY).unwrap();
     let program =
         Program::Process(PathBuf::from(env!("CARGO_BIN_EXE_lilacpitch-testbed")), vec!["edge".into()]);
-    let played = play(&day, &program).unwrap();
-    assert_eq!(played.breaches, vec![]);
-    assert!(played.report.service > 0.5, "{}", played.report);
-    assert!(played.gossip_traffic.datagrams > 100, "too little gossip: {:?}", played.gossip_traffic);
+    let result = run_day(&day, &program).unwrap();
+    assert_eq!(result.violations, vec![]);
+    assert!(result.report.service > 0.5, "{}", result.report);
+    assert!(result.gossip_traffic.datagrams > 100, "too little gossip: {:?}", result.gossip_traffic);
     let setups = |front: usize, from_s: u64, to_s: u64| {
         let is_within = |at_ns: u64| (from_s * 1_000_000_000..to_s * 1_000_000_000).contains(&at_ns);
         let is_setup = |seen: &Seen| matches!(seen, Seen::Setup { edge, .. } if *edge == front);
-        let records = played.records.iter();
+        let records = result.records.iter();
         records.filter(|record| is_within(record.at_ns) && is_setup(&record.seen)).count()
     };
     for (front, restarted_s) in [(0, 3), (1, 5), (2, 5)] {
@@ -53,7 +53,7 @@
     }
     let was_down = setups(0, 0, 1) > 0 && {
         let is_in_downtime = |record: &&Record| (1_100_000_000..1_900_000_000).contains(&record.at_ns);
-        let mut records_in_downtime = played.records.iter().filter(is_in_downtime);
+        let mut records_in_downtime = result.records.iter().filter(is_in_downtime);
         !records_in_downtime.any(|record| matches!(record.seen, Seen::Setup { edge: 0, .. }))
     };
     assert!(was_down, "front 0 was not down from 1 s to 2 s");
@@ -63,10 +63,10 @@
 fn unsupported_faults_are_rejected() {
     let threads = Program::Thread(lilacpitch_edge::core::Safeguards::default());
     let day_with_restarts = Day::from_text("day.cue", DAY).unwrap();
-    assert!(matches!(play(&day_with_restarts, &threads), Err(PlayError::ProcessesOnly)));
+    assert!(matches!(run_day(&day_with_restarts, &threads), Err(RunError::ProcessesOnly)));
     let confused_text = DAY.replace("peers_damaged", "peers_confused");
     let day_with_confused_front = Day::from_text("day.cue", &confused_text).unwrap();
-    assert!(matches!(play(&day_with_confused_front, &threads), Err(PlayError::VirtualOnly)));
+    assert!(matches!(run_day(&day_with_confused_front, &threads), Err(RunError::VirtualOnly)));
 }
 
 #[test]
--- a/crates/lilacpitch-testbed/tests/virtual_days.rs
+++ b/crates/lilacpitch-testbed/tests/virtual_days.rs
@@ -4,7 +4,7 @@
 use lilacpitch_testbed::call_rules_checker::Rule;
 use lilacpitch_testbed::day::Day;
 use lilacpitch_testbed::report::Report;
-use lilacpitch_testbed::simulated_run::play;
+use lilacpitch_testbed::simulated_run::simulate_day;
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
 
@@ -103,9 +103,9 @@
     TestRunner::new_with_rng(config, TestRng::from_seed(RngAlgorithm::ChaCha, &[11; 32]))
         .run(&days, |text| {
             let day = Day::from_text("drawn", &text).unwrap();
-            let played = play(&day, Safeguards::default()).unwrap();
-            prop_assert!(played.breaches.is_empty(), "{:#?}\n{}", played.breaches, text);
-            setups.set(setups.get() + played.report.setups);
+            let result = simulate_day(&day, Safeguards::default()).unwrap();
+            prop_assert!(result.violations.is_empty(), "{:#?}\n{}", result.violations, text);
+            setups.set(setups.get() + result.report.setups);
             Ok(())
         })
         .unwrap();
@@ -136,8 +136,8 @@
     ] {
         for seed in 1..=3 {
             let day = Day { seed, ..Day::from_text("evidence", text).unwrap() };
-            let breaches = play(&day, Safeguards::default()).unwrap().breaches;
-            assert!(breaches.is_empty(), "{breaches:?}");
+            let violations = simulate_day(&day, Safeguards::default()).unwrap().violations;
+            assert!(violations.is_empty(), "{violations:?}");
         }
     }
 }
@@ -156,8 +156,8 @@
          troubles: [{{kind: \"silent\", at: \"1844ms\", for: \"1582ms\", servers: [\"r3\"]}}]\n"
     );
     let day = Day::from_text("back before the list", &text).unwrap();
-    let breaches = play(&day, Safeguards::default()).unwrap().breaches;
-    assert!(breaches.is_empty(), "{breaches:?}");
+    let violations = simulate_day(&day, Safeguards::default()).unwrap().violations;
+    assert!(violations.is_empty(), "{violations:?}");
 }
 
 #[test]
@@ -171,7 +171,8 @@
         (include_str!("../../../days/evidence/first-unanswered.cue"), 0.6),
     ];
     for (text, min_service) in cases {
-        let report = play(&Day::from_text("evidence", text).unwrap(), Safeguards::default()).unwrap().report;
+        let report =
+            simulate_day(&Day::from_text("evidence", text).unwrap(), Safeguards::default()).unwrap().report;
         assert!(report.service > min_service, "{min_service}: {report}\n{text}");
     }
 }
@@ -202,7 +203,7 @@
     // The freeze at 1 s ends when the process is killed at 2 s. The freeze at 6 s hits a front that is down
     // and has no effect, and the one at 9 s is merged with it.
     assert_eq!(script.freeze, vec![(s(1), s(2), 0)]);
-    assert_eq!(play(&day, Safeguards::default()).unwrap().breaches, vec![]);
+    assert_eq!(simulate_day(&day, Safeguards::default()).unwrap().violations, vec![]);
 }
 
 fn bad_day() -> Day {
@@ -211,11 +212,11 @@
 
 #[test]
 fn records_are_determined_by_day_and_seed() {
-    let first = play(&bad_day(), Safeguards::default()).unwrap();
-    let second = play(&bad_day(), Safeguards::default()).unwrap();
+    let first = simulate_day(&bad_day(), Safeguards::default()).unwrap();
+    let second = simulate_day(&bad_day(), Safeguards::default()).unwrap();
     assert!(first.records == second.records, "{} and {} records", first.records.len(), second.records.len());
-    assert_eq!(first.breaches, vec![]);
-    let with_other_seed = play(&Day { seed: 99, ..bad_day() }, Safeguards::default()).unwrap();
+    assert_eq!(first.violations, vec![]);
+    let with_other_seed = simulate_day(&Day { seed: 99, ..bad_day() }, Safeguards::default()).unwrap();
     assert!(first.records != with_other_seed.records);
 }
 
@@ -228,11 +229,11 @@
         (Safeguards { release: false, ..Safeguards::default() }, Rule::Release),
     ];
     for (safeguards, rule) in cases {
-        let played = play(&bad_day(), safeguards).unwrap();
+        let result = simulate_day(&bad_day(), safeguards).unwrap();
         assert!(
-            played.breaches.iter().any(|breach| breach.rule == rule),
+            result.violations.iter().any(|violation| violation.rule == rule),
             "{rule:?}: {:?}",
-            played.breaches.first()
+            result.violations.first()
         );
     }
 }
@@ -240,13 +241,13 @@
 #[test]
 fn each_fault_worsens_the_service() {
     let day_without_faults = Day { troubles: vec![], ..bad_day() };
-    let undisturbed = play(&day_without_faults, Safeguards::default()).unwrap().report;
+    let undisturbed = simulate_day(&day_without_faults, Safeguards::default()).unwrap().report;
     assert!(undisturbed.service > 0.97, "{undisturbed}");
     let p99 =
         |report: &Report| report.classes.iter().map(|class| class.setup_us.value_at_quantile(0.99)).max();
     for trouble in bad_day().troubles {
         let day_with_fault = Day { troubles: vec![trouble.clone()], ..bad_day() };
-        let report = play(&day_with_fault, Safeguards::default()).unwrap().report;
+        let report = simulate_day(&day_with_fault, Safeguards::default()).unwrap().report;
         let is_worse = report.worst.0 < undisturbed.worst.0 || p99(&report) > p99(&undisturbed);
         assert!(is_worse, "{:?} has no effect: {report}", trouble.kind);
     }
