--- a/crates/lilacpitch-testbed/src/datagram_relay.rs
+++ b/crates/lilacpitch-testbed/src/datagram_relay.rs
@@ -116,7 +116,7 @@
             let from = self.real.iter().position(|a| *a == source).unwrap_or(usize::MAX);
             let bytes = buffer[..length].to_vec();
             let conditions = *conditions.borrow();
-            let arriving = conditions.carry(from, Some(self.to), bytes, || rng.random());
+            let arriving = conditions.deliver(from, Some(self.to), bytes, || rng.random());
             counts.lost += u64::from(arriving.is_empty());
             counts.forwarded += arriving.len() as u64;
             for (delay_ns, bytes) in arriving {
--- a/crates/lilacpitch-testbed/src/fleet/simulated_cluster.rs
+++ b/crates/lilacpitch-testbed/src/fleet/simulated_cluster.rs
@@ -97,7 +97,7 @@
 
 /// The result of a day.
 #[derive(Debug, Clone, Default)]
-pub struct Played {
+pub struct RunResult {
     /// Violations: the number of the guarantee and a description.
     pub breaches: Vec<(u32, String)>,
     /// Numbers of answered locates, of complete answers and of answers from a cache.
@@ -298,7 +298,7 @@
     ordered_ns: BTreeMap<(u64, u64), Nanos>,
     handsets: BTreeMap<u32, usize>,
     complete: LogPosition,
-    played: Played,
+    result: RunResult,
 }
 
 impl SimulatedCluster {
@@ -348,7 +348,7 @@
             ordered_ns: BTreeMap::new(),
             handsets: BTreeMap::new(),
             complete: LogPosition::default(),
-            played: Played::default(),
+            result: RunResult::default(),
             shape,
         };
         if let NodeKind::Site(root) = &cluster.nodes[0].kind {
@@ -436,7 +436,7 @@
     }
 
     /// Runs the day and returns its result.
-    pub fn play(mut self) -> Played {
+    pub fn run(mut self) -> RunResult {
         let end = self.shape.length_ns + DAY_START_NS;
         while let Some(((at, _), event)) = self.queue.pop_first() {
             if at > end {
@@ -445,7 +445,7 @@
             self.now = self.now.max(at);
             self.process(event);
         }
-        self.played
+        self.result
     }
 
     fn process(&mut self, event: Event) {
@@ -565,10 +565,10 @@
                 Request::Commands { .. } | Request::ReportAcknowledged { .. } | Request::Submit(_)
             ) | Message::Response(_, Response::Applied(_) | Response::Committed(_))
         );
-        self.played.messages = (self.played.messages.0 + 1, self.played.messages.1 + bytes);
+        self.result.messages = (self.result.messages.0 + 1, self.result.messages.1 + bytes);
         if is_about_purges {
-            self.played.purge_messages =
-                (self.played.purge_messages.0 + 1, self.played.purge_messages.1 + bytes);
+            self.result.purge_messages =
+                (self.result.purge_messages.0 + 1, self.result.purge_messages.1 + bytes);
         }
         if self.lossy.get(&(from, to)).is_some_and(|count| *count > 0) && self.rng.random_bool(0.3) {
             return;
@@ -1121,7 +1121,7 @@
         let is_confirmed = front.catalogue.confirms_cached(now, number.hash64(), position);
         let (incarnation, began_ns) = (node.incarnation, self.now);
         if let Some(answer) = front.cache.get(&number).filter(|_| usable && is_confirmed) {
-            self.played.locates.2 += 1;
+            self.result.locates.2 += 1;
             self.check_answer(
                 &OngoingLocate { front: at, incarnation, number, began_ns, locate: None },
                 &answer,
@@ -1138,7 +1138,7 @@
             locate_id,
             OngoingLocate { front: at, incarnation, number: number.clone(), began_ns, locate: Some(locate) },
         );
-        self.played.sites_asked += sites_to_ask.len();
+        self.result.sites_asked += sites_to_ask.len();
         if sites_to_ask.is_empty() {
             return self.end_locate(locate_id);
         }
@@ -1182,13 +1182,13 @@
     // ---- Checks of the guarantees ----
 
     fn breach(&mut self, guarantee: u32, what: String) {
-        self.played.breaches.push((guarantee, format!("{} ms: {what}", self.now / MS)));
+        self.result.breaches.push((guarantee, format!("{} ms: {what}", self.now / MS)));
     }
 
     /// Checks the answer to a locate against guarantees 1 to 4.
     fn check_answer(&mut self, locate: &OngoingLocate, answer: &LocateAnswer) {
-        self.played.locates.0 += 1;
-        self.played.locates.1 += usize::from(answer.is_complete);
+        self.result.locates.0 += 1;
+        self.result.locates.1 += usize::from(answer.is_complete);
         let mut violations = Vec::new();
         let missing = answer.sites.values().any(|outcome| matches!(outcome, SiteOutcome::Unreachable(_)));
         if answer.sites.len() != self.sites() || answer.is_complete == missing {
@@ -1204,7 +1204,7 @@
             let not_reached = matches!(answer.sites.get(&site), Some(SiteOutcome::Unreachable(_)) | None);
             let must_be_found = history.acked_ns.is_some_and(|at| at + settle < locate.began_ns);
             if must_be_found && history.withdrawn_ns.is_none_or(|at| at > self.now) {
-                self.played.checked.0 += 1;
+                self.result.checked.0 += 1;
                 if !shown && !not_reached {
                     violations.push((
                         1,
@@ -1213,7 +1213,7 @@
                 }
             }
             if history.complete_ns.is_some_and(|at| at < locate.began_ns) {
-                self.played.checked.1 += 1;
+                self.result.checked.1 += 1;
                 if shown {
                     violations
                         .push((3, format!("{key:?} shown at {} after its purge was complete", locate.front)));
@@ -1237,7 +1237,7 @@
         }
         for order in self.complete.index + 1..=completed.index {
             if let Some(at) = self.ordered_ns.get(&(completed.log, order)) {
-                self.played.complete_ms.push((self.now - at) as f64 / MS as f64);
+                self.result.complete_ms.push((self.now - at) as f64 / MS as f64);
             }
         }
         self.complete = completed;
--- a/crates/lilacpitch-testbed/src/simulated_network.rs
+++ b/crates/lilacpitch-testbed/src/simulated_network.rs
@@ -23,7 +23,7 @@
 pub struct NetworkConditions {
     /// Percentage of datagrams lost.
     pub lost: u32,
-    /// Percentage of datagrams damaged; see [`damaged`].
+    /// Percentage of datagrams damaged; see [`damage_datagram`].
     pub damaged: u32,
     /// A partition: fronts below this index and the others can't reach each other; 0: no partition.
     pub split: usize,
@@ -32,7 +32,7 @@
 impl NetworkConditions {
     /// The datagrams that arrive in place of one that is sent, each with its additional delay. `to` is `None`
     /// if the address belongs to no front. `draw` returns a random number.
-    pub fn carry(
+    pub fn deliver(
         &self,
         from: usize,
         to: Option<usize>,
@@ -46,7 +46,7 @@
         if is_lost || is_unreachable {
             Vec::new()
         } else if self.damaged > 0 && draw() % 100 < u64::from(self.damaged) {
-            damaged(bytes, draw())
+            damage_datagram(bytes, draw())
         } else {
             vec![(0, bytes)]
         }
@@ -56,7 +56,7 @@
 /// Damages a datagram in one of these ways, chosen at random: a bit is flipped, it is truncated, duplicated,
 /// repeated after up to three seconds, or extended beyond the longest valid length. Returns the datagrams
 /// that arrive, each with its additional delay.
-pub fn damaged(mut bytes: Vec<u8>, seed: u64) -> Vec<(Nanos, Vec<u8>)> {
+pub fn damage_datagram(mut bytes: Vec<u8>, seed: u64) -> Vec<(Nanos, Vec<u8>)> {
     let mut rng = StdRng::seed_from_u64(seed);
     let original = bytes.clone();
     match rng.random_range(0..5) {
@@ -266,7 +266,8 @@
         let sent = &mut self.fronts[from].sent;
         sent.datagrams += 1;
         sent.bytes += bytes.len() as u64;
-        let arriving = self.conditions.carry(from, index(to, self.fronts.len()), bytes, || self.rng.random());
+        let arriving =
+            self.conditions.deliver(from, index(to, self.fronts.len()), bytes, || self.rng.random());
         let arrival = self.now + MAX_LATENCY_NS / 2 + self.rng.random_range(0..=MAX_LATENCY_NS / 2);
         let Some(to) = index(to, self.fronts.len()) else { return };
         for (delay_ns, bytes) in arriving {
--- a/crates/lilacpitch-testbed/src/simulated_run.rs
+++ b/crates/lilacpitch-testbed/src/simulated_run.rs
@@ -784,7 +784,7 @@
     fn datagram(&mut self, from: usize, to: usize, bytes: Vec<u8>) {
         let conditions = self.day.network_conditions(self.script, self.now.saturating_sub(START_NS));
         let to = Some(to).filter(|to| *to < self.fronts.len());
-        let deliveries = conditions.carry(from, to, bytes, || self.rng.next_u64());
+        let deliveries = conditions.deliver(from, to, bytes, || self.rng.next_u64());
         let at = self.now + LATENCY_NS + self.rng.next_u64() % LATENCY_NS;
         for (late_ns, bytes) in deliveries {
             self.schedule(at + late_ns, Event::Datagram(to.unwrap_or_default(), bytes));
--- a/crates/lilacpitch-testbed/tests/fleet_measures.rs
+++ b/crates/lilacpitch-testbed/tests/fleet_measures.rs
@@ -135,7 +135,7 @@
                 locate_interval_ns: 50_000_000,
                 ..shape.clone()
             };
-            let day = SimulatedCluster::new(shape, 3).play();
+            let day = SimulatedCluster::new(shape, 3).run();
             assert_eq!(day.breaches, vec![]);
             let count = day.complete_ms.len() as f64;
             let (p50, p99) = percentiles(day.complete_ms);
