--- a/crates/lilacpitch-testbed/src/day.rs
+++ b/crates/lilacpitch-testbed/src/day.rs
@@ -191,7 +191,7 @@
     /// All datagrams between fronts are lost.
     PeersLost,
     /// This share, `size`, of the datagrams between fronts is damaged: see
-    /// [`crate::simulated_network::damaged`].
+    /// [`crate::simulated_network::damage_datagram`].
     PeersDamaged,
     /// Changes of the pool list reach fronts `wait` late. In virtual time only.
     ListLate,
