--- a/crates/lilacpitch-testbed/src/bound.rs
+++ b/crates/lilacpitch-testbed/src/bound.rs
@@ -31,7 +31,8 @@
         listed: *listed,
     };
     let mut servers: Vec<BoundServer> = script.servers.iter().map(new_server).collect();
-    let (mut events, mut lists) = (script.server.iter().peekable(), script.list.iter().peekable());
+    let (mut events, mut lists) =
+        (script.server_events.iter().peekable(), script.list_changes.iter().peekable());
     let total_share: f64 = day.classes.iter().map(|c| c.share).sum();
     // The classes in descending order of worth, each with its waiting calls and the end of their target time.
     let mut classes: Vec<_> = day.classes.iter().map(|c| (c, VecDeque::<(Nanos, f64)>::new())).collect();
--- a/crates/lilacpitch-testbed/src/day.rs
+++ b/crates/lilacpitch-testbed/src/day.rs
@@ -237,25 +237,25 @@
 #[derive(Debug, Clone, Default)]
 pub struct Script {
     /// Events of servers: time, index in [`Script::servers`], event.
-    pub server: Vec<(Nanos, usize, ServerEvent)>,
+    pub server_events: Vec<(Nanos, usize, ServerEvent)>,
     /// Changes of the pool list: time, index in [`Script::servers`], new state.
-    pub list: Vec<(Nanos, usize, Listed)>,
+    pub list_changes: Vec<(Nanos, usize, Listed)>,
     /// Suspended fronts: start, end, front.
-    pub freeze: Vec<(Nanos, Nanos, usize)>,
+    pub suspensions: Vec<(Nanos, Nanos, usize)>,
     /// Fronts whose callers close their sockets: time, front.
-    pub leave: Vec<(Nanos, usize)>,
+    pub caller_departures: Vec<(Nanos, usize)>,
     /// Fronts that are killed and started again: time of the kill, time of the start, front.
-    pub restart: Vec<(Nanos, Nanos, usize)>,
+    pub restarts: Vec<(Nanos, Nanos, usize)>,
     /// Fronts that send false reports to others: start, front.
-    pub confused: Vec<(Nanos, usize)>,
+    pub confused_fronts: Vec<(Nanos, usize)>,
     /// Periods in which all datagrams between fronts are lost: start, end.
     pub peers_lost: Vec<(Nanos, Nanos)>,
     /// Periods in which datagrams between fronts are damaged: start, end, percentage damaged.
     pub peers_damaged: Vec<(Nanos, Nanos, u32)>,
     /// Periods in which changes of the pool list reach a front late: start, end, front, delay.
-    pub list_late: Vec<(Nanos, Nanos, usize, Nanos)>,
+    pub late_lists: Vec<(Nanos, Nanos, usize, Nanos)>,
     /// Periods with another rate of calls: start, end, factor.
-    pub jumps: Vec<(Nanos, Nanos, f64)>,
+    pub rate_jumps: Vec<(Nanos, Nanos, f64)>,
     /// The day's servers and their replacements, each with whether it is listed from the start.
     pub servers: Vec<(ServerSpec, bool)>,
 }
@@ -266,7 +266,7 @@
         let applies = |(start, end, delayed_front, _): &&(Nanos, Nanos, usize, Nanos)| {
             *delayed_front == front && (*start..*end).contains(&day_ns)
         };
-        self.list_late.iter().filter(applies).map(|(.., late_ns)| *late_ns).max().unwrap_or(0)
+        self.late_lists.iter().filter(applies).map(|(.., late_ns)| *late_ns).max().unwrap_or(0)
     }
 }
 
@@ -360,14 +360,14 @@
 
     /// The rate of calls at one front if all get equal shares.
     pub fn rate(&self, script: &Script) -> Rate {
-        Rate { per_s: self.per_s / self.edges as f64, jumps: script.jumps.clone() }
+        Rate { per_s: self.per_s / self.edges as f64, jumps: script.rate_jumps.clone() }
     }
 
     /// The rate of calls at one front by its share; see [`Day::uneven`].
     pub fn rate_at(&self, edge: usize, script: &Script) -> Rate {
         let weight = |edge: usize| 1.0 / (edge as f64 + 1.0).powf(self.uneven);
         let total: f64 = (0..self.edges).map(weight).sum();
-        Rate { per_s: self.per_s * weight(edge) / total, jumps: script.jumps.clone() }
+        Rate { per_s: self.per_s * weight(edge) / total, jumps: script.rate_jumps.clone() }
     }
 
     /// The text of a front's settings file.
@@ -421,11 +421,11 @@
         for trouble in &self.troubles {
             self.add_trouble(trouble, &mut script);
         }
-        script.server.sort_by_key(|e| (e.0, e.1));
-        script.list.sort_by_key(|e| (e.0, e.1));
-        script.leave.sort_unstable();
-        script.restart = merge_overlapping(&script.restart);
-        script.freeze = while_running(&merge_overlapping(&script.freeze), &script.restart);
+        script.server_events.sort_by_key(|e| (e.0, e.1));
+        script.list_changes.sort_by_key(|e| (e.0, e.1));
+        script.caller_departures.sort_unstable();
+        script.restarts = merge_overlapping(&script.restarts);
+        script.suspensions = while_running(&merge_overlapping(&script.suspensions), &script.restarts);
         script
     }
 
@@ -438,18 +438,24 @@
         let edges: Vec<usize> =
             if trouble.edges.is_empty() { (0..self.edges).collect() } else { trouble.edges.clone() };
         match trouble.kind {
-            TroubleKind::Jump => script.jumps.push((start, end, size)),
-            TroubleKind::Freeze => script.freeze.extend(edges.into_iter().map(|edge| (start, end, edge))),
-            TroubleKind::Restart => script.restart.extend(edges.into_iter().map(|edge| (start, end, edge))),
-            TroubleKind::PeersConfused => script.confused.extend(edges.into_iter().map(|edge| (start, edge))),
+            TroubleKind::Jump => script.rate_jumps.push((start, end, size)),
+            TroubleKind::Freeze => {
+                script.suspensions.extend(edges.into_iter().map(|edge| (start, end, edge)))
+            }
+            TroubleKind::Restart => script.restarts.extend(edges.into_iter().map(|edge| (start, end, edge))),
+            TroubleKind::PeersConfused => {
+                script.confused_fronts.extend(edges.into_iter().map(|edge| (start, edge)))
+            }
             TroubleKind::ListLate => {
-                script.list_late.extend(edges.into_iter().map(|edge| (start, end, edge, trouble.wait_ns)));
+                script.late_lists.extend(edges.into_iter().map(|edge| (start, end, edge, trouble.wait_ns)));
             }
             TroubleKind::PeersLost => script.peers_lost.push((start, end)),
             TroubleKind::PeersDamaged => {
                 script.peers_damaged.push((start, end, (100.0 * size.min(1.0)) as u32))
             }
-            TroubleKind::CallersLeave => script.leave.extend(edges.into_iter().map(|edge| (start, edge))),
+            TroubleKind::CallersLeave => {
+                script.caller_departures.extend(edges.into_iter().map(|edge| (start, edge)))
+            }
             _ => servers.into_iter().for_each(|s| self.add_server_trouble(trouble, s, (start, end), script)),
         }
     }
@@ -478,7 +484,7 @@
             TroubleKind::BusyShare => Some(response_fault(FaultAnswer::Busy)),
             _ => None,
         };
-        let mut add_event = |at, event| script.server.push((at, server, event));
+        let mut add_event = |at, event| script.server_events.push((at, server, event));
         if let Some(fault) = fault {
             add_event(start, ServerEvent::BeginFault(fault));
             add_event(end, ServerEvent::EndFault(fault));
@@ -508,16 +514,16 @@
             }
             TroubleKind::Drain | TroubleKind::Replace => {
                 add_event(end, ServerEvent::Stop);
-                script.list.push((start, server, Listed::Draining));
-                script.list.push((end, server, Listed::Gone));
+                script.list_changes.push((start, server, Listed::Draining));
+                script.list_changes.push((end, server, Listed::Gone));
                 if trouble.kind == TroubleKind::Replace {
                     let old = &self.servers[server];
                     let new = script.servers.len();
                     script
                         .servers
                         .push((ServerSpec { name: format!("{}-new", old.name), ..old.clone() }, false));
-                    script.server.push((start, new, ServerEvent::Start));
-                    script.list.push((start, new, Listed::Running(Some(start))));
+                    script.server_events.push((start, new, ServerEvent::Start));
+                    script.list_changes.push((start, new, Listed::Running(Some(start))));
                 }
             }
             _ => {}
@@ -528,12 +534,12 @@
 /// Adds the events of a server that answers nothing and then restarts cold. The pool list shows both with a
 /// delay.
 fn add_silence(server: usize, (start, end): (Nanos, Nanos), script: &mut Script) {
-    script.server.push((start, server, ServerEvent::Silence));
-    script.server.push((end, server, ServerEvent::Start));
+    script.server_events.push((start, server, ServerEvent::Silence));
+    script.server_events.push((end, server, ServerEvent::Start));
     if start + SILENT_NOTICE_NS < end {
-        script.list.push((start + SILENT_NOTICE_NS, server, Listed::Gone));
+        script.list_changes.push((start + SILENT_NOTICE_NS, server, Listed::Gone));
     }
-    script.list.push((end + BACK_NOTICE_NS, server, Listed::Running(Some(end))));
+    script.list_changes.push((end + BACK_NOTICE_NS, server, Listed::Running(Some(end))));
 }
 
 fn schema() -> Result<Schema, ConfigError> {
--- a/crates/lilacpitch-testbed/src/fleet/day.rs
+++ b/crates/lilacpitch-testbed/src/fleet/day.rs
@@ -153,7 +153,7 @@
 /// # Errors
 ///
 /// Returns an error if the cluster doesn't start or isn't ready in time.
-pub fn play(
+pub fn run(
     plan: Plan,
     day: &Day,
     program: &Path,
--- a/crates/lilacpitch-testbed/src/fleet/scenario.rs
+++ b/crates/lilacpitch-testbed/src/fleet/scenario.rs
@@ -78,12 +78,12 @@
     }
 
     /// Keeps a locate that was read elsewhere, for the checker.
-    pub fn keep(&mut self, reading: Option<LocateReading>) {
+    pub fn add_locate_reading(&mut self, reading: Option<LocateReading>) {
         self.locate_readings.extend(reading);
     }
 
     /// Reads the progress of purges at a site process.
-    pub fn progress(&mut self, process: &str) -> Option<PurgeProgress> {
+    pub fn read_progress(&mut self, process: &str) -> Option<PurgeProgress> {
         let process = self.cluster.index(process);
         let reading = read_purge_progress(self.cluster.admin_address(process), process);
         self.progress_readings.extend(reading);
--- a/crates/lilacpitch-testbed/src/newcomers.rs
+++ b/crates/lilacpitch-testbed/src/newcomers.rs
@@ -64,7 +64,7 @@
         GossipMode::None | GossipMode::Sound => {}
     }
     let script = day.script();
-    let starts: Vec<(Nanos, usize)> = script.restart.iter().map(|(_, up, edge)| (*up, *edge)).collect();
+    let starts: Vec<(Nanos, usize)> = script.restarts.iter().map(|(_, up, edge)| (*up, *edge)).collect();
     let mut sum = NewcomerService { new: 0.0, warm: 0.0, violations: 0 };
     for _ in 0..seeds {
         let result = simulate_day(&day, Safeguards::default())?;
--- a/crates/lilacpitch-testbed/src/runner.rs
+++ b/crates/lilacpitch-testbed/src/runner.rs
@@ -141,7 +141,7 @@
 ) -> Vec<ScriptedServer> {
     let scripted_server = |(index, (listener, _)): (usize, (std::net::TcpListener, SocketAddr))| {
         let (server, listed) = &script.servers[index];
-        let events = script.server.iter().filter(|(_, i, _)| *i == index);
+        let events = script.server_events.iter().filter(|(_, i, _)| *i == index);
         ScriptedServer {
             name: server.name.clone(),
             parameters: day.server_parameters(server),
@@ -226,8 +226,8 @@
         rate: day.rate(script),
         start_ns,
         length_ns: day.length_ns,
-        leave: script.leave.iter().filter(|(_, e)| *e == edge).map(|(at, _)| *at).collect(),
-        reconnect: script.restart.iter().any(|(.., e)| *e == edge),
+        leave: script.caller_departures.iter().filter(|(_, e)| *e == edge).map(|(at, _)| *at).collect(),
+        reconnect: script.restarts.iter().any(|(.., e)| *e == edge),
     };
     let all = async {
         let callers: Vec<_> = (0..addresses.len())
@@ -260,13 +260,16 @@
         Start(usize),
         NetworkConditions(NetworkConditions),
     }
-    let mut events: Vec<(Nanos, DayEvent)> =
-        script.list.iter().map(|(at, server, listed)| (*at, DayEvent::Listed(*server, *listed))).collect();
-    for (start, end, edge) in &script.freeze {
+    let mut events: Vec<(Nanos, DayEvent)> = script
+        .list_changes
+        .iter()
+        .map(|(at, server, listed)| (*at, DayEvent::Listed(*server, *listed)))
+        .collect();
+    for (start, end, edge) in &script.suspensions {
         events.push((*start, DayEvent::Freeze(*edge, true)));
         events.push((*end, DayEvent::Freeze(*edge, false)));
     }
-    for (down, up, edge) in &script.restart {
+    for (down, up, edge) in &script.restarts {
         events.extend([(*down, DayEvent::Kill(*edge)), (*up, DayEvent::Start(*edge))]);
     }
     let lost = script.peers_lost.iter().flat_map(|(start, end)| [*start, *end]);
--- a/crates/lilacpitch-testbed/src/simulated_run.rs
+++ b/crates/lilacpitch-testbed/src/simulated_run.rs
@@ -258,24 +258,24 @@
             simulation.schedule(START_NS, Event::Arrival(edge));
         }
         (0..day.edges).for_each(|edge| simulation.start_peers(edge));
-        for (at, server, event) in &script.server {
+        for (at, server, event) in &script.server_events {
             simulation.schedule(START_NS + at, Event::ServerChange(*server, *event));
         }
-        for (at, server, listed) in &script.list {
+        for (at, server, listed) in &script.list_changes {
             simulation.schedule(START_NS + at, Event::ListChange(*server, *listed));
         }
-        for (from, to, edge) in &script.freeze {
+        for (from, to, edge) in &script.suspensions {
             simulation.schedule(START_NS + from, Event::Freeze(*edge, true));
             simulation.schedule(START_NS + to, Event::Freeze(*edge, false));
         }
-        for (from, to, edge) in &script.restart {
+        for (from, to, edge) in &script.restarts {
             simulation.schedule(START_NS + from, Event::KillFront(*edge));
             simulation.schedule(START_NS + to, Event::StartFront(*edge));
         }
-        for (at, edge) in &script.confused {
+        for (at, edge) in &script.confused_fronts {
             simulation.schedule(START_NS + at, Event::Confuse(*edge));
         }
-        for (at, edge) in &script.leave {
+        for (at, edge) in &script.caller_departures {
             simulation.schedule(START_NS + at, Event::CallersLeave(*edge));
         }
         Ok(simulation)
--- a/crates/lilacpitch-testbed/tests/fleet/broken.rs
+++ b/crates/lilacpitch-testbed/tests/fleet/broken.rs
@@ -54,7 +54,7 @@
 pub(crate) fn complete_past(scenario: &mut Scenario, process: &str, after: u64) -> Option<u64> {
     let mut progress = None;
     scenario.wait_until(TIMEOUT, |scenario| {
-        progress = scenario.progress(process).filter(|p| p.ordered > after && p.complete == p.ordered);
+        progress = scenario.read_progress(process).filter(|p| p.ordered > after && p.complete == p.ordered);
         progress.is_some()
     });
     progress.map(|progress| progress.ordered)
@@ -140,7 +140,7 @@
             drop(handset);
             purge_overtook_response |= complete_past(scenario, "root-0", ordered).is_some();
             let late_reading = locate.join().unwrap();
-            scenario.keep(late_reading);
+            scenario.add_locate_reading(late_reading);
             scenario.cluster.proxy.set_one_way(leaf, front, Fault::default());
             (0..10).for_each(|_| drop(scenario.locate("edge-1", &number)));
         }
@@ -157,7 +157,7 @@
         (0..4).all(|_| {
             let ordered = scenario.purge("root-0", "1777").unwrap();
             for _ in 0..5 {
-                scenario.progress("root-0");
+                scenario.read_progress("root-0");
             }
             complete_past(scenario, "root-0", ordered - 1).is_some()
         })
--- a/crates/lilacpitch-testbed/tests/fleet/busy.rs
+++ b/crates/lilacpitch-testbed/tests/fleet/busy.rs
@@ -68,9 +68,9 @@
     let shared = scenario.wait_until(TIMEOUT, |scenario| {
         // The purge removes the number from the cache.
         let Some(order) = scenario.purge("root-0", "15550001") else { return false };
-        if !scenario
-            .wait_until(TIMEOUT, |scenario| scenario.progress("root-0").is_some_and(|p| p.complete >= order))
-        {
+        if !scenario.wait_until(TIMEOUT, |scenario| {
+            scenario.read_progress("root-0").is_some_and(|p| p.complete >= order)
+        }) {
             return false;
         }
         let asked_before = sites_asked(scenario);
--- a/crates/lilacpitch-testbed/tests/fleet/days.rs
+++ b/crates/lilacpitch-testbed/tests/fleet/days.rs
@@ -1,7 +1,7 @@
 //! Runs of a cluster with random faults, checked against the guarantees.
 
 use lilacpitch_testbed::fleet::cluster::{Cluster, Plan};
-use lilacpitch_testbed::fleet::day::{draw_faults, play, Day, Played, ScheduledFault, TERMS};
+use lilacpitch_testbed::fleet::day::{draw_faults, run, Day, Played, ScheduledFault, TERMS};
 use std::path::Path;
 use std::time::Duration;
 
@@ -15,7 +15,7 @@
     day: &Day,
     choose_faults: impl FnOnce(&Cluster) -> Vec<ScheduledFault>,
 ) -> Played {
-    play(plan, day, Path::new(env!("CARGO_BIN_EXE_lilacpitch-testbed")), choose_faults).unwrap()
+    run(plan, day, Path::new(env!("CARGO_BIN_EXE_lilacpitch-testbed")), choose_faults).unwrap()
 }
 
 /// Asserts that no guarantee was violated, no process exited, and there was something to check.
--- a/crates/lilacpitch-testbed/tests/fleet/parted.rs
+++ b/crates/lilacpitch-testbed/tests/fleet/parted.rs
@@ -53,11 +53,11 @@
     let mut two_leaders = false;
     let gone = scenario.wait_until(TIMEOUT, |scenario| {
         scenario.locate("edge-0", "15550001");
-        scenario.progress(former);
+        scenario.read_progress(former);
         two_leaders |= is_leader(&scenario.cluster, former)
             && others.iter().any(|name| is_leader(&scenario.cluster, name));
         // The purge of the withdrawn number is complete on the other side.
-        let progress = others.map(|name| scenario.progress(name));
+        let progress = others.map(|name| scenario.read_progress(name));
         progress.iter().flatten().any(|p| p.ordered > order_before && p.complete == p.ordered)
     });
     assert!(
@@ -86,7 +86,7 @@
         let [leader_at, lost_at, stale_at] = [leader, lost, stale].map(|name| scenario.cluster.index(name));
         scenario.cluster.proxy.set_partition(&[stale_at], true);
         let last_order = (0..5).map(|_| submit_empty_purge(&mut scenario, leader)).last().unwrap();
-        let log = scenario.progress(leader).unwrap().log;
+        let log = scenario.read_progress(leader).unwrap().log;
         scenario.cluster.kill(leader_at);
         scenario.cluster.kill(lost_at);
         std::fs::remove_dir_all(scenario.cluster.data_dir(lost_at)).unwrap();
@@ -94,7 +94,7 @@
         scenario.cluster.start_process(lost_at).unwrap();
         // Longer than several elections take.
         let orders_lost = scenario.wait_until(Duration::from_secs(6), |scenario| {
-            let progress = [lost, stale].map(|name| scenario.progress(name));
+            let progress = [lost, stale].map(|name| scenario.read_progress(name));
             progress.iter().flatten().any(|p| p.log != log || p.ordered < last_order)
         });
         assert_eq!(orders_lost, !breaks.is_empty(), "{breaks}: {}", report(&scenario.cluster));
@@ -102,7 +102,7 @@
             scenario.cluster.start_process(leader_at).unwrap();
             let has_all_orders = |scenario: &mut Scenario| {
                 scenario
-                    .progress(lost)
+                    .read_progress(lost)
                     .is_some_and(|p| p.log == log && p.ordered >= last_order && p.complete == p.ordered)
             };
             assert!(scenario.wait_until(TIMEOUT, has_all_orders), "{}", report(&scenario.cluster));
@@ -146,7 +146,7 @@
     scenario.cluster.limit_file_size(process, None);
     scenario.cluster.start_process(process).unwrap();
     let has_caught_up =
-        |scenario: &mut Scenario| scenario.progress(full).is_some_and(|p| p.ordered >= next_order);
+        |scenario: &mut Scenario| scenario.read_progress(full).is_some_and(|p| p.ordered >= next_order);
     assert!(scenario.wait_until(TIMEOUT, has_caught_up), "{}", report(&scenario.cluster));
 }
 
--- a/crates/lilacpitch-testbed/tests/virtual_days.rs
+++ b/crates/lilacpitch-testbed/tests/virtual_days.rs
@@ -199,10 +199,10 @@
     let day = Day::from_text("overlaps", &text).unwrap();
     let s = |s: u64| s * 1_000_000_000;
     let script = day.script();
-    assert_eq!(script.restart, vec![(s(2), s(8), 0)]);
+    assert_eq!(script.restarts, vec![(s(2), s(8), 0)]);
     // The freeze at 1 s ends when the process is killed at 2 s. The freeze at 6 s hits a front that is down
     // and has no effect, and the one at 9 s is merged with it.
-    assert_eq!(script.freeze, vec![(s(1), s(2), 0)]);
+    assert_eq!(script.suspensions, vec![(s(1), s(2), 0)]);
     assert_eq!(simulate_day(&day, Safeguards::default()).unwrap().violations, vec![]);
 }
 
