--- a/crates/lilacpitch-testbed/src/callers.rs
+++ b/crates/lilacpitch-testbed/src/callers.rs
@@ -2,7 +2,7 @@
 //! read is recorded.
 
 use crate::record::{Record, Seen};
-use crate::simulation::caller::{Callers, Rate, Try};
+use crate::simulation::caller::{CallAttempt, Callers, Rate};
 use lilacpitch::interface::Nanos;
 use lilacpitch_edge::net::{open, Clock, ConnectionEvent, Outgoing, WebSocketConnection};
 use lilacpitch_protocol::frame::Role;
@@ -47,7 +47,7 @@
 
 /// An action that is due at a certain time.
 enum Task {
-    Offer(Try),
+    Offer(CallAttempt),
     Release(String),
     Leave,
     Connect(usize),
@@ -73,7 +73,7 @@
     clock: Clock,
     sockets: Vec<Option<Socket>>,
     /// Calls without an answer, each with its socket.
-    waiting: BTreeMap<String, (Try, usize)>,
+    waiting: BTreeMap<String, (CallAttempt, usize)>,
     /// Established calls, each with its socket.
     established: BTreeMap<String, usize>,
     /// Tasks by the time at which they are due and a serial number.
@@ -86,7 +86,7 @@
 }
 
 /// Runs the callers of a front to the end of the day. Must be called within a `LocalSet`.
-pub(crate) async fn play(plan: Plan, clock: Clock) -> Result<Vec<Record>, String> {
+pub(crate) async fn run(plan: Plan, clock: Clock) -> Result<Vec<Record>, String> {
     let (received, mut inbox) = mpsc::channel(QUEUE);
     let (sockets, end_ns) = (plan.sockets, plan.start_ns + plan.length_ns);
     let mut callers = FrontCallers {
@@ -194,7 +194,7 @@
     }
 
     /// Makes a try: sends its set-up on one of the sockets.
-    fn offer(&mut self, new_try: Try) {
+    fn offer(&mut self, new_try: CallAttempt) {
         self.serial += 1;
         let socket = self.serial as usize % self.sockets.len();
         let message = FromCaller::Setup {
@@ -286,7 +286,8 @@
                     self.schedule(now + answered_try.hold_ns, Task::Release(call));
                 } else {
                     let day_ns = now - self.plan.start_ns;
-                    let next_try = self.plan.callers.again(day_ns, &answered_try, answer, come_back_ms);
+                    let next_try =
+                        self.plan.callers.next_attempt(day_ns, &answered_try, answer, come_back_ms);
                     if let Some((at, next_try)) = next_try {
                         self.schedule(self.plan.start_ns + at, Task::Offer(next_try));
                     }
--- a/crates/lilacpitch-testbed/src/datagram_relay.rs
+++ b/crates/lilacpitch-testbed/src/datagram_relay.rs
@@ -1,7 +1,7 @@
 //! The network between real fronts: a relay on loopback through which each front is reached, with loss,
 //! damage and partitions of datagrams.
 
-use crate::simulated_network::Weather;
+use crate::simulated_network::NetworkConditions;
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 use std::net::SocketAddr;
@@ -16,13 +16,13 @@
 
 /// Counters of a relay.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
-pub struct Counts {
+pub struct RelayCounters {
     /// Datagrams received, and their bytes.
-    pub came: (u64, u64),
+    pub received: (u64, u64),
     /// Datagrams received and lost.
     pub lost: u64,
     /// Datagrams forwarded, duplicates included.
-    pub went: u64,
+    pub forwarded: u64,
 }
 
 /// A relay that runs on a thread of its own.
@@ -30,8 +30,8 @@
 pub struct Relay {
     /// For each front, the address of the relay that forwards to it.
     pub public: Vec<SocketAddr>,
-    weather: watch::Sender<Weather>,
-    thread: JoinHandle<std::io::Result<Counts>>,
+    conditions: watch::Sender<NetworkConditions>,
+    thread: JoinHandle<std::io::Result<RelayCounters>>,
 }
 
 impl Relay {
@@ -44,23 +44,23 @@
             sockets.push(socket);
         }
         let public = sockets.iter().map(std::net::UdpSocket::local_addr).collect::<Result<_, _>>()?;
-        let (weather, weather_receiver) = watch::channel(Weather::default());
+        let (conditions, conditions_receiver) = watch::channel(NetworkConditions::default());
         let thread = std::thread::spawn(move || {
             let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
             tokio::task::LocalSet::new()
-                .block_on(&runtime, forward_all(sockets, real, weather_receiver, seed))
+                .block_on(&runtime, forward_all(sockets, real, conditions_receiver, seed))
         });
-        Ok(Relay { public, weather, thread })
+        Ok(Relay { public, conditions, thread })
     }
 
     /// Sets the faults from now on.
-    pub fn weather(&self, weather: Weather) {
-        self.weather.send_replace(weather);
+    pub fn set_conditions(&self, conditions: NetworkConditions) {
+        self.conditions.send_replace(conditions);
     }
 
     /// Stops the relay. Returns its counters.
-    pub fn stop(self) -> std::io::Result<Counts> {
-        drop(self.weather);
+    pub fn stop(self) -> std::io::Result<RelayCounters> {
+        drop(self.conditions);
         self.thread.join().unwrap_or_else(|_| Err(std::io::Error::other("the relay panicked")))
     }
 }
@@ -68,21 +68,21 @@
 async fn forward_all(
     sockets: Vec<std::net::UdpSocket>,
     real: Vec<SocketAddr>,
-    weather: watch::Receiver<Weather>,
+    conditions: watch::Receiver<NetworkConditions>,
     seed: u64,
-) -> std::io::Result<Counts> {
+) -> std::io::Result<RelayCounters> {
     let real: Rc<[SocketAddr]> = real.into();
     let mut tasks = Vec::new();
     for (to, socket) in sockets.into_iter().enumerate() {
         let forwarder = Forwarder { to, socket: Rc::new(UdpSocket::from_std(socket)?), real: real.clone() };
         let rng = StdRng::seed_from_u64(seed.wrapping_mul(1_000) + to as u64);
-        tasks.push(tokio::task::spawn_local(forwarder.run(weather.clone(), rng)));
+        tasks.push(tokio::task::spawn_local(forwarder.run(conditions.clone(), rng)));
     }
-    let mut sum = Counts::default();
+    let mut sum = RelayCounters::default();
     for task in tasks {
         let counts = task.await.map_err(std::io::Error::other)?;
-        sum.came = (sum.came.0 + counts.came.0, sum.came.1 + counts.came.1);
-        (sum.lost, sum.went) = (sum.lost + counts.lost, sum.went + counts.went);
+        sum.received = (sum.received.0 + counts.received.0, sum.received.1 + counts.received.1);
+        (sum.lost, sum.forwarded) = (sum.lost + counts.lost, sum.forwarded + counts.forwarded);
     }
     Ok(sum)
 }
@@ -97,8 +97,8 @@
 }
 
 impl Forwarder {
-    async fn run(self, mut weather: watch::Receiver<Weather>, mut rng: StdRng) -> Counts {
-        let (mut counts, mut buffer) = (Counts::default(), vec![0; MAX_UDP_BYTES]);
+    async fn run(self, mut conditions: watch::Receiver<NetworkConditions>, mut rng: StdRng) -> RelayCounters {
+        let (mut counts, mut buffer) = (RelayCounters::default(), vec![0; MAX_UDP_BYTES]);
         loop {
             let (length, source) = tokio::select! {
                 // An error means that an earlier datagram reached a closed port; that datagram is lost, as on
@@ -107,18 +107,18 @@
                     Ok(received) => received,
                     Err(_) => continue,
                 },
-                changed = weather.changed() => match changed {
+                changed = conditions.changed() => match changed {
                     Ok(()) => continue,
                     Err(_) => return counts,
                 },
             };
-            counts.came = (counts.came.0 + 1, counts.came.1 + length as u64);
+            counts.received = (counts.received.0 + 1, counts.received.1 + length as u64);
             let from = self.real.iter().position(|a| *a == source).unwrap_or(usize::MAX);
             let bytes = buffer[..length].to_vec();
-            let weather = *weather.borrow();
-            let arriving = weather.carry(from, Some(self.to), bytes, || rng.random());
+            let conditions = *conditions.borrow();
+            let arriving = conditions.deliver(from, Some(self.to), bytes, || rng.random());
             counts.lost += u64::from(arriving.is_empty());
-            counts.went += arriving.len() as u64;
+            counts.forwarded += arriving.len() as u64;
             for (delay_ns, bytes) in arriving {
                 let (socket, address) = (self.socket.clone(), self.real[self.to]);
                 tokio::task::spawn_local(async move {
--- a/crates/lilacpitch-testbed/src/day.rs
+++ b/crates/lilacpitch-testbed/src/day.rs
@@ -1,10 +1,10 @@
 //! A scenario ("day") as a typed record: load by class, servers, and faults ("troubles") with start, duration
 //! and magnitude. [`Day::script`] turns the faults into timed events.
 
-use crate::call_rules_checker::Figures;
-use crate::simulated_network::Weather;
+use crate::call_rules_checker::RuleLimits;
+use crate::simulated_network::NetworkConditions;
 use crate::simulation::caller::{CallerBehavior, Rate};
-use crate::simulation::server::{Answers, By, Make, ResponseFault};
+use crate::simulation::server::{FaultAnswer, FaultSelector, ResponseFault, ServerParameters};
 use lilacpitch::interface::Nanos;
 use lilacpitch_config::{de_duration, load, load_text, ConfigError, Loaded, Schema};
 use serde::Deserialize;
@@ -17,7 +17,7 @@
 const SILENT_NOTICE_NS: Nanos = 4_000_000_000;
 /// Delay until the pool list shows that a silent server is back.
 const BACK_NOTICE_NS: Nanos = 500_000_000;
-/// Interval between the pauses of a processor ([`Kind::Still`]).
+/// Interval between the pauses of a processor ([`TroubleKind::Still`]).
 const STILL_EVERY_NS: Nanos = 2_000_000_000;
 
 /// A scenario.
@@ -40,7 +40,7 @@
     /// Classes of calls.
     pub classes: Vec<Class>,
     /// The servers.
-    pub servers: Vec<ServerMake>,
+    pub servers: Vec<ServerSpec>,
     /// The faults.
     pub troubles: Vec<Trouble>,
     /// Parameters of the call rules and of servers that warm up.
@@ -85,7 +85,7 @@
 
 /// A server.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
-pub struct ServerMake {
+pub struct ServerSpec {
     /// Its name.
     pub name: String,
     /// The pool it is in.
@@ -119,7 +119,7 @@
     #[serde(deserialize_with = "de_duration", rename = "tip_span")]
     pub tip_span_ns: Nanos,
     /// Whether a server that is warming up tolerates random variation above that load; see
-    /// [`Make::tip_chance`].
+    /// [`ServerParameters::tip_chance`].
     pub tip_chance: bool,
 }
 
@@ -127,7 +127,7 @@
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 pub struct Trouble {
     /// Its kind.
-    pub kind: Kind,
+    pub kind: TroubleKind,
     /// Its start, from the start of the day.
     #[serde(deserialize_with = "de_duration", rename = "at")]
     pub at_ns: Nanos,
@@ -140,11 +140,11 @@
     pub servers: Vec<String>,
     /// Indexes of the fronts affected; empty: all.
     pub edges: Vec<usize>,
-    /// Retry-after of 'full' answers, period of [`Kind::Flap`], or delay of [`Kind::ListLate`].
+    /// Retry-after of 'full' answers, period of [`TroubleKind::Flap`], or delay of [`TroubleKind::ListLate`].
     #[serde(deserialize_with = "de_duration", rename = "wait")]
     pub wait_ns: Nanos,
     /// What a share of set-ups is selected by.
-    pub by: By,
+    pub by: FaultSelector,
     /// Most set-ups affected at a server; 0: no limit.
     pub first: u64,
 }
@@ -152,7 +152,7 @@
 /// Kinds of faults.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Kind {
+pub enum TroubleKind {
     /// A server's processor runs `size` times slower.
     Slow,
     /// A server answers nothing, and restarts cold at the end.
@@ -191,7 +191,7 @@
     /// All datagrams between fronts are lost.
     PeersLost,
     /// This share, `size`, of the datagrams between fronts is damaged: see
-    /// [`crate::simulated_network::damaged`].
+    /// [`crate::simulated_network::damage_datagram`].
     PeersDamaged,
     /// Changes of the pool list reach fronts `wait` late. In virtual time only.
     ListLate,
@@ -205,17 +205,17 @@
     /// Its processor runs this many times slower.
     Slow(f64),
     /// It becomes silent.
-    Die,
+    Silence,
     /// It restarts, cold.
     Start,
     /// Its processor pauses for this long.
-    Still(Nanos),
+    Pause(Nanos),
     /// It loses this share of its answers.
     LoseAnswers(f64),
     /// A share of its set-ups begins to get a fault response.
-    Ail(ResponseFault),
+    BeginFault(ResponseFault),
     /// That fault ends.
-    Heal(ResponseFault),
+    EndFault(ResponseFault),
     /// Its connections are lost.
     Reset,
     /// It stops for good.
@@ -237,27 +237,27 @@
 #[derive(Debug, Clone, Default)]
 pub struct Script {
     /// Events of servers: time, index in [`Script::servers`], event.
-    pub server: Vec<(Nanos, usize, ServerEvent)>,
+    pub server_events: Vec<(Nanos, usize, ServerEvent)>,
     /// Changes of the pool list: time, index in [`Script::servers`], new state.
-    pub list: Vec<(Nanos, usize, Listed)>,
+    pub list_changes: Vec<(Nanos, usize, Listed)>,
     /// Suspended fronts: start, end, front.
-    pub freeze: Vec<(Nanos, Nanos, usize)>,
+    pub suspensions: Vec<(Nanos, Nanos, usize)>,
     /// Fronts whose callers close their sockets: time, front.
-    pub leave: Vec<(Nanos, usize)>,
+    pub caller_departures: Vec<(Nanos, usize)>,
     /// Fronts that are killed and started again: time of the kill, time of the start, front.
-    pub restart: Vec<(Nanos, Nanos, usize)>,
+    pub restarts: Vec<(Nanos, Nanos, usize)>,
     /// Fronts that send false reports to others: start, front.
-    pub confused: Vec<(Nanos, usize)>,
+    pub confused_fronts: Vec<(Nanos, usize)>,
     /// Periods in which all datagrams between fronts are lost: start, end.
     pub peers_lost: Vec<(Nanos, Nanos)>,
     /// Periods in which datagrams between fronts are damaged: start, end, percentage damaged.
     pub peers_damaged: Vec<(Nanos, Nanos, u32)>,
     /// Periods in which changes of the pool list reach a front late: start, end, front, delay.
-    pub list_late: Vec<(Nanos, Nanos, usize, Nanos)>,
+    pub late_lists: Vec<(Nanos, Nanos, usize, Nanos)>,
     /// Periods with another rate of calls: start, end, factor.
-    pub jumps: Vec<(Nanos, Nanos, f64)>,
+    pub rate_jumps: Vec<(Nanos, Nanos, f64)>,
     /// The day's servers and their replacements, each with whether it is listed from the start.
-    pub servers: Vec<(ServerMake, bool)>,
+    pub servers: Vec<(ServerSpec, bool)>,
 }
 
 impl Script {
@@ -266,7 +266,7 @@
         let applies = |(start, end, delayed_front, _): &&(Nanos, Nanos, usize, Nanos)| {
             *delayed_front == front && (*start..*end).contains(&day_ns)
         };
-        self.list_late.iter().filter(applies).map(|(.., late_ns)| *late_ns).max().unwrap_or(0)
+        self.late_lists.iter().filter(applies).map(|(.., late_ns)| *late_ns).max().unwrap_or(0)
     }
 }
 
@@ -316,13 +316,13 @@
     }
 
     /// The parameters of the call rules that the checker needs.
-    pub fn figures(&self) -> Figures {
-        Figures { drain_grace_ns: self.rules.drain_grace_ns, release_ns: self.rules.release_ns }
+    pub fn rule_limits(&self) -> RuleLimits {
+        RuleLimits { drain_grace_ns: self.rules.drain_grace_ns, release_ns: self.rules.release_ns }
     }
 
     /// The parameters of a server's model.
-    pub fn make(&self, server: &ServerMake) -> Make {
-        Make {
+    pub fn server_parameters(&self, server: &ServerSpec) -> ServerParameters {
+        ServerParameters {
             per_s: server.per_s,
             circuits: server.circuits,
             full_after_ns: server.full_after_ns,
@@ -346,7 +346,7 @@
     }
 
     /// The behavior of callers, by class.
-    pub fn habits(&self) -> Vec<CallerBehavior> {
+    pub fn caller_behaviors(&self) -> Vec<CallerBehavior> {
         let behavior = |class: &Class| CallerBehavior {
             share: class.share,
             hold_ns: class.hold_ns,
@@ -360,14 +360,14 @@
 
     /// The rate of calls at one front if all get equal shares.
     pub fn rate(&self, script: &Script) -> Rate {
-        Rate { per_s: self.per_s / self.edges as f64, jumps: script.jumps.clone() }
+        Rate { per_s: self.per_s / self.edges as f64, jumps: script.rate_jumps.clone() }
     }
 
     /// The rate of calls at one front by its share; see [`Day::uneven`].
     pub fn rate_at(&self, edge: usize, script: &Script) -> Rate {
         let weight = |edge: usize| 1.0 / (edge as f64 + 1.0).powf(self.uneven);
         let total: f64 = (0..self.edges).map(weight).sum();
-        Rate { per_s: self.per_s * weight(edge) / total, jumps: script.jumps.clone() }
+        Rate { per_s: self.per_s * weight(edge) / total, jumps: script.rate_jumps.clone() }
     }
 
     /// The text of a front's settings file.
@@ -404,10 +404,10 @@
     }
 
     /// The faults of the network between fronts at a time of the day.
-    pub fn weather(&self, script: &Script, day_ns: Nanos) -> Weather {
+    pub fn network_conditions(&self, script: &Script, day_ns: Nanos) -> NetworkConditions {
         let all_lost = script.peers_lost.iter().any(|(start, end)| (*start..*end).contains(&day_ns));
         let damaged = script.peers_damaged.iter().filter(|(start, end, _)| (*start..*end).contains(&day_ns));
-        Weather {
+        NetworkConditions {
             lost: if all_lost { 100 } else { self.peer_loss },
             damaged: damaged.map(|(.., percent)| *percent).max().unwrap_or(0),
             split: 0,
@@ -421,33 +421,41 @@
         for trouble in &self.troubles {
             self.add_trouble(trouble, &mut script);
         }
-        script.server.sort_by_key(|e| (e.0, e.1));
-        script.list.sort_by_key(|e| (e.0, e.1));
-        script.leave.sort_unstable();
-        script.restart = merge_overlapping(&script.restart);
-        script.freeze = while_running(&merge_overlapping(&script.freeze), &script.restart);
+        script.server_events.sort_by_key(|e| (e.0, e.1));
+        script.list_changes.sort_by_key(|e| (e.0, e.1));
+        script.caller_departures.sort_unstable();
+        script.restarts = merge_overlapping(&script.restarts);
+        script.suspensions = while_running(&merge_overlapping(&script.suspensions), &script.restarts);
         script
     }
 
     /// Adds the events of a fault.
     fn add_trouble(&self, trouble: &Trouble, script: &mut Script) {
         let (start, end, size) = (trouble.at_ns, trouble.at_ns + trouble.for_ns, trouble.size);
-        let is_affected = |s: &ServerMake| trouble.servers.is_empty() || trouble.servers.contains(&s.name);
+        let is_affected = |s: &ServerSpec| trouble.servers.is_empty() || trouble.servers.contains(&s.name);
         let servers: Vec<usize> =
             (0..self.servers.len()).filter(|i| is_affected(&self.servers[*i])).collect();
         let edges: Vec<usize> =
             if trouble.edges.is_empty() { (0..self.edges).collect() } else { trouble.edges.clone() };
         match trouble.kind {
-            Kind::Jump => script.jumps.push((start, end, size)),
-            Kind::Freeze => script.freeze.extend(edges.into_iter().map(|edge| (start, end, edge))),
-            Kind::Restart => script.restart.extend(edges.into_iter().map(|edge| (start, end, edge))),
-            Kind::PeersConfused => script.confused.extend(edges.into_iter().map(|edge| (start, edge))),
-            Kind::ListLate => {
-                script.list_late.extend(edges.into_iter().map(|edge| (start, end, edge, trouble.wait_ns)));
+            TroubleKind::Jump => script.rate_jumps.push((start, end, size)),
+            TroubleKind::Freeze => {
+                script.suspensions.extend(edges.into_iter().map(|edge| (start, end, edge)))
+            }
+            TroubleKind::Restart => script.restarts.extend(edges.into_iter().map(|edge| (start, end, edge))),
+            TroubleKind::PeersConfused => {
+                script.confused_fronts.extend(edges.into_iter().map(|edge| (start, edge)))
+            }
+            TroubleKind::ListLate => {
+                script.late_lists.extend(edges.into_iter().map(|edge| (start, end, edge, trouble.wait_ns)));
+            }
+            TroubleKind::PeersLost => script.peers_lost.push((start, end)),
+            TroubleKind::PeersDamaged => {
+                script.peers_damaged.push((start, end, (100.0 * size.min(1.0)) as u32))
+            }
+            TroubleKind::CallersLeave => {
+                script.caller_departures.extend(edges.into_iter().map(|edge| (start, edge)))
             }
-            Kind::PeersLost => script.peers_lost.push((start, end)),
-            Kind::PeersDamaged => script.peers_damaged.push((start, end, (100.0 * size.min(1.0)) as u32)),
-            Kind::CallersLeave => script.leave.extend(edges.into_iter().map(|edge| (start, edge))),
             _ => servers.into_iter().for_each(|s| self.add_server_trouble(trouble, s, (start, end), script)),
         }
     }
@@ -469,53 +477,53 @@
             wait_ns: trouble.wait_ns,
         };
         let fault = match trouble.kind {
-            Kind::FullShare => Some(response_fault(Answers::Full)),
-            Kind::NoCircuitShare => Some(response_fault(Answers::NoCircuit)),
-            Kind::UnansweredShare => Some(response_fault(Answers::Nothing)),
-            Kind::FaultShare => Some(response_fault(Answers::Fault)),
-            Kind::BusyShare => Some(response_fault(Answers::Busy)),
+            TroubleKind::FullShare => Some(response_fault(FaultAnswer::Full)),
+            TroubleKind::NoCircuitShare => Some(response_fault(FaultAnswer::NoCircuit)),
+            TroubleKind::UnansweredShare => Some(response_fault(FaultAnswer::Nothing)),
+            TroubleKind::FaultShare => Some(response_fault(FaultAnswer::Fault)),
+            TroubleKind::BusyShare => Some(response_fault(FaultAnswer::Busy)),
             _ => None,
         };
-        let mut add_event = |at, event| script.server.push((at, server, event));
+        let mut add_event = |at, event| script.server_events.push((at, server, event));
         if let Some(fault) = fault {
-            add_event(start, ServerEvent::Ail(fault));
-            add_event(end, ServerEvent::Heal(fault));
+            add_event(start, ServerEvent::BeginFault(fault));
+            add_event(end, ServerEvent::EndFault(fault));
         }
         match trouble.kind {
-            Kind::Slow => {
+            TroubleKind::Slow => {
                 add_event(start, ServerEvent::Slow(size));
                 add_event(end, ServerEvent::Slow(1.0));
             }
-            Kind::Still => {
+            TroubleKind::Still => {
                 let count = (end - start) / STILL_EVERY_NS;
                 (0..count.max(1)).for_each(|i| {
-                    add_event(start + i * STILL_EVERY_NS, ServerEvent::Still((size * 1e6) as Nanos));
+                    add_event(start + i * STILL_EVERY_NS, ServerEvent::Pause((size * 1e6) as Nanos));
                 });
             }
-            Kind::AnswersLost => {
+            TroubleKind::AnswersLost => {
                 add_event(start, ServerEvent::LoseAnswers(size));
                 add_event(end, ServerEvent::LoseAnswers(0.0));
             }
-            Kind::Reset => add_event(start, ServerEvent::Reset),
-            Kind::Silent => add_silence(server, (start, end), script),
-            Kind::Flap => {
+            TroubleKind::Reset => add_event(start, ServerEvent::Reset),
+            TroubleKind::Silent => add_silence(server, (start, end), script),
+            TroubleKind::Flap => {
                 let period_ns = trouble.wait_ns.max(1_000_000_000) as usize;
                 (start..end)
                     .step_by(period_ns)
                     .for_each(|at| add_silence(server, (at, at + period_ns as u64 / 2), script));
             }
-            Kind::Drain | Kind::Replace => {
+            TroubleKind::Drain | TroubleKind::Replace => {
                 add_event(end, ServerEvent::Stop);
-                script.list.push((start, server, Listed::Draining));
-                script.list.push((end, server, Listed::Gone));
-                if trouble.kind == Kind::Replace {
+                script.list_changes.push((start, server, Listed::Draining));
+                script.list_changes.push((end, server, Listed::Gone));
+                if trouble.kind == TroubleKind::Replace {
                     let old = &self.servers[server];
                     let new = script.servers.len();
                     script
                         .servers
-                        .push((ServerMake { name: format!("{}-new", old.name), ..old.clone() }, false));
-                    script.server.push((start, new, ServerEvent::Start));
-                    script.list.push((start, new, Listed::Running(Some(start))));
+                        .push((ServerSpec { name: format!("{}-new", old.name), ..old.clone() }, false));
+                    script.server_events.push((start, new, ServerEvent::Start));
+                    script.list_changes.push((start, new, Listed::Running(Some(start))));
                 }
             }
             _ => {}
@@ -526,12 +534,12 @@
 /// Adds the events of a server that answers nothing and then restarts cold. The pool list shows both with a
 /// delay.
 fn add_silence(server: usize, (start, end): (Nanos, Nanos), script: &mut Script) {
-    script.server.push((start, server, ServerEvent::Die));
-    script.server.push((end, server, ServerEvent::Start));
+    script.server_events.push((start, server, ServerEvent::Silence));
+    script.server_events.push((end, server, ServerEvent::Start));
     if start + SILENT_NOTICE_NS < end {
-        script.list.push((start + SILENT_NOTICE_NS, server, Listed::Gone));
+        script.list_changes.push((start + SILENT_NOTICE_NS, server, Listed::Gone));
     }
-    script.list.push((end + BACK_NOTICE_NS, server, Listed::Running(Some(end))));
+    script.list_changes.push((end + BACK_NOTICE_NS, server, Listed::Running(Some(end))));
 }
 
 fn schema() -> Result<Schema, ConfigError> {
--- a/crates/lilacpitch-testbed/src/fleet/cluster.rs
+++ b/crates/lilacpitch-testbed/src/fleet/cluster.rs
@@ -2,10 +2,10 @@
 //! behind the fronts.
 
 use super::fault_proxy::FaultProxy;
-use crate::edges::{used, Used};
+use crate::edges::{resource_usage, ResourceUsage};
 use crate::record::Record;
-use crate::simulation::server::Make;
-use crate::standin::{self, Play};
+use crate::simulation::server::ServerParameters;
+use crate::standin::{self, ScriptedServer};
 use lilacpitch_edge::net::{fetch, Clock};
 use lilacpitch_gossip::Keys;
 use lilacpitch_net::free_addresses;
@@ -388,8 +388,8 @@
     }
 
     /// Returns the resource usage of a running process.
-    pub fn resource_usage(&self, index: usize) -> Option<Used> {
-        self.processes[index].child.as_ref().and_then(|child| used(child.id()))
+    pub fn resource_usage(&self, index: usize) -> Option<ResourceUsage> {
+        self.processes[index].child.as_ref().and_then(|child| resource_usage(child.id()))
     }
 
     /// Requests an admin page of a process and returns its status and body.
@@ -459,7 +459,7 @@
     let mut pools: Vec<&String> = plan.fronts.iter().filter(|home| !home.is_empty()).collect();
     pools.sort_unstable();
     pools.dedup();
-    let make = Make {
+    let parameters = ServerParameters {
         per_s: 100_000.0,
         circuits: 1_000_000,
         full_after_ns: 10_000_000_000,
@@ -469,13 +469,19 @@
         tip_span_ns: 1_000_000_000,
         tip_chance: false,
     };
-    let (mut plays, mut list) = (Vec::new(), String::from("servers: [\n"));
+    let (mut servers, mut list) = (Vec::new(), String::from("servers: [\n"));
     for pool in pools {
         for nth in 0..2 {
             let (listener, address) = standin::bind()?;
             let name = format!("s-{pool}-{nth}");
             let _ = writeln!(list, "{{name: {name:?}, pool: {pool:?}, address: \"{address}\"}},");
-            plays.push(Play { name, make: make.clone(), listener, events: Vec::new(), absent: false });
+            servers.push(ScriptedServer {
+                name,
+                parameters: parameters.clone(),
+                listener,
+                events: Vec::new(),
+                absent: false,
+            });
         }
     }
     list.push_str("]\n");
@@ -483,7 +489,7 @@
     let (stop, stop_receiver) = watch::channel(false);
     let thread = std::thread::spawn(move || {
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
-        tokio::task::LocalSet::new().block_on(&runtime, standin::play(plays, Clock::start(), stop_receiver))
+        tokio::task::LocalSet::new().block_on(&runtime, standin::run(servers, Clock::start(), stop_receiver))
     });
     Ok((stop, thread))
 }
--- a/crates/lilacpitch-testbed/src/load.rs
+++ b/crates/lilacpitch-testbed/src/load.rs
@@ -5,12 +5,12 @@
 //! answer to the caller's read, all by the testbed's clock. It includes the testbed's own latency, which is
 //! measured with the same load on a program that only answers at once.
 
-use crate::call_rules_checker::Breach;
+use crate::call_rules_checker::Violation;
 use crate::day::Day;
-use crate::edges::{used, Program, Used};
+use crate::edges::{resource_usage, Program, ResourceUsage};
 use crate::record::{Record, Seen};
 use crate::report::histogram;
-use crate::runner::{play, PlayError, Played};
+use crate::runner::{run_day, RunError, RunResult};
 use hdrhistogram::Histogram;
 use lilacpitch::interface::Nanos;
 use std::collections::BTreeMap;
@@ -26,13 +26,13 @@
     /// Number of calls offered, and of those established.
     pub calls: (u64, u64),
     /// Violations of the call rules.
-    pub breaches: Vec<Breach>,
+    pub violations: Vec<Violation>,
     /// Latency that the front added to each call established at its first attempt, in microseconds.
     pub added_us: Histogram<u64>,
     /// The testbed's own round trip under the same load, in microseconds.
     pub testbed_us: Histogram<u64>,
     /// Resources used by the front's process.
-    pub front: Used,
+    pub front: ResourceUsage,
     /// Processor time of the testbed while the front ran, in seconds.
     pub testbed_cpu_s: f64,
 }
@@ -58,10 +58,11 @@
 /// Measures a front under a steady load, and the testbed alone under the same load.
 pub fn load(program: &Program, per_s: f64, seconds: u64) -> Result<Load, String> {
     let day = steady_load(per_s, seconds)?;
-    let text = |e: PlayError| e.to_string();
-    let before = used(std::process::id()).unwrap_or_default();
-    let Played { records, breaches, used: fronts, report, .. } = play(&day, program).map_err(text)?;
-    let after = used(std::process::id()).unwrap_or_default();
+    let text = |e: RunError| e.to_string();
+    let before = resource_usage(std::process::id()).unwrap_or_default();
+    let RunResult { records, violations, resource_usage: fronts, report, .. } =
+        run_day(&day, program).map_err(text)?;
+    let after = resource_usage(std::process::id()).unwrap_or_default();
     let added_us = added_latency(&records);
     let calls = (
         report.classes.iter().map(|c| c.offered).sum(),
@@ -69,14 +70,14 @@
     );
     drop(records);
     // A tenth of the time is enough for the testbed's own latency.
-    let alone = play(&steady_load(per_s, (seconds / 10).max(5))?, &Program::Null).map_err(text)?;
+    let alone = run_day(&steady_load(per_s, (seconds / 10).max(5))?, &Program::Null).map_err(text)?;
     let mut testbed_us = histogram();
     alone.report.classes.iter().for_each(|c| testbed_us.add(&c.setup_us).unwrap_or(()));
     Ok(Load {
         per_s,
         seconds,
         calls,
-        breaches,
+        violations,
         added_us,
         testbed_us,
         front: fronts.first().copied().unwrap_or_default(),
@@ -141,7 +142,7 @@
             percent_of_core(self.front.cpu_s),
             self.front.peak_mib,
             percent_of_core(self.testbed_cpu_s),
-            self.breaches.len()
+            self.violations.len()
         )
     }
 }
--- a/crates/lilacpitch-testbed/src/simulated_run.rs
+++ b/crates/lilacpitch-testbed/src/simulated_run.rs
@@ -5,14 +5,14 @@
 //! of fronts runs in seconds. Messages take a random time and keep their order on a connection, as on TCP.
 
 use crate::baseline::Baseline;
-use crate::call_rules_checker::judge;
+use crate::call_rules_checker;
 use crate::day::{Day, Listed, Script, ServerEvent};
 use crate::record::{Record, Seen};
 use crate::report::report;
-use crate::runner::Played;
-use crate::simulated_network::Sent;
-use crate::simulation::caller::{Callers, Rate, Try};
-use crate::simulation::server::{Does, Server};
+use crate::runner::RunResult;
+use crate::simulated_network::GossipTraffic;
+use crate::simulation::caller::{CallAttempt, Callers, Rate};
+use crate::simulation::server::{Server, ServerEffect};
 use lilacpitch::interface::Nanos;
 use lilacpitch_config::{ConfigError, Edge, Pools, ServerState};
 use lilacpitch_edge::core::{CallerId, EdgeCore, Effect, Input, Safeguards, UpstreamId};
@@ -63,7 +63,7 @@
         text: String,
     },
     Arrival(usize),
-    Offer(usize, Try),
+    Offer(usize, CallAttempt),
     Release(usize, String),
     ServerChange(usize, ServerEvent),
     /// The endpoint list's entry of a server changes.
@@ -94,7 +94,7 @@
     held_inputs: Vec<Input>,
     caller: CallerId,
     callers: Callers,
-    waiting: BTreeMap<String, Try>,
+    waiting: BTreeMap<String, CallAttempt>,
     established: BTreeMap<String, ()>,
 }
 
@@ -147,9 +147,9 @@
     policy: Baseline,
     records: Vec<Record>,
     effects: Vec<Effect>,
-    does: Vec<Does>,
+    server_effects: Vec<ServerEffect>,
     /// The gossip traffic of all fronts together.
-    gossip_traffic: Sent,
+    gossip_traffic: GossipTraffic,
 }
 
 /// Runs a day in virtual time with the module's own policy.
@@ -157,8 +157,8 @@
 /// # Errors
 ///
 /// Returns an error if the settings of a front are invalid.
-pub fn play(day: &Day, guards: Safeguards) -> Result<Played, ConfigError> {
-    play_with(day, guards, Baseline::Module)
+pub fn simulate_day(day: &Day, guards: Safeguards) -> Result<RunResult, ConfigError> {
+    simulate_day_with(day, guards, Baseline::Module)
 }
 
 /// Runs a day in virtual time with another policy in place of the module's.
@@ -166,7 +166,7 @@
 /// # Errors
 ///
 /// Returns an error if the settings of a front are invalid.
-pub fn play_with(day: &Day, guards: Safeguards, policy: Baseline) -> Result<Played, ConfigError> {
+pub fn simulate_day_with(day: &Day, guards: Safeguards, policy: Baseline) -> Result<RunResult, ConfigError> {
     let script = day.script();
     let mut simulation = Simulation::new(day, &script, guards, policy)?;
     let end_ns = START_NS + day.length_ns + ANSWER_WAIT_NS;
@@ -179,10 +179,17 @@
     }
     let mut records = simulation.records;
     records.iter_mut().for_each(|record| record.at_ns = record.at_ns.saturating_sub(START_NS));
-    let breaches = judge(&records, day.figures());
+    let violations = call_rules_checker::check(&records, day.rule_limits());
     let ramp = simulation.servers.iter().map(|server| server.model.ramp()).fold(0.0, f64::max);
     let report = report(day, &records, 0);
-    Ok(Played { report, breaches, records, used: Vec::new(), talk: simulation.gossip_traffic, ramp })
+    Ok(RunResult {
+        report,
+        violations,
+        records,
+        resource_usage: Vec::new(),
+        gossip_traffic: simulation.gossip_traffic,
+        ramp,
+    })
 }
 
 impl<'a> Simulation<'a> {
@@ -210,13 +217,13 @@
             policy,
             records: Vec::new(),
             effects: Vec::new(),
-            does: Vec::new(),
-            gossip_traffic: Sent::default(),
+            server_effects: Vec::new(),
+            gossip_traffic: GossipTraffic::default(),
         };
         for (server, listed) in &script.servers {
-            let mut model = Server::new(day.make(server));
+            let mut model = Server::new(day.server_parameters(server));
             if !listed {
-                model.die();
+                model.silence();
             }
             simulation.servers.push(SimulatedServer {
                 name: server.name.clone(),
@@ -231,7 +238,7 @@
         for edge in 0..day.edges {
             let seed = day.seed.wrapping_mul(1000) + edge as u64;
             let front = simulation.new_front(edge)?;
-            let callers = Callers::new(format!("e{edge}c"), day.habits(), day.pools().len(), seed);
+            let callers = Callers::new(format!("e{edge}c"), day.caller_behaviors(), day.pools().len(), seed);
             simulation.fronts.push(SimulatedFront {
                 front,
                 peers: None,
@@ -251,24 +258,24 @@
             simulation.schedule(START_NS, Event::Arrival(edge));
         }
         (0..day.edges).for_each(|edge| simulation.start_peers(edge));
-        for (at, server, event) in &script.server {
+        for (at, server, event) in &script.server_events {
             simulation.schedule(START_NS + at, Event::ServerChange(*server, *event));
         }
-        for (at, server, listed) in &script.list {
+        for (at, server, listed) in &script.list_changes {
             simulation.schedule(START_NS + at, Event::ListChange(*server, *listed));
         }
-        for (from, to, edge) in &script.freeze {
+        for (from, to, edge) in &script.suspensions {
             simulation.schedule(START_NS + from, Event::Freeze(*edge, true));
             simulation.schedule(START_NS + to, Event::Freeze(*edge, false));
         }
-        for (from, to, edge) in &script.restart {
+        for (from, to, edge) in &script.restarts {
             simulation.schedule(START_NS + from, Event::KillFront(*edge));
             simulation.schedule(START_NS + to, Event::StartFront(*edge));
         }
-        for (at, edge) in &script.confused {
+        for (at, edge) in &script.confused_fronts {
             simulation.schedule(START_NS + at, Event::Confuse(*edge));
         }
-        for (at, edge) in &script.leave {
+        for (at, edge) in &script.caller_departures {
             simulation.schedule(START_NS + at, Event::CallersLeave(*edge));
         }
         Ok(simulation)
@@ -299,7 +306,7 @@
     /// Returns the endpoint list in its current state.
     fn pools(&self) -> Pools {
         let entries = self.script.servers.iter().zip(&self.listed).enumerate();
-        let server = |(index, ((make, _), listed)): (usize, (&(crate::day::ServerMake, bool), &Listed))| {
+        let server = |(index, ((spec, _), listed)): (usize, (&(crate::day::ServerSpec, bool), &Listed))| {
             let (state, started_ms) = match listed {
                 Listed::Running(None) => (ServerState::Running, 0),
                 Listed::Running(Some(at)) => (ServerState::Running, (START_NS + at) / 1_000_000),
@@ -307,8 +314,8 @@
                 Listed::Gone => return None,
             };
             Some(lilacpitch_config::Server {
-                name: make.name.clone(),
-                pool: make.pool.clone(),
+                name: spec.name.clone(),
+                pool: spec.pool.clone(),
                 zone: String::new(),
                 // The port encodes the server's index in the script.
                 address: SocketAddr::from((Ipv4Addr::LOCALHOST, index as u16 + 1)),
@@ -337,9 +344,9 @@
             }
             Event::ServerTimeout(server) => {
                 self.servers[server].timeout_ns = None;
-                let mut does = std::mem::take(&mut self.does);
-                self.servers[server].model.work(self.now, &mut does);
-                self.does = does;
+                let mut server_effects = std::mem::take(&mut self.server_effects);
+                self.servers[server].model.work(self.now, &mut server_effects);
+                self.server_effects = server_effects;
                 self.server_does(server);
             }
             Event::ToCaller { front, caller, text } => self.caller_receives(front, caller, &text),
@@ -484,23 +491,23 @@
         }
         let Ok(message) = ToServer::decode(text) else { return };
         let server_state = &self.servers[server];
-        let known = server_state.model.knows((front, message.attempt()));
-        self.record(Seen::read(&server_state.name.clone(), front, &message, known));
-        let mut does = std::mem::take(&mut self.does);
-        self.servers[server].model.hear(self.now, front, &message, &mut does);
-        self.does = does;
+        let known = server_state.model.has_attempt((front, message.attempt()));
+        self.record(Seen::received_by_server(&server_state.name.clone(), front, &message, known));
+        let mut server_effects = std::mem::take(&mut self.server_effects);
+        self.servers[server].model.handle(self.now, front, &message, &mut server_effects);
+        self.server_effects = server_effects;
         self.server_does(server);
     }
 
     fn server_does(&mut self, server: usize) {
-        for does in std::mem::take(&mut self.does) {
-            match does {
-                Does::Send(front, message) => self.server_sends(server, front, &message),
-                Does::Loses((edge, attempt)) => {
+        for effect in std::mem::take(&mut self.server_effects) {
+            match effect {
+                ServerEffect::Send(front, message) => self.server_sends(server, front, &message),
+                ServerEffect::AnswerLost((edge, attempt)) => {
                     let server = self.servers[server].name.clone();
                     self.record(Seen::Answered { server, edge, attempt, stands: true });
                 }
-                Does::Falls { multiple, from } => {
+                ServerEffect::Failed { multiple, from } => {
                     self.servers[server].dead = true;
                     // Fronts that a delayed list kept from learning of the server's start can't apply slow
                     // start.
@@ -525,7 +532,7 @@
 
     fn server_sends(&mut self, server: usize, front: usize, message: &FromServer) {
         let Some(link) = self.servers[server].connections.get(&front).copied() else { return };
-        self.record(Seen::said(&self.servers[server].name.clone(), front, message));
+        self.record(Seen::sent_by_server(&self.servers[server].name.clone(), front, message));
         let at = self.arrival_ns((SERVER_TO_FRONT, server, front));
         self.schedule(at, Event::ToFront(front, Input::UpstreamText(link, message.encode())));
     }
@@ -549,12 +556,12 @@
         let (now, server_state) = (self.now, &mut self.servers[server]);
         match event {
             ServerEvent::Slow(times) => server_state.model.slow(times),
-            ServerEvent::Still(span) => server_state.model.stand_still(now + span),
+            ServerEvent::Pause(span) => server_state.model.pause(now + span),
             ServerEvent::LoseAnswers(share) => server_state.model.lose_answers(share),
-            ServerEvent::Ail(ailment) => server_state.model.ail(ailment),
-            ServerEvent::Heal(ailment) => server_state.model.heal(&ailment),
-            ServerEvent::Die => {
-                server_state.model.die();
+            ServerEvent::BeginFault(fault) => server_state.model.add_fault(fault),
+            ServerEvent::EndFault(fault) => server_state.model.remove_fault(&fault),
+            ServerEvent::Silence => {
+                server_state.model.silence();
                 server_state.dead = true;
             }
             ServerEvent::Start => {
@@ -565,7 +572,7 @@
             ServerEvent::Reset => self.close_all_connections(server),
             ServerEvent::Stop => {
                 let cut = server_state.model.cut_all();
-                server_state.model.die();
+                server_state.model.silence();
                 (server_state.dead, server_state.stopped) = (true, true);
                 for (front, message) in cut {
                     self.server_sends(server, front, &message);
@@ -597,7 +604,7 @@
         }
     }
 
-    fn offer(&mut self, front: usize, made: Try) {
+    fn offer(&mut self, front: usize, made: CallAttempt) {
         if self.now >= START_NS + self.day.length_ns {
             return;
         }
@@ -638,7 +645,8 @@
                     self.schedule(self.now + made.hold_ns, Event::Release(front, call));
                 } else {
                     let day_ns = self.now - START_NS;
-                    if let Some((at, again)) = front_state.callers.again(day_ns, &made, answer, come_back_ms)
+                    if let Some((at, again)) =
+                        front_state.callers.next_attempt(day_ns, &made, answer, come_back_ms)
                     {
                         self.schedule(START_NS + at, Event::Offer(front, again));
                     }
@@ -774,9 +782,9 @@
     }
 
     fn datagram(&mut self, from: usize, to: usize, bytes: Vec<u8>) {
-        let conditions = self.day.weather(self.script, self.now.saturating_sub(START_NS));
+        let conditions = self.day.network_conditions(self.script, self.now.saturating_sub(START_NS));
         let to = Some(to).filter(|to| *to < self.fronts.len());
-        let deliveries = conditions.carry(from, to, bytes, || self.rng.next_u64());
+        let deliveries = conditions.deliver(from, to, bytes, || self.rng.next_u64());
         let at = self.now + LATENCY_NS + self.rng.next_u64() % LATENCY_NS;
         for (late_ns, bytes) in deliveries {
             self.schedule(at + late_ns, Event::Datagram(to.unwrap_or_default(), bytes));
--- a/crates/lilacpitch-testbed/src/standin.rs
+++ b/crates/lilacpitch-testbed/src/standin.rs
@@ -3,7 +3,7 @@
 
 use crate::day::ServerEvent;
 use crate::record::{Record, Seen};
-use crate::simulation::server::{Does, Make, Server};
+use crate::simulation::server::{Server, ServerEffect, ServerParameters};
 use lilacpitch::interface::Nanos;
 use lilacpitch_edge::net::{serve_handshake, Clock, ConnectionEvent, Outgoing, WebSocketConnection};
 use lilacpitch_protocol::frame::Role;
@@ -21,11 +21,11 @@
 const QUEUE: usize = 65_536;
 
 /// A server to be simulated.
-pub struct Play {
+pub struct ScriptedServer {
     /// Its name in the pool list.
     pub name: String,
     /// The parameters of its model.
-    pub make: Make,
+    pub parameters: ServerParameters,
     /// Its bound socket.
     pub listener: std::net::TcpListener,
     /// The events that concern it, ordered by time of the clock.
@@ -59,7 +59,7 @@
     by_edge: BTreeMap<usize, u64>,
     last_connection: u64,
     records: Vec<Record>,
-    effects: Vec<Does>,
+    effects: Vec<ServerEffect>,
     /// Whether it is silent: it accepts connections and answers nothing, not even their handshake.
     dead: bool,
     stopped: bool,
@@ -74,14 +74,14 @@
 }
 
 /// Runs servers until the value of `stop` changes. Returns their records. Must be called within a `LocalSet`.
-pub async fn play(
-    plays: Vec<Play>,
+pub async fn run(
+    servers: Vec<ScriptedServer>,
     clock: Clock,
     stop: watch::Receiver<bool>,
 ) -> std::io::Result<Vec<Record>> {
     let mut tasks = Vec::new();
-    for play in plays {
-        tasks.push(tokio::task::spawn_local(serve(play, clock, stop.clone())));
+    for server in servers {
+        tasks.push(tokio::task::spawn_local(serve(server, clock, stop.clone())));
     }
     let mut records = Vec::new();
     for task in tasks {
@@ -90,13 +90,17 @@
     Ok(records)
 }
 
-async fn serve(play: Play, clock: Clock, mut stop: watch::Receiver<bool>) -> std::io::Result<Vec<Record>> {
-    let listener = TcpListener::from_std(play.listener)?;
-    let mut events = play.events.into_iter().peekable();
+async fn serve(
+    scripted: ScriptedServer,
+    clock: Clock,
+    mut stop: watch::Receiver<bool>,
+) -> std::io::Result<Vec<Record>> {
+    let listener = TcpListener::from_std(scripted.listener)?;
+    let mut events = scripted.events.into_iter().peekable();
     let (socket_events, mut inbox) = mpsc::channel(QUEUE);
     let mut server = SocketServer {
-        name: play.name,
-        model: Server::new(play.make),
+        name: scripted.name,
+        model: Server::new(scripted.parameters),
         clock,
         connections: BTreeMap::new(),
         opening: BTreeMap::new(),
@@ -104,11 +108,11 @@
         last_connection: 0,
         records: Vec::new(),
         effects: Vec::new(),
-        dead: play.absent,
+        dead: scripted.absent,
         stopped: false,
     };
-    if play.absent {
-        server.model.die();
+    if scripted.absent {
+        server.model.silence();
     }
     loop {
         let event_ns = events.peek().map(|(at, _)| *at);
@@ -181,11 +185,11 @@
             SocketEvent::Text { connection, text } => {
                 let Some(edge) = self.connections.get(&connection).map(|c| c.edge) else { return };
                 let Ok(message) = ToServer::decode(&text) else { return };
-                let known = self.model.knows((edge, message.attempt()));
-                let seen = Seen::read(&self.name, edge, &message, known);
+                let known = self.model.has_attempt((edge, message.attempt()));
+                let seen = Seen::received_by_server(&self.name, edge, &message, known);
                 self.record(seen);
                 let now = self.clock.now();
-                self.model.hear(now, edge, &message, &mut self.effects);
+                self.model.handle(now, edge, &message, &mut self.effects);
                 self.carry_out();
             }
         }
@@ -194,12 +198,12 @@
     fn carry_out(&mut self) {
         for effect in std::mem::take(&mut self.effects) {
             match effect {
-                Does::Send(edge, message) => self.send(edge, message),
-                Does::Loses((edge, attempt)) => {
+                ServerEffect::Send(edge, message) => self.send(edge, message),
+                ServerEffect::AnswerLost((edge, attempt)) => {
                     let server = self.name.clone();
                     self.record(Seen::Answered { server, edge, attempt, stands: true });
                 }
-                Does::Falls { multiple, .. } => {
+                ServerEffect::Failed { multiple, .. } => {
                     self.dead = true;
                     self.record(Seen::Fell { server: self.name.clone(), multiple });
                 }
@@ -212,7 +216,7 @@
         let Some(connection) = connection else { return };
         let text = message.encode();
         let _ = connection.outgoing.try_send(Outgoing { number: 0, text, not_after_ns: None });
-        let seen = Seen::said(&self.name, edge, &message);
+        let seen = Seen::sent_by_server(&self.name, edge, &message);
         self.record(seen);
     }
 
@@ -236,12 +240,12 @@
         let now = self.clock.now();
         match event {
             ServerEvent::Slow(times) => self.model.slow(times),
-            ServerEvent::Still(duration) => self.model.stand_still(now + duration),
+            ServerEvent::Pause(duration) => self.model.pause(now + duration),
             ServerEvent::LoseAnswers(share) => self.model.lose_answers(share),
-            ServerEvent::Ail(fault) => self.model.ail(fault),
-            ServerEvent::Heal(fault) => self.model.heal(&fault),
-            ServerEvent::Die => {
-                self.model.die();
+            ServerEvent::BeginFault(fault) => self.model.add_fault(fault),
+            ServerEvent::EndFault(fault) => self.model.remove_fault(&fault),
+            ServerEvent::Silence => {
+                self.model.silence();
                 self.dead = true;
             }
             ServerEvent::Start => {
@@ -254,7 +258,7 @@
                 for (edge, message) in self.model.cut_all() {
                     self.send(edge, message);
                 }
-                self.model.die();
+                self.model.silence();
                 self.drop_all();
                 (self.dead, self.stopped) = (true, true);
             }
