--- a/crates/lilacpitch-site/src/log/state.rs
+++ b/crates/lilacpitch-site/src/log/state.rs
@@ -227,9 +227,7 @@
             CommandAction::Withdraw(_) | CommandAction::Reinstate(_) => false,
         };
         if actions.iter().any(is_too_long) || self.command_log.position().log == 0 {
-            return ApplyResult::Rejected(
-                "a purge has too many scopes, or there is no command log yet".into(),
-            );
+            return ApplyResult::Rejected("an order with too many scopes, or no log to order in".into());
         }
         for action in actions {
             self.command_log.append(action);
--- a/crates/lilacpitch-site/src/request_handler.rs
+++ b/crates/lilacpitch-site/src/request_handler.rs
@@ -293,10 +293,7 @@
 /// this incarnation of the front.
 fn check_changes(front: &ChildId, changes: &[RecordChange]) -> Result<(), RejectReason> {
     if changes.len() > MAX_RECORDS {
-        return Err(RejectReason::Malformed(format!(
-            "{} record changes, at most {MAX_RECORDS} are allowed",
-            changes.len()
-        )));
+        return Err(RejectReason::Malformed(format!("{} rows, {MAX_RECORDS} at most", changes.len())));
     }
     for change in changes {
         let (key, malformed) = match change {
@@ -307,10 +304,7 @@
             return Err(RejectReason::Malformed(error.to_string()));
         }
         if key.owner.front != front.name || key.owner.incarnation != front.incarnation {
-            return Err(RejectReason::Malformed(format!(
-                "record of another front or incarnation: {}",
-                key.owner.front
-            )));
+            return Err(RejectReason::Malformed(format!("a row of {}", key.owner.front)));
         }
     }
     Ok(())
